--- a/rhubarbferry/coordination/budget.py
+++ b/rhubarbferry/coordination/budget.py
@@ -9,7 +9,7 @@
 from rhubarbferry.ports.store import Spend, StoreRateLimited
 
 BURST_S = 0.5
-LONGEST_WAIT_S = 2.0
+MAX_WAIT_S = 2.0
 
 WAITS = Counter(
     "rhubarbferry_store_budget_wait_seconds_total",
@@ -31,7 +31,7 @@
 
     :param writes_per_s: writes allowed to the whole cell.
     :param reads_per_s: reads allowed to the whole cell.
-    :param longest_wait_s: a call that would wait longer is refused at once.
+    :param max_wait_s: a call that would wait longer is refused at once.
     """
 
     def __init__(
@@ -41,11 +41,11 @@
         writes_per_s: float,
         reads_per_s: float,
         members: float = 1,
-        longest_wait_s: float = LONGEST_WAIT_S,
+        max_wait_s: float = MAX_WAIT_S,
     ) -> None:
         self._clock = clock
         self._per_s = {Spend.WRITE: writes_per_s, Spend.READ: reads_per_s}
-        self._longest_wait_s = longest_wait_s
+        self._max_wait_s = max_wait_s
         self._rates: dict[Spend, Rate] = {}
         self.set_members(members)
         now = clock.monotonic()
@@ -70,7 +70,7 @@
         if spend is Spend.RENEWAL:
             self._buckets[kind] = taken.bucket
             return
-        if taken.wait_s > self._longest_wait_s:
+        if taken.wait_s > self._max_wait_s:
             REFUSALS.labels(kind.value).inc()
             raise StoreRateLimited(
                 f"this process would wait {taken.wait_s:.1f} s for its share of the store's"
--- a/rhubarbferry/coordination/configuration.py
+++ b/rhubarbferry/coordination/configuration.py
@@ -30,8 +30,8 @@
 REFUSED = Counter(
     "rhubarbferry_config_refused_total", "Configurations not taken over here", ["reason"]
 )
-ATTEMPTS = 5
-PAUSE_S = 0.2
+MAX_ATTEMPTS = 5
+RETRY_INTERVAL_S = 0.2
 
 
 class ConfigError(Exception):
@@ -51,7 +51,7 @@
 
 
 class ConfigBehind(ConfigError):
-    """The store is behind what is in force; nothing was changed. Try again in a few seconds."""
+    """The store is pending what is in force; nothing was changed. Try again in a few seconds."""
 
 
 class ConfigUnclear(ConfigError):
@@ -83,7 +83,7 @@
     diff: str
 
 
-class ConfigKeeper:
+class ActiveConfig:
     """The configuration in force in one process; implements ``ports.ownership.CellView``.
 
     :ivar record: the revision in force; it never goes back.
@@ -100,7 +100,7 @@
         """Return the revision in force."""
         return self._cell
 
-    def offer(self, record: ConfigRecord | None) -> None:
+    def update(self, record: ConfigRecord | None) -> None:
         """Take over a configuration seen in the store or at a peer, unless it is older."""
         if newer(self.record, record) is self.record or record is None or record == self._refused:
             return
@@ -154,9 +154,9 @@
     listing = await store.list(CELL)
     state = read_state(listing.items)
     config = next((kv for kv in listing.items if kv.key == CONFIG), None)
-    before = _stored(config)
-    _check_base(before, based_on)
-    if highest_in_force(state.members.values()) > before.record.revision:
+    current = _stored(config)
+    _check_base_revision(current, based_on)
+    if highest_in_force(state.members.values()) > current.record.revision:
         raise ConfigBehind("members have a later revision in force than the store holds")
     record = ConfigRecord(
         revision=based_on + 1,
@@ -165,11 +165,11 @@
         applied_at=clock.wall(),
         write_id=write_id,
     )
-    await _write(store, record, before.mod_revision, clock)
-    return Applied(revision=record.revision, diff=diff(before.record.text, text))
+    await _write(store, record, current.mod_revision, clock)
+    return Applied(revision=record.revision, diff=diff(current.record.text, text))
 
 
-async def republish(store: Store, *, in_force: ConfigRecord, based_on: int) -> bool:
+async def restore(store: Store, *, in_force: ConfigRecord, based_on: int) -> bool:
     """Put an accepted configuration back into a store that has lost it.
 
     :param based_on: the store's revision of the last write of the older one, 0 for none.
@@ -192,18 +192,18 @@
     :raises NotInForce: when that took longer than ``timeout_s``; names the members.
     """
     until = clock.monotonic() + timeout_s
-    behind: tuple[str, ...] = ("unknown, the store can't be read",)
+    pending: tuple[str, ...] = ("unknown, the store can't be read",)
     while True:
         try:
             listing = await store.list(MEMBERS)
-            behind = lagging(read_state(listing.items).members.values(), revision)
+            pending = lagging(read_state(listing.items).members.values(), revision)
         except StoreError as exc:
             logger.debug("members can't be read: {}", exc)
-        if not behind:
+        if not pending:
             return
         if clock.monotonic() >= until:
-            raise NotInForce(revision, behind)
-        await clock.sleep(PAUSE_S)
+            raise NotInForce(revision, pending)
+        await clock.sleep(RETRY_INTERVAL_S)
 
 
 def _stored(kv: KeyValue | None) -> Stored:
@@ -212,44 +212,44 @@
     return Stored(record=decode(CONFIG, kv.value, ConfigRecord), mod_revision=kv.mod_revision)
 
 
-def _check_base(before: Stored, based_on: int) -> None:
-    if before.record.revision != based_on:
+def _check_base_revision(current: Stored, based_on: int) -> None:
+    if current.record.revision != based_on:
         raise ConfigRace(
-            f"revision {before.record.revision} by {before.record.author!r} is in the store, "
+            f"revision {current.record.revision} by {current.record.author!r} is in the store, "
             f"this change is based on {based_on}"
         )
 
 
 async def _write(store: Store, record: ConfigRecord, based_on: int, clock: Clock) -> None:
     value = encode(record)
-    unclear = False
-    for _ in range(ATTEMPTS):
+    outcome_unknown = False
+    for _ in range(MAX_ATTEMPTS):
         try:
             if based_on == 0:
                 revision = await store.create(CONFIG, value)
             else:
                 revision = await store.put_if(CONFIG, value, mod_revision=based_on)
             if revision is None:
-                await _check_ours(store, record, unclear=unclear)
+                await _check_stored(store, record, outcome_unknown=outcome_unknown)
             return
         except StoreUnclear:
             # The same compare-and-swap again can't take effect twice; if the first one stands,
             # the second is refused and the record read back is our own.
-            unclear = True
+            outcome_unknown = True
         except StoreError:
-            if not unclear:
+            if not outcome_unknown:
                 raise
-        await clock.sleep(PAUSE_S)
+        await clock.sleep(RETRY_INTERVAL_S)
     raise ConfigUnclear(f"no answer whether revision {record.revision} stands")
 
 
-async def _check_ours(store: Store, record: ConfigRecord, *, unclear: bool) -> None:
+async def _check_stored(store: Store, record: ConfigRecord, *, outcome_unknown: bool) -> None:
     try:
         stored = await read(store)
     except (StoreError, RecordCorrupt) as exc:
         raise StoreUnclear(f"can't read back: {exc}") from exc
-    if unclear and stored.record.revision > record.revision:
-        # A later change stands, and may have been based on this one before its author heard of
+    if outcome_unknown and stored.record.revision > record.revision:
+        # A later change stands, and may have been based on this one current its author heard of
         # it. "Not made" would be untrue then: the operator would make the same change twice.
         raise ConfigUnclear(
             f"{stored.record.author!r} has put revision {stored.record.revision} in place "
--- a/rhubarbferry/coordination/log.py
+++ b/rhubarbferry/coordination/log.py
@@ -14,7 +14,7 @@
 
 from loguru import logger
 
-from rhubarbferry.coordination.log_batches import Batch, Covered, Queue, Waiting
+from rhubarbferry.coordination.log_batches import AppendQueue, Batch, Coverage, PendingAppend
 from rhubarbferry.coordination.log_codec import (
     decode_segment,
     encode_segment,
@@ -31,7 +31,7 @@
     SEGMENTS,
 )
 from rhubarbferry.coordination.log_reader import LogReader, Replay
-from rhubarbferry.coordination.write_once import Taken, Wrote, create_once
+from rhubarbferry.coordination.write_once import Conflict, Created, create_once
 from rhubarbferry.core.log import LogKeys, Retention, Verdict, judge
 from rhubarbferry.core.partition import PartitionId
 from rhubarbferry.ports.clock import Clock
@@ -47,13 +47,13 @@
 from rhubarbferry.rpc.gen.ttypes import LogEntry, LogSegment
 
 SEGMENT_BYTES = 256 * 1024
-LARGEST_APPEND_BYTES = 512 * 1024
-MAX_WAITING = 10_000
-MIN_INTERVAL_S = 0.005
-SETTLE_S = 2.0
-RETRY_S = 0.5
-KEEP_S = 60.0
-MAX_SEAL_RACES = 200
+MAX_APPEND_BYTES = 512 * 1024
+MAX_QUEUED_APPENDS = 10_000
+MIN_WRITE_INTERVAL_S = 0.005
+RESOLVE_TIMEOUT_S = 2.0
+RETRY_INTERVAL_S = 0.5
+RETENTION_S = 60.0
+MAX_SEAL_ATTEMPTS = 200
 
 
 class SealedLog:
@@ -62,11 +62,11 @@
     :param partition: the partition.
     :param epoch: the epoch under which this process owns it.
     :param writer_id: the id of this process, never used again after a restart.
-    :param min_interval_s: least time between the starts of two writes; appends gather
+    :param min_write_interval_s: least time between the starts of two writes; appends gather
         meanwhile.
-    :param settle_s: how long a write with a lost reply is followed up before its callers
+    :param resolve_timeout_s: how long a write with a lost reply is followed up before its callers
         hear that it is unclear.
-    :param keep_s: see :class:`~rhubarbferry.core.log.Retention`; the same in all processes.
+    :param retention_s: see :class:`~rhubarbferry.core.log.Retention`; the same in all processes.
     """
 
     def __init__(
@@ -77,23 +77,23 @@
         epoch: int,
         writer_id: str,
         clock: Clock,
-        min_interval_s: float = MIN_INTERVAL_S,
-        settle_s: float = SETTLE_S,
-        keep_s: float = KEEP_S,
+        min_write_interval_s: float = MIN_WRITE_INTERVAL_S,
+        resolve_timeout_s: float = RESOLVE_TIMEOUT_S,
+        retention_s: float = RETENTION_S,
         segment_bytes: int = SEGMENT_BYTES,
-        max_waiting: int = MAX_WAITING,
+        max_queued_appends: int = MAX_QUEUED_APPENDS,
     ) -> None:
         self._store = store
         self._clock = clock
         self._epoch = epoch
         self._writer_id = writer_id
-        self._min_interval_s = min_interval_s
-        self._settle_s = settle_s
+        self._min_write_interval_s = min_write_interval_s
+        self._resolve_timeout_s = resolve_timeout_s
         self._segment_bytes = segment_bytes
-        self._retention = Retention(keep_s=keep_s)
+        self._retention = Retention(keep_s=retention_s)
         self._keys = LogKeys(partition=str(partition))
         self._nonce = uuid4().hex[:12]
-        self._serial = count(1)
+        self._write_numbers = count(1)
         self._head = LogHead(
             store=store,
             clock=clock,
@@ -106,22 +106,24 @@
             store=store,
             keys=self._keys,
             head=self._head,
-            retention=Retention(keep_s=keep_s),
+            retention=Retention(keep_s=retention_s),
             clock=clock,
             chunk_bytes=segment_bytes,
-            segment=self._segment,
+            segment=self._new_segment,
             create=self._create,
         )
-        self._queue = Queue(limit=max_waiting)
-        self._covered = Covered(upto=0)
+        self._queue = AppendQueue(limit=max_queued_appends)
+        self._coverage = Coverage(upto=0)
         self._compacting = asyncio.Lock()
         self._writer: asyncio.Task[None] | None = None
         self._in_flight: Batch | None = None
-        self._unsettled: Batch | None = None
-        self._ended: LogError | None = LogUnavailable("the log is not open; call open() first")
-        self._next = 1
+        self._unresolved: Batch | None = None
+        self._closed_error: LogError | None = LogUnavailable(
+            "the log is not open; call open() first"
+        )
+        self._next_number = 1
         self._sealed_at = 0.0
-        self._last_start = float("-inf")
+        self._last_write_at = float("-inf")
 
     async def open(self) -> Sequence[LogEntry]:
         """Seal the log against earlier owners; return all entries that stand, oldest first.
@@ -131,19 +133,19 @@
         :raises LogUnavailable: when the store can't be used now; call again.
         """
         try:
-            replay = await self._take_over()
+            replay = await self._claim_and_replay()
         except LogUnclear as exc:
             raise LogUnavailable(f"the log can't be opened now: {exc}") from exc
-        self._next = replay.next_number
-        self._covered = Covered(upto=replay.next_number - 1)
-        self._ended = None
+        self._next_number = replay.next_number
+        self._coverage = Coverage(upto=replay.next_number - 1)
+        self._closed_error = None
         REPLAYED.inc(len(replay.entries))
         logger.info(
             "log {} open: epoch {}, {} entries, next segment {}",
             self._keys.partition,
             self._epoch,
             len(replay.entries),
-            self._next,
+            self._next_number,
         )
         return replay.entries
 
@@ -159,15 +161,15 @@
             return
         self._check_open()
         size = sum(entry_bytes(entry) for entry in entries)
-        self._check_room(size)
+        self._check_capacity(size)
         fut = asyncio.get_running_loop().create_future()
-        waiting = Waiting(entries=tuple(entries), size=size, fut=fut)
-        self._queue.add(waiting)
+        append = PendingAppend(entries=tuple(entries), size=size, fut=fut)
+        self._queue.add(append)
         self._start_writer()
         try:
             await fut
         finally:
-            waiting.resumed = True
+            append.resumed = True
 
     async def compact(self, entries: Iterable[LogEntry]) -> None:
         """Replace all that is on record by ``entries``, which rebuild the same state.
@@ -178,19 +180,19 @@
         """
         self._check_open()
         kept = tuple(entries)
-        upto = self._covered.advance()
+        upto = self._coverage.advance()
         async with self._compacting:
             if upto <= self._head.head.upto:
                 return
             try:
                 await self._compactor.replace(kept, upto=upto, sealed_at=self._sealed_at)
             except LogFenced as exc:
-                self._end(exc)
+                self._close_with(exc)
                 raise
 
     def size(self) -> int:
         """Return how many segments stand since the last snapshot."""
-        return self._next - 1 - self._head.head.upto
+        return self._next_number - 1 - self._head.head.upto
 
     async def close(self) -> None:
         """Stop writing; appends in progress fail, the one in flight as unclear."""
@@ -200,9 +202,9 @@
             await asyncio.wait([writer])
         if self._in_flight is not None:
             self._in_flight.fail(LogUnclear("the log was closed during the write"))
-        self._end(LogUnavailable("the log is closed; it belongs to a tenure that has ended"))
+        self._close_with(LogUnavailable("the log is closed; it belongs to a tenure that has ended"))
 
-    async def _take_over(self) -> Replay:
+    async def _claim_and_replay(self) -> Replay:
         await self._head.claim()
         reader = LogReader(
             store=self._store, keys=self._keys, epoch=self._epoch, revision=self._head.revision
@@ -221,11 +223,11 @@
         return replay
 
     async def _seal(self, replay: Replay) -> None:
-        for _ in range(MAX_SEAL_RACES):
+        for _ in range(MAX_SEAL_ATTEMPTS):
             key = self._keys.segment(replay.next_number)
-            segment = self._segment((), seal=True)
+            segment = self._new_segment((), seal=True)
             outcome = await self._create_seal(key, encode_segment(key, segment))
-            if isinstance(outcome, Wrote):
+            if isinstance(outcome, Created):
                 replay.next_number += 1
                 self._sealed_at = self._clock.monotonic()
                 return
@@ -235,41 +237,41 @@
             replay.add(key, found, limit=self._epoch)
         raise LogUnavailable("an earlier owner goes on writing faster than we; try again")
 
-    async def _create_seal(self, key: str, value: bytes) -> Wrote | Taken:
+    async def _create_seal(self, key: str, value: bytes) -> Created | Conflict:
         try:
             return await self._create(key, value)
         except StoreError as exc:
             raise LogUnavailable(f"{key} can't be written: {exc}") from exc
 
-    async def _create(self, key: str, value: bytes, *, maybe_sent: bool = False) -> Wrote | Taken:
+    async def _create(
+        self, key: str, value: bytes, *, maybe_sent: bool = False
+    ) -> Created | Conflict:
         return await create_once(
             store=self._store,
             clock=self._clock,
             key=key,
             value=value,
-            settle_s=self._settle_s,
+            resolve_timeout_s=self._resolve_timeout_s,
             maybe_sent=maybe_sent,
         )
 
-    def _segment(self, entries: Sequence[LogEntry], *, seal: bool = False) -> LogSegment:
+    def _new_segment(self, entries: Sequence[LogEntry], *, seal: bool = False) -> LogSegment:
         return LogSegment(
             epoch=self._epoch,
             writer_id=self._writer_id,
-            write_id=f"{self._nonce}-{next(self._serial)}",
+            write_id=f"{self._nonce}-{next(self._write_numbers)}",
             seal=seal,
             entries=list(entries),
         )
 
     def _check_open(self) -> None:
-        if self._ended is not None:
-            raise type(self._ended)(str(self._ended))
-
-    def _check_room(self, size: int) -> None:
-        if size > LARGEST_APPEND_BYTES:
-            raise LogTooLarge(
-                f"the entries take {size} bytes, over {LARGEST_APPEND_BYTES}; split them"
-            )
-        if self._unsettled is not None:
+        if self._closed_error is not None:
+            raise type(self._closed_error)(str(self._closed_error))
+
+    def _check_capacity(self, size: int) -> None:
+        if size > MAX_APPEND_BYTES:
+            raise LogTooLarge(f"the entries take {size} bytes, over {MAX_APPEND_BYTES}; split them")
+        if self._unresolved is not None:
             raise LogUnavailable("an earlier write is not settled yet; come back in a second")
         if self._queue.full():
             raise LogUnavailable("too many appends are waiting; come back in a second")
@@ -280,55 +282,55 @@
 
     async def _write_all(self) -> None:
         try:
-            while self._ended is None and (self._unsettled is not None or len(self._queue)):
+            while self._closed_error is None and (self._unresolved is not None or len(self._queue)):
                 await self._write_next()
         except LogError as exc:
-            self._end(exc)
+            self._close_with(exc)
         except Exception as exc:
             logger.exception("the writer of log {} failed", self._keys.partition)
             if self._in_flight is not None:
                 self._in_flight.fail(LogUnclear(f"the writer failed: {exc!r}"))
-            self._end(LogUnavailable(f"the writer failed: {exc!r}; give up the partition"))
+            self._close_with(LogUnavailable(f"the writer failed: {exc!r}; give up the partition"))
 
     async def _write_next(self) -> None:
-        unsettled = self._unsettled
-        if unsettled is not None:
-            await self._clock.sleep(RETRY_S)
-            await self._write(unsettled, maybe_sent=True)
+        unresolved = self._unresolved
+        if unresolved is not None:
+            await self._clock.sleep(RETRY_INTERVAL_S)
+            await self._write(unresolved, maybe_sent=True)
             return
-        await self._pace()
-        batch = self._gather()
+        await self._throttle()
+        batch = self._next_batch()
         if batch is not None:
             await self._write(batch, maybe_sent=False)
 
-    async def _pace(self) -> None:
-        wait_s = self._last_start + self._min_interval_s - self._clock.monotonic()
+    async def _throttle(self) -> None:
+        wait_s = self._last_write_at + self._min_write_interval_s - self._clock.monotonic()
         if wait_s > 0:
             await self._clock.sleep(wait_s)
-        self._last_start = self._clock.monotonic()
+        self._last_write_at = self._clock.monotonic()
 
-    def _gather(self) -> Batch | None:
-        waiting = self._queue.take(self._segment_bytes)
-        if not waiting:
+    def _next_batch(self) -> Batch | None:
+        appends = self._queue.take(self._segment_bytes)
+        if not appends:
             return None
-        key = self._keys.segment(self._next)
-        entries = [entry for one in waiting for entry in one.entries]
-        value = encode_segment(key, self._segment(entries))
+        key = self._keys.segment(self._next_number)
+        entries = [entry for append in appends for entry in append.entries]
+        value = encode_segment(key, self._new_segment(entries))
         SEGMENTS.inc()
         ENTRIES.inc(len(entries))
         BYTES.inc(len(value))
-        return Batch(number=self._next, key=key, value=value, waiting=waiting)
+        return Batch(number=self._next_number, key=key, value=value, appends=appends)
 
     async def _write(self, batch: Batch, *, maybe_sent: bool) -> None:
         self._in_flight = batch
         try:
             outcome = await self._create(batch.key, batch.value, maybe_sent=maybe_sent)
-            if isinstance(outcome, Taken):
-                raise self._lost_number(batch, outcome)
+            if isinstance(outcome, Conflict):
+                raise self._fenced_error(batch, outcome)
             await self._verify_if_due(batch)
         except (StoreUnclear, LogUnclear, LogUnavailable) as exc:
             # After LogUnavailable the segment stands, only the head could not be looked at.
-            self._leave_unsettled(batch, exc)
+            self._mark_unresolved(batch, exc)
         except StoreError as exc:
             FAILURES.labels("unavailable").inc()
             batch.fail(LogUnavailable(f"the store can't be written now: {exc}"))
@@ -337,10 +339,10 @@
             batch.fail(exc)
             raise
         else:
-            self._stands(batch)
+            self._complete(batch)
         self._in_flight = None
 
-    def _lost_number(self, batch: Batch, outcome: Taken) -> LogError:
+    def _fenced_error(self, batch: Batch, outcome: Conflict) -> LogError:
         found = stamp_of(decode_segment(batch.key, outcome.kv.value))
         return LogFenced(
             f"{batch.key} was written by {found.writer_id} with epoch {found.epoch} over our"
@@ -358,24 +360,24 @@
             batch.fail(LogUnclear(f"the log was lost to us during the write: {exc}"))
             raise
 
-    def _leave_unsettled(self, batch: Batch, exc: Exception) -> None:
+    def _mark_unresolved(self, batch: Batch, exc: Exception) -> None:
         FAILURES.labels("unclear").inc()
-        if self._unsettled is None:
+        if self._unresolved is None:
             logger.warning("log {}: a write is not settled: {}", self._keys.partition, exc)
-        self._unsettled = batch
+        self._unresolved = batch
         batch.fail(LogUnclear(f"it is not known whether the entries stand: {exc}"))
         self._queue.fail(LogUnavailable("an earlier write is not settled yet; come back"))
 
-    def _stands(self, batch: Batch) -> None:
-        if self._unsettled is not None:
-            logger.info("log {}: the unsettled write stands", self._keys.partition)
-        self._unsettled = None
-        self._next = batch.number + 1
-        self._covered.wrote(batch)
+    def _complete(self, batch: Batch) -> None:
+        if self._unresolved is not None:
+            logger.info("log {}: the unresolved write stands", self._keys.partition)
+        self._unresolved = None
+        self._next_number = batch.number + 1
+        self._coverage.segment_written(batch)
         batch.succeed()
 
-    def _end(self, exc: LogError) -> None:
-        if self._ended is None:
-            self._ended = exc
+    def _close_with(self, exc: LogError) -> None:
+        if self._closed_error is None:
+            self._closed_error = exc
             logger.info("log {} ended: {}", self._keys.partition, exc)
         self._queue.fail(exc)
--- a/rhubarbferry/coordination/log_batches.py
+++ b/rhubarbferry/coordination/log_batches.py
@@ -14,7 +14,7 @@
 
 
 @define(kw_only=True, slots=True, eq=False)
-class Waiting:
+class PendingAppend:
     """One append.
 
     :param size: bytes of its entries.
@@ -44,25 +44,25 @@
     number: int
     key: str
     value: bytes
-    waiting: Sequence[Waiting]
+    appends: Sequence[PendingAppend]
 
     def fail(self, exc: LogError) -> None:
         """Wake all callers with an error."""
-        for waiting in self.waiting:
-            waiting.fail(exc)
+        for append in self.appends:
+            append.fail(exc)
 
     def succeed(self) -> None:
         """Wake all callers."""
-        for waiting in self.waiting:
-            waiting.succeed()
+        for append in self.appends:
+            append.succeed()
 
-    def taken_in(self) -> bool:
+    def all_resumed(self) -> bool:
         """Tell whether all callers have gone on."""
-        return all(waiting.resumed for waiting in self.waiting)
+        return all(append.resumed for append in self.appends)
 
 
 @define(kw_only=True, slots=True)
-class Covered:
+class Coverage:
     """How far a snapshot of the state covers the log.
 
     An entry is on record a little before its caller has applied it. A snapshot taken between
@@ -71,25 +71,25 @@
     """
 
     upto: int
-    _written: deque[Batch] = field(factory=deque)
+    _batches: deque[Batch] = field(factory=deque)
 
-    def wrote(self, batch: Batch) -> None:
+    def segment_written(self, batch: Batch) -> None:
         """Note that the next segment stands."""
-        self._written.append(batch)
+        self._batches.append(batch)
 
     def advance(self) -> int:
         """Return the highest number that the present state covers."""
-        while self._written and self._written[0].taken_in():
-            self.upto = self._written.popleft().number
+        while self._batches and self._batches[0].all_resumed():
+            self.upto = self._batches.popleft().number
         return self.upto
 
 
 @define(kw_only=True, slots=True)
-class Queue:
+class AppendQueue:
     """Appends that no write has taken yet."""
 
     limit: int
-    _items: deque[Waiting] = field(factory=deque)
+    _items: deque[PendingAppend] = field(factory=deque)
 
     def __len__(self) -> int:
         return len(self._items)
@@ -98,21 +98,21 @@
         """Tell whether an append must be refused."""
         return len(self._items) >= self.limit
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, append: PendingAppend) -> None:
         """Put an append at the end."""
-        self._items.append(waiting)
+        self._items.append(append)
 
-    def take(self, cap: int) -> Sequence[Waiting]:
+    def take(self, cap: int) -> Sequence[PendingAppend]:
         """Take the first appends that fit into one segment, without those given up."""
         while self._items and self._items[0].fut.done():
             self._items.popleft()
-        count = leading((waiting.size for waiting in self._items), cap=cap)
+        count = leading((append.size for append in self._items), cap=cap)
         taken = [self._items.popleft() for _ in range(count)]
-        return [waiting for waiting in taken if not waiting.fut.done()]
+        return [append for append in taken if not append.fut.done()]
 
     def fail(self, exc: LogError) -> None:
         """Wake all callers with an error."""
-        items: Iterable[Waiting] = tuple(self._items)
+        items: Iterable[PendingAppend] = tuple(self._items)
         self._items.clear()
-        for waiting in items:
-            waiting.fail(exc)
+        for append in items:
+            append.fail(exc)
--- a/rhubarbferry/coordination/log_codec.py
+++ b/rhubarbferry/coordination/log_codec.py
@@ -25,11 +25,11 @@
     return xxhash.xxh3_64_digest(key.encode() + b"\x00" + payload)
 
 
-def _seal(magic: bytes, key: str, payload: bytes) -> bytes:
+def _frame(magic: bytes, key: str, payload: bytes) -> bytes:
     return magic + _digest(key, payload) + payload
 
 
-def _unseal(magic: bytes, key: str, value: bytes) -> bytes:
+def _unframe(magic: bytes, key: str, value: bytes) -> bytes:
     start = MAGIC_BYTES + DIGEST_BYTES
     payload = value[start:]
     if value[:MAGIC_BYTES] != magic:
@@ -39,19 +39,19 @@
     return payload
 
 
-def _corrupt(key: str, what: str) -> LogCorrupt:
+def _corrupt(key: str, problem: str) -> LogCorrupt:
     return LogCorrupt(
-        f"the record at key {key!r} can't be read: {what}. Restore it from a backup; until then"
+        f"the record at key {key!r} can't be read: {problem}. Restore it from a backup; until then"
         " its partition stays closed, and the others go on"
     )
 
 
-def missing(key: str) -> LogCorrupt:
+def missing_record(key: str) -> LogCorrupt:
     """Return the error for a record that should be there."""
     return _corrupt(key, "it is missing, though later ones or the head need it")
 
 
-def out_of_order(key: str, *, epoch: int, before: int) -> LogCorrupt:
+def decreasing_epoch(key: str, *, epoch: int, before: int) -> LogCorrupt:
     """Return the error for a record of an owner that had been fenced before it."""
     return _corrupt(key, f"its epoch {epoch} is lower than {before} of the record before it")
 
@@ -67,7 +67,7 @@
     """Return the value of a segment under ``key``."""
     transport = TMemoryBuffer()
     segment.write(TBinaryProtocolAccelerated(transport))
-    return _seal(SEGMENT_MAGIC, key, transport.getvalue())
+    return _frame(SEGMENT_MAGIC, key, transport.getvalue())
 
 
 def decode_segment(key: str, value: bytes) -> LogSegment:
@@ -75,7 +75,7 @@
 
     :raises LogCorrupt: when it is not whole, naming ``key``.
     """
-    payload = _unseal(SEGMENT_MAGIC, key, value)
+    payload = _unframe(SEGMENT_MAGIC, key, value)
     segment = LogSegment()
     try:
         segment.read(TBinaryProtocolAccelerated(TMemoryBuffer(payload)))
@@ -97,7 +97,7 @@
 
 def encode_head(key: str, head: Head) -> bytes:
     """Return the value of a head under ``key``."""
-    return _seal(HEAD_MAGIC, key, json.dumps(attrs.asdict(head)).encode())
+    return _frame(HEAD_MAGIC, key, json.dumps(attrs.asdict(head)).encode())
 
 
 def decode_head(key: str, value: bytes) -> Head:
@@ -105,7 +105,7 @@
 
     :raises LogCorrupt: when it is not whole, naming ``key``.
     """
-    payload = _unseal(HEAD_MAGIC, key, value)
+    payload = _unframe(HEAD_MAGIC, key, value)
     try:
         return Head(**json.loads(payload))
     except (ValueError, TypeError) as exc:
--- a/rhubarbferry/coordination/log_compaction.py
+++ b/rhubarbferry/coordination/log_compaction.py
@@ -12,14 +12,14 @@
 from rhubarbferry.coordination.log_codec import encode_segment, entry_bytes
 from rhubarbferry.coordination.log_head import LogHead
 from rhubarbferry.coordination.log_metrics import COMPACTIONS, FAILURES
-from rhubarbferry.coordination.write_once import Taken, Wrote
+from rhubarbferry.coordination.write_once import Conflict, Created
 from rhubarbferry.core.log import LogKeys, Retention, chunked, snapshot_id
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.log import LogUnavailable
 from rhubarbferry.ports.store import Store, StoreError
 from rhubarbferry.rpc.gen.ttypes import LogEntry, LogSegment
 
-SLICE = 500
+ENTRIES_PER_YIELD = 500
 
 
 class MakeSegment(Protocol):
@@ -33,7 +33,7 @@
 class CreateOnce(Protocol):
     """Create a key and find out whether it stands."""
 
-    def __call__(self, key: str, value: bytes) -> Awaitable[Wrote | Taken]:
+    def __call__(self, key: str, value: bytes) -> Awaitable[Created | Conflict]:
         """Return what stands at the key."""
         ...
 
@@ -67,8 +67,8 @@
         self._create = create
         self._attempts = count(1)
 
-    async def replace(self, kept: Sequence[LogEntry], *, upto: int, sealed_at: float) -> None:
-        """Let ``kept`` stand for all segments up to ``upto``.
+    async def replace(self, entries: Sequence[LogEntry], *, upto: int, sealed_at: float) -> None:
+        """Let ``entries`` stand for all segments up to ``upto``.
 
         :param sealed_at: when this owner sealed the log, on its monotonic clock.
         :raises LogFenced: when a later owner has claimed the head.
@@ -77,12 +77,12 @@
         """
         epoch = self._head.head.epoch
         snapshot = snapshot_id(epoch=epoch, upto=upto, attempt=next(self._attempts))
-        runs = list(chunked(await _sizes(kept), cap=self._chunk_bytes))
-        for index, run in enumerate(runs):
-            await self._write_chunk(self._keys.chunk(snapshot, index), kept[run])
-        await self._head.move(upto=upto, snapshot=snapshot, chunks=len(runs))
+        chunks = list(chunked(await _sizes(entries), cap=self._chunk_bytes))
+        for index, chunk in enumerate(chunks):
+            await self._write_chunk(self._keys.chunk(snapshot, index), entries[chunk])
+        await self._head.move(upto=upto, snapshot=snapshot, chunks=len(chunks))
         COMPACTIONS.inc()
-        await self._sweep(upto, snapshot, sealed_at)
+        await self._delete_covered(upto, snapshot, sealed_at)
 
     async def _write_chunk(self, key: str, entries: Sequence[LogEntry]) -> None:
         value = encode_segment(key, self._segment(entries))
@@ -90,10 +90,10 @@
             outcome = await self._create(key, value)
         except StoreError as exc:
             raise LogUnavailable(f"{key} can't be written: {exc}") from exc
-        if isinstance(outcome, Taken):
+        if isinstance(outcome, Conflict):
             raise LogUnavailable(f"{key} exists already; try again")
 
-    async def _sweep(self, upto: int, snapshot: str, sealed_at: float) -> None:
+    async def _delete_covered(self, upto: int, snapshot: str, sealed_at: float) -> None:
         """Delete what the head no longer needs; what is left over goes the next time."""
         now = self._clock.monotonic()
         try:
@@ -107,10 +107,10 @@
 
 
 async def _sizes(entries: Sequence[LogEntry]) -> list[int]:
-    """Return the size of each entry; let others run in between, for there may be many."""
+    """Return the size of each entry; let others chunk in between, for there may be many."""
     sizes = []
     for index, entry in enumerate(entries, start=1):
         sizes.append(entry_bytes(entry))
-        if index % SLICE == 0:
+        if index % ENTRIES_PER_YIELD == 0:
             await asyncio.sleep(0)
     return sizes
--- a/rhubarbferry/coordination/log_head.py
+++ b/rhubarbferry/coordination/log_head.py
@@ -14,11 +14,11 @@
 from rhubarbferry.ports.log import LogFenced, LogUnavailable, LogUnclear
 from rhubarbferry.ports.store import KeyValue, Store, StoreError, StoreUnclear
 
-MAX_TRIES = 8
-PAUSE_S = 0.02
+MAX_ATTEMPTS = 8
+RETRY_INTERVAL_S = 0.02
 
 
-def _same(head: Head) -> Head:
+def _unchanged(head: Head) -> Head:
     return head
 
 
@@ -43,7 +43,7 @@
         self._epoch = epoch
         self._writer_id = writer_id
         self._nonce = nonce
-        self._serial = count(1)
+        self._write_numbers = count(1)
         self._lock = asyncio.Lock()
         self.revision = 0
         self.verified_at = 0.0
@@ -55,7 +55,7 @@
         :raises LogFenced: when a later owner has claimed it.
         """
         async with self._lock:
-            self._adopt(await self._read())
+            self._load(await self._read())
             await self._swap()
 
     async def verify(self) -> None:
@@ -75,27 +75,27 @@
                 lambda head: attrs.evolve(head, upto=upto, snapshot=snapshot, chunks=chunks)
             )
 
-    async def _swap(self, change: Callable[[Head], Head] = _same) -> None:
-        unclear = False
-        for _ in range(MAX_TRIES):
-            begun = self._clock.monotonic()
-            wanted = self._next(change)
-            value = encode_head(self._keys.head, wanted)
+    async def _swap(self, change: Callable[[Head], Head] = _unchanged) -> None:
+        outcome_unknown = False
+        for _ in range(MAX_ATTEMPTS):
+            started_at = self._clock.monotonic()
+            new_head = self._build(change)
+            value = encode_head(self._keys.head, new_head)
             try:
                 revision = await self._put(value)
             except StoreUnclear:
-                unclear = True
+                outcome_unknown = True
             except StoreError as exc:
-                if not unclear:
+                if not outcome_unknown:
                     raise LogUnavailable(f"the head can't be written: {exc}") from exc
             else:
                 if revision is not None:
-                    self._hold(wanted, revision, begun)
+                    self._set(new_head, revision, started_at)
                     return
-            if await self._stands(value, begun):
+            if await self._is_stored(value, started_at):
                 return
-            await self._clock.sleep(PAUSE_S)
-        if unclear:
+            await self._clock.sleep(RETRY_INTERVAL_S)
+        if outcome_unknown:
             raise LogUnclear(f"it is not known whether {self._keys.head} was moved; try again")
         raise LogUnavailable(f"{self._keys.head} is read as older than it is; try again")
 
@@ -104,17 +104,17 @@
             return await self._store.put_if(self._keys.head, value, mod_revision=self.revision)
         return await self._store.create(self._keys.head, value)
 
-    async def _stands(self, value: bytes, begun: float) -> bool:
+    async def _is_stored(self, value: bytes, started_at: float) -> bool:
         try:
             found = await self._store.get(self._keys.head)
         except StoreError:
             return False
         if found is None or found.mod_revision < self.revision:
             return False
-        self._adopt(found)
+        self._load(found)
         if found.value != value:
             return False
-        self.verified_at = begun
+        self.verified_at = started_at
         return True
 
     async def _read(self) -> KeyValue | None:
@@ -123,7 +123,7 @@
         except StoreError as exc:
             raise LogUnavailable(f"the head can't be read: {exc}") from exc
 
-    def _adopt(self, found: KeyValue | None) -> None:
+    def _load(self, found: KeyValue | None) -> None:
         if found is None:
             return
         head = decode_head(self._keys.head, found.value)
@@ -135,15 +135,15 @@
         self.head = head
         self.revision = found.mod_revision
 
-    def _hold(self, head: Head, revision: int, begun: float) -> None:
+    def _set(self, head: Head, revision: int, started_at: float) -> None:
         self.head = head
         self.revision = revision
-        self.verified_at = begun
+        self.verified_at = started_at
 
-    def _next(self, change: Callable[[Head], Head]) -> Head:
+    def _build(self, change: Callable[[Head], Head]) -> Head:
         return attrs.evolve(
             change(self.head),
             epoch=self._epoch,
             writer_id=self._writer_id,
-            write_id=f"{self._nonce}-h{next(self._serial)}",
+            write_id=f"{self._nonce}-h{next(self._write_numbers)}",
         )
--- a/rhubarbferry/coordination/log_reader.py
+++ b/rhubarbferry/coordination/log_reader.py
@@ -4,7 +4,7 @@
 
 from attrs import define, field
 
-from rhubarbferry.coordination.log_codec import decode_segment, missing, out_of_order
+from rhubarbferry.coordination.log_codec import decode_segment, decreasing_epoch, missing_record
 from rhubarbferry.core.log import PAGE, Head, LogKeys
 from rhubarbferry.ports.log import LogFenced, LogUnavailable
 from rhubarbferry.ports.store import KeyValue, Store, StoreError
@@ -34,7 +34,7 @@
         if segment.epoch > limit:
             raise LogFenced(f"{key} is of epoch {segment.epoch}; give up the partition")
         if segment.epoch < self.epoch:
-            raise out_of_order(key, epoch=segment.epoch, before=self.epoch)
+            raise decreasing_epoch(key, epoch=segment.epoch, before=self.epoch)
         self.entries.extend(segment.entries)
         self.epoch = segment.epoch
         self.next_number += 1
@@ -58,7 +58,7 @@
         """Return what the log holds.
 
         :raises LogUnavailable: when the store does not answer or lags behind.
-        :raises LogCorrupt: when a record is missing or not whole.
+        :raises LogCorrupt: when a record is missing_record or not whole.
         :raises LogFenced: when a later owner wrote one.
         """
         replay = Replay(next_number=head.upto + 1)
@@ -93,11 +93,11 @@
     def _check_end(self, key: str, found: dict[str, KeyValue]) -> None:
         # Numbers are consecutive, so one behind a gap means that a record has been lost.
         if any(other > key for other in found):
-            raise missing(key)
+            raise missing_record(key)
 
     def _decode(self, key: str, found: dict[str, KeyValue]) -> LogSegment:
         if key not in found:
-            raise missing(key)
+            raise missing_record(key)
         return decode_segment(key, found[key].value)
 
     async def _page(self, prefix: str) -> dict[str, KeyValue]:
--- a/rhubarbferry/coordination/membership.py
+++ b/rhubarbferry/coordination/membership.py
@@ -23,14 +23,14 @@
     "rhubarbferry_lease_renewals_failed_total", "Renewals without an answer of the store"
 )
 FIRST_INCARNATION = 1
-REJOIN_S = 0.05
+REJOIN_DELAY_S = 0.05
 
 
 class Membership:
     """Keep this process a member; own its lease and its record.
 
     :param member: the record to publish.
-    :ivar answered: whether the store answered the last time that it was asked.
+    :ivar store_answered: whether the store store_answered the last time that it was asked.
     :ivar changes: notified when the lease is granted, renewed or lost, and on publication.
     """
 
@@ -40,25 +40,25 @@
         self._cfg = cfg
         self._clock = clock
         self._store = store
-        self._wanted = evolve(member, incarnation=FIRST_INCARNATION)
+        self._desired = evolve(member, incarnation=FIRST_INCARNATION)
         self._published: Member | None = None
         self._revision = 0
-        self._wishes = Signal()
+        self._updates = Signal()
         self.lease: Lease | None = None
-        self.answered = True
+        self.store_answered = True
         self.changes = Signal()
 
     @property
     def member(self) -> Member:
         """The record as it should be."""
-        return self._wanted
+        return self._desired
 
     @property
     def published(self) -> Member | None:
         """The record as the store holds it, ``None`` without a lease."""
         return self._published
 
-    def missing_from(self, members: Mapping[str, Member], revision: int) -> bool:
+    def is_missing_from(self, members: Mapping[str, Member], revision: int) -> bool:
         """Tell whether the record has been deleted, as of a revision of the store.
 
         Others take it for the end of this process, however long the lease may still run.
@@ -69,10 +69,10 @@
         seen = members.get(published.id)
         return seen is None or seen.incarnation != published.incarnation
 
-    def want(self, **changes: Any) -> None:
+    def update(self, **changes: Any) -> None:
         """Change fields of the record; changes made close together go in one write."""
-        self._wanted = evolve(self._wanted, **changes)
-        self._wishes.notify()
+        self._desired = evolve(self._desired, **changes)
+        self._updates.notify()
 
     def holds(self, incarnation: int) -> bool:
         """Tell whether the lease with this incarnation holds for sure."""
@@ -81,7 +81,7 @@
             return False
         return lease.holds(self._clock.monotonic())
 
-    def lose(self) -> None:
+    def drop_lease(self) -> None:
         """Give the lease up: all that was won under it is lost.
 
         A lease regained is a new lease. While there was none, others may have taken over, so
@@ -90,29 +90,29 @@
         if self.lease is None:
             return
         LEASES_LOST.inc()
-        logger.warning("lease {} of {} is lost", self.lease.id, self._wanted.id)
+        logger.warning("lease {} of {} is lost", self.lease.id, self._desired.id)
         self.lease = None
         self._published = None
-        self._wanted = evolve(self._wanted, incarnation=self._wanted.incarnation + 1)
+        self._desired = evolve(self._desired, incarnation=self._desired.incarnation + 1)
         self.changes.notify()
 
     async def run(self) -> None:
         """Join, renew and publish until cancelled."""
         while True:
-            wishes = self._wishes.version
+            version = self._updates.version
             pause_s = self._cfg.renew_s
             try:
                 await self._step()
-                self.answered = True
+                self.store_answered = True
             except LeaseLost:
-                self.answered = True
-                self.lose()
-                pause_s = REJOIN_S
+                self.store_answered = True
+                self.drop_lease()
+                pause_s = REJOIN_DELAY_S
             except StoreError as exc:
-                self.answered = False
+                self.store_answered = False
                 RENEWALS_FAILED.inc()
                 logger.debug("membership: {}", exc)
-            await wait_at_most(self._clock, pause_s, self._wishes.changed(wishes))
+            await wait_at_most(self._clock, pause_s, self._updates.changed(version))
 
     async def leave(self) -> None:
         """Revoke the lease, so that nobody has to wait for its end.
@@ -120,7 +120,7 @@
         :raises StoreError: when the store can't be reached; the lease lapses by itself then.
         """
         lease = self.lease
-        self.lose()
+        self.drop_lease()
         if lease is not None:
             await self._store.revoke_lease(lease.id)
 
@@ -129,7 +129,7 @@
             await self._join()
         else:
             await self._renew(self.lease)
-        if self._published != self._wanted:
+        if self._published != self._desired:
             await self._publish()
 
     async def _join(self) -> None:
@@ -137,7 +137,7 @@
         lease_id = await self._store.grant_lease(self._cfg.lease_s)
         self.lease = Lease.granted(
             id=lease_id,
-            incarnation=self._wanted.incarnation,
+            incarnation=self._desired.incarnation,
             asked_at=asked_at,
             ttl_s=self._cfg.lease_s,
             margin_s=self._cfg.clock_margin_s,
@@ -151,9 +151,9 @@
             self.changes.notify()
 
     async def _publish(self) -> None:
-        lease, wanted = self.lease, self._wanted
+        lease, desired = self.lease, self._desired
         assert lease is not None
-        key, value = member_key(wanted.id), encode(wanted)
+        key, value = member_key(desired.id), encode(desired)
         try:
             if self._published is None:
                 revision = await self._store.create(key, value, lease_id=lease.id)
@@ -164,14 +164,14 @@
         except StoreUnclear:
             revision = None
         if revision is None:
-            revision = await self._read_back(key, value, lease)
+            revision = await self._resolve_write(key, value, lease)
         if self.lease is not lease and (self.lease is None or self.lease.id != lease.id):
             return
         self._revision = revision
-        self._published = wanted
+        self._published = desired
         self.changes.notify()
 
-    async def _read_back(self, key: str, value: bytes, lease: Lease) -> int:
+    async def _resolve_write(self, key: str, value: bytes, lease: Lease) -> int:
         """Return the revision of the record, or drop the lease when it is not ours to write."""
         kv = await self._store.get(key)
         if kv is not None and kv.lease_id == lease.id:
@@ -179,7 +179,7 @@
                 return kv.mod_revision
             self._revision = kv.mod_revision
             self._published = decode(key, kv.value, Member)
-            self._wishes.notify()
+            self._updates.notify()
             raise StoreUnclear("the record is an older one of ours; write it again")
         # Gone, or of another lease: others may have seen this process as dead already.
         raise LeaseLost(f"the record {key!r} does not hang on our lease")
--- a/rhubarbferry/coordination/mirror.py
+++ b/rhubarbferry/coordination/mirror.py
@@ -20,7 +20,7 @@
 from rhubarbferry.ports.store import KeyDeleted, KeyPut, KeyValue, Listing, WatchEvent
 
 CORRUPT = Counter("rhubarbferry_corrupt_records_total", "Records of the cell that can't be read")
-WENT_BACK = Counter(
+ROLLBACKS = Counter(
     "rhubarbferry_store_went_back_total", "Lists of the store older than what was seen before"
 )
 
@@ -46,7 +46,7 @@
     config_revision: int
 
 
-EMPTY = State(
+EMPTY_STATE = State(
     members={},
     table=Table(),
     table_revision=0,
@@ -56,10 +56,10 @@
 )
 
 
-def read_state(items: Iterable[KeyValue], before: State = EMPTY) -> State:
+def read_state(items: Iterable[KeyValue], previous: State = EMPTY_STATE) -> State:
     """Read the records of a list; one that can't be read is left out and counted.
 
-    :param before: keeps its table or configuration while the stored one can't be read.
+    :param previous: keeps its table or configuration while the stored one can't be read.
     """
     members: dict[str, Member] = {}
     table, table_revision, table_readable = Table(), 0, True
@@ -72,10 +72,10 @@
         elif kv.key == OWNERSHIP:
             record = _read(kv, TableRecord)
             table_readable = record is not None
-            table = before.table if record is None else record.table
+            table = previous.table if record is None else record.table
             table_revision = kv.mod_revision
         elif kv.key == CONFIG:
-            config = _read(kv, ConfigRecord) or before.config
+            config = _read(kv, ConfigRecord) or previous.config
             config_revision = kv.mod_revision
     return State(
         members=members,
@@ -100,34 +100,34 @@
     """The records as last seen; implements ``ports.ownership.OwnershipView``.
 
     :ivar changes: notified after each change.
-    :ivar read_at: monotonic time before the last whole read was asked for.
+    :ivar last_read_at: monotonic time previous the last whole read was asked for.
     :ivar epochs: the highest epoch ever seen of each partition.
     """
 
     def __init__(self) -> None:
-        self.state = EMPTY
+        self.state = EMPTY_STATE
         self.revision = 0
-        self.read_at = float("-inf")
+        self.last_read_at = float("-inf")
         self.changes = Signal()
         self.epochs: dict[PartitionId, int] = {}
         self._items: dict[str, KeyValue] = {}
         self._by_kind: dict[tuple[PartitionKind, str | None], tuple[PartitionId, ...]] = {}
 
-    def replace(self, listing: Listing, *, asked_at: float, reconnected: bool) -> None:
+    def replace(self, listing: Listing, *, asked_at: float, without_watch: bool) -> None:
         """Take over a whole read.
 
-        :param asked_at: monotonic time before it was asked for.
-        :param reconnected: whether no watch runs beside it, so that a lower revision means that
+        :param asked_at: monotonic time previous it was asked for.
+        :param without_watch: whether no watch runs beside it, so that a lower revision means that
             the store itself went back; else the watch was merely faster.
         """
         if listing.revision < self.revision:
-            if not reconnected:
+            if not without_watch:
                 return
-            WENT_BACK.inc()
+            ROLLBACKS.inc()
             logger.warning(
                 "the store went back from revision {} to {}", self.revision, listing.revision
             )
-        self.read_at = max(self.read_at, asked_at)
+        self.last_read_at = max(self.last_read_at, asked_at)
         self.revision = listing.revision
         items = {kv.key: kv for kv in listing.items}
         if items != self._items or self.changes.version == 0:
--- a/rhubarbferry/coordination/node.py
+++ b/rhubarbferry/coordination/node.py
@@ -11,13 +11,13 @@
 
 from rhubarbferry.conf.settings import Settings
 from rhubarbferry.coordination.budget import SharedBudget
-from rhubarbferry.coordination.configuration import ConfigKeeper, republish
-from rhubarbferry.coordination.guard_sets import GuardSetChanger
+from rhubarbferry.coordination.configuration import ActiveConfig, restore
+from rhubarbferry.coordination.guard_sets import GuardSetManager
 from rhubarbferry.coordination.membership import Membership
 from rhubarbferry.coordination.mirror import Mirror
-from rhubarbferry.coordination.peers import PeerConfig
+from rhubarbferry.coordination.peers import PeerConfiguration
 from rhubarbferry.coordination.planner import Planner
-from rhubarbferry.coordination.promises import GuardCaller, PromiseKeeper
+from rhubarbferry.coordination.promises import GuardClient, PromiseRenewer
 from rhubarbferry.coordination.signal import wait_at_most
 from rhubarbferry.coordination.table import TableWriter
 from rhubarbferry.coordination.tenure import HeldTenure, Lost, Tenures, Won
@@ -33,12 +33,12 @@
 from rhubarbferry.rpc import Pool
 from rhubarbferry.rpc.services import GUARD, SCHEDULER
 
-SYNC_S = 0.2
-START_S = 5.0
-PEERS_S = 2.0
-LEAVE_S = 2.0
+SYNC_INTERVAL_S = 0.2
+START_TIMEOUT_S = 5.0
+PEER_POLL_INTERVAL_S = 2.0
+LEAVE_TIMEOUT_S = 2.0
 
-FetchConfig = Callable[[], Awaitable[ConfigRecord | None]]
+FetchConfiguration = Callable[[], Awaitable[ConfigRecord | None]]
 
 
 class Node:
@@ -65,7 +65,7 @@
         address: str,
         http_address: str = "",
         guards: Pool | None = None,
-        fetch_from_peers: FetchConfig | None = None,
+        fetch_from_peers: FetchConfiguration | None = None,
         jitter: Callable[[], float] = random.random,
         member_id: str = "",
         budget: SharedBudget | None = None,
@@ -86,24 +86,24 @@
             failure_domain=cfg.process.failure_domain,
         )
         self.member_id = member.id
-        self.cell = ConfigKeeper()
+        self.cell = ActiveConfig()
         self._membership = Membership(cfg=cfg.ownership, clock=clock, store=store, member=member)
         self._mirror = Mirror()
         self._watcher = Watcher(cfg=cfg, clock=clock, store=store, mirror=self._mirror)
         self._tenures = Tenures(
             cfg=cfg.ownership, clock=clock, membership=self._membership, mirror=self._mirror
         )
-        caller = GuardCaller(pool=guards or self._pools[0])
-        self._guard_sets = GuardSetChanger(
-            cfg=cfg.ownership, clock=clock, mirror=self._mirror, ask=caller
+        client = GuardClient(pool=guards or self._pools[0])
+        self._guard_sets = GuardSetManager(
+            cfg=cfg.ownership, clock=clock, mirror=self._mirror, close_set=client
         )
-        self._promises = PromiseKeeper(
+        self._promises = PromiseRenewer(
             cfg=cfg.ownership,
             clock=clock,
             member_id=member.id,
             mirror=self._mirror,
             tenures=self._tenures,
-            caller=caller,
+            client=client,
         )
         self._planner = Planner(
             cfg=cfg.ownership,
@@ -118,7 +118,7 @@
             jitter=jitter,
         )
         peers = [part.strip() for part in cfg.process.peers.split(",") if part.strip()]
-        self._fetch = fetch_from_peers or PeerConfig(pool=self._pools[1], addresses=peers)
+        self._fetch = fetch_from_peers or PeerConfiguration(pool=self._pools[1], addresses=peers)
         self._main: asyncio.Task[None] | None = None
 
     @property
@@ -159,12 +159,12 @@
         is cut off, it would not hear of a new owner. A short break of the watch is neither.
         """
         membership = self._membership
-        return not membership.answered and not membership.holds(membership.member.incarnation)
+        return not membership.store_answered and not membership.holds(membership.member.incarnation)
 
     async def start(self) -> None:
         """Begin; return once the records were read, or after a bounded wait without a store."""
         self._main = asyncio.create_task(self._run())
-        await wait_at_most(self._clock, START_S, self._started())
+        await wait_at_most(self._clock, START_TIMEOUT_S, self._wait_started())
 
     async def wait(self) -> None:
         """Return when the node has stopped; raise what stopped it."""
@@ -178,12 +178,12 @@
             new. ``True`` then ends all tenures and returns once the table gives the partitions
             to others, or after ``[process] drain_s``: call it after their work is done.
         """
-        self._membership.want(draining=True)
+        self._membership.update(draining=True)
         if not handover:
-            await wait_at_most(self._clock, LEAVE_S, self._published())
+            await wait_at_most(self._clock, LEAVE_TIMEOUT_S, self._wait_published())
             return
         self._planner.hand_over()
-        await wait_at_most(self._clock, self._cfg.process.drain_s, self._handed_over())
+        await wait_at_most(self._clock, self._cfg.process.drain_s, self._wait_handed_over())
 
     async def stop(self) -> None:
         """End all tenures, leave the cell and stop."""
@@ -192,7 +192,7 @@
             self._main.cancel()
             await asyncio.gather(self._main, return_exceptions=True)
         try:
-            await wait_at_most(self._clock, LEAVE_S, self._membership.leave())
+            await wait_at_most(self._clock, LEAVE_TIMEOUT_S, self._membership.leave())
         except StoreError as exc:
             logger.info("the lease lapses by itself: {}", exc)
         for pool in self._pools:
@@ -203,67 +203,67 @@
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(self._watcher.run())
                 tasks.create_task(self._membership.run())
-                tasks.create_task(self._follow())
-                tasks.create_task(self._ask_peers())
+                tasks.create_task(self._sync_forever())
+                tasks.create_task(self._poll_peers())
                 if self._role is Role.SCHEDULER:
                     tasks.create_task(self._planner.run())
                     tasks.create_task(self._guard_sets.run())
                     tasks.create_task(self._promises.run())
-                    tasks.create_task(self._mend_config())
+                    tasks.create_task(self._restore_config())
         finally:
             # Without these tasks nobody would notice that a partition was lost.
             self._tenures.end_all()
 
-    async def _follow(self) -> None:
+    async def _sync_forever(self) -> None:
         while True:
             seen = self._mirror.changes.version
             state = self._mirror.state
             if self._budget is not None:
                 self._budget.set_members(sharers(self._role, state.members.values()))
-            if self._membership.missing_from(state.members, self._mirror.revision):
-                self._membership.lose()
-            self.cell.offer(state.config)
+            if self._membership.is_missing_from(state.members, self._mirror.revision):
+                self._membership.drop_lease()
+            self.cell.update(state.config)
             if self._membership.member.config_revision != self.cell.record.revision:
-                self._membership.want(config_revision=self.cell.record.revision)
+                self._membership.update(config_revision=self.cell.record.revision)
             if self._role is Role.SCHEDULER:
                 self._tenures.sync()
-            await wait_at_most(self._clock, SYNC_S, self._mirror.changes.changed(seen))
+            await wait_at_most(self._clock, SYNC_INTERVAL_S, self._mirror.changes.changed(seen))
 
-    async def _ask_peers(self) -> None:
+    async def _poll_peers(self) -> None:
         while True:
-            await self._clock.sleep(PEERS_S)
+            await self._clock.sleep(PEER_POLL_INTERVAL_S)
             if not self._watcher.connected:
-                self.cell.offer(await self._fetch())
+                self.cell.update(await self._fetch())
 
-    async def _mend_config(self) -> None:
+    async def _restore_config(self) -> None:
         while True:
-            await self._clock.sleep(PEERS_S)
+            await self._clock.sleep(PEER_POLL_INTERVAL_S)
             try:
-                await self._republish_if_gone_back()
+                await self._restore_if_gone_back()
             except StoreError as exc:
                 logger.debug("the configuration can't be put back: {}", exc)
 
-    async def _republish_if_gone_back(self) -> None:
+    async def _restore_if_gone_back(self) -> None:
         if not gone_back(self.cell.record, self._mirror.state.config):
             return
         await self._watcher.refresh()
         state = self._mirror.state
         if gone_back(self.cell.record, state.config):
-            await republish(self._store, in_force=self.cell.record, based_on=state.config_revision)
+            await restore(self._store, in_force=self.cell.record, based_on=state.config_revision)
 
     def _partitions(self) -> frozenset[PartitionId]:
         return partitions_of(self.cell.current(), self._hosts.hosts())
 
-    async def _started(self) -> None:
+    async def _wait_started(self) -> None:
         while self._mirror.changes.version == 0:
             await self._mirror.changes.changed(0)
-        await self._published()
+        await self._wait_published()
 
-    async def _published(self) -> None:
+    async def _wait_published(self) -> None:
         while self._membership.published != self._membership.member:
             await self._membership.changes.changed(self._membership.changes.version)
 
-    async def _handed_over(self) -> None:
+    async def _wait_handed_over(self) -> None:
         while True:
             seen = self._mirror.changes.version
             state = self._mirror.state
--- a/rhubarbferry/coordination/peers.py
+++ b/rhubarbferry/coordination/peers.py
@@ -12,7 +12,7 @@
 CALL_TIMEOUT_S = 1.0
 
 
-class PeerConfig:
+class PeerConfiguration:
     """Read the configuration of peers by their ``status``.
 
     :param pool: calls to them; each service of this project has that method.
@@ -25,11 +25,11 @@
 
     async def __call__(self) -> ConfigRecord | None:
         """Return the highest revision that a peer has in force; ``None`` when none answers."""
-        answers = await asyncio.gather(*(self._ask(address) for address in self._addresses))
+        answers = await asyncio.gather(*(self._fetch(address) for address in self._addresses))
         found = [record for record in answers if record is not None]
         return max(found, key=lambda record: record.revision, default=None)
 
-    async def _ask(self, address: str) -> ConfigRecord | None:
+    async def _fetch(self, address: str) -> ConfigRecord | None:
         try:
             reply: StatusReply = await self._pool.call(
                 address, "status", StatusRequest(), timeout_s=CALL_TIMEOUT_S
--- a/rhubarbferry/coordination/planner.py
+++ b/rhubarbferry/coordination/planner.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from rhubarbferry.conf.settings import OwnershipSettings
-from rhubarbferry.coordination.guard_sets import GuardSetChanger
+from rhubarbferry.coordination.guard_sets import GuardSetManager
 from rhubarbferry.coordination.membership import Membership
 from rhubarbferry.coordination.mirror import Mirror
 from rhubarbferry.coordination.records import RecordCorrupt
@@ -22,11 +22,11 @@
 from rhubarbferry.ports.ownership import Member, Role
 from rhubarbferry.ports.store import StoreError
 
-TICK_S = 1.0
-STAGGER_S = 0.03
+MAX_STEP_INTERVAL_S = 1.0
+DELAY_PER_RANK_S = 0.03
 
 
-class Refresh(Protocol):
+class RecordSource(Protocol):
     """Read all records of the cell anew."""
 
     async def refresh(self) -> None:
@@ -52,9 +52,9 @@
         membership: Membership,
         mirror: Mirror,
         tenures: Tenures,
-        source: Refresh,
+        source: RecordSource,
         writer: TableWriter,
-        guard_sets: GuardSetChanger,
+        guard_sets: GuardSetManager,
         partitions: Callable[[], frozenset[PartitionId]],
         jitter: Callable[[], float],
     ) -> None:
@@ -79,7 +79,9 @@
                 await self.step()
             except (StoreError, RecordCorrupt) as exc:
                 logger.debug("planning: {}", exc)
-            await wait_at_most(self._clock, TICK_S, self._mirror.changes.changed(version))
+            await wait_at_most(
+                self._clock, MAX_STEP_INTERVAL_S, self._mirror.changes.changed(version)
+            )
 
     def hand_over(self) -> None:
         """End all tenures and give their partitions away with the next step."""
@@ -94,7 +96,7 @@
         member = self._own_member()
         if member is None or not self._membership.holds(member.incarnation):
             return
-        if self._moves_are_due(member):
+        if self._moves_due(member):
             # Given up while the store is down, the partitions would have no owner until it is
             # back. So the store must answer first, and the plan must still be the same.
             await self._source.refresh()
@@ -102,7 +104,9 @@
             self._misplaced_since = None
         if self._next_table() is None:
             return
-        await self._clock.sleep(self._rank(member) * STAGGER_S + self._jitter() * STAGGER_S)
+        await self._clock.sleep(
+            self._rank(member) * DELAY_PER_RANK_S + self._jitter() * DELAY_PER_RANK_S
+        )
         # A member may seem dead only because its record was not seen here. So nobody loses a
         # partition but on a list read after that, together with the table that is replaced.
         await self._source.refresh()
@@ -113,12 +117,12 @@
         if await self._writer.write(table, based_on=based_on):
             await self._source.refresh()
 
-    def _ideal(self) -> Table:
+    def _target_table(self) -> Table:
         state = self._mirror.state
-        members = [self._as_it_will_be(member) for member in state.members.values()]
-        return plan(state.table, members, self._partitions(), self._tenures.floors())
+        members = [self._as_planned(member) for member in state.members.values()]
+        return plan(state.table, members, self._partitions(), self._tenures.min_epochs())
 
-    def _as_it_will_be(self, member: Member) -> Member:
+    def _as_planned(self, member: Member) -> Member:
         if self._leaving and member.id == self._membership.member.id:
             return evolve(member, draining=True)
         return member
@@ -129,17 +133,17 @@
         if member is None or not state.table_readable:
             return None
         owned = state.table.owned_by(member)
-        given_up = frozenset(p for p in owned if p not in self._tenures.current)
+        released = frozenset(p for p in owned if p not in self._tenures.current)
         members = state.members.values()
-        table = permitted(state.table, self._ideal(), members, given_up)
+        table = permitted(state.table, self._target_table(), members, released)
         table = self._guard_sets.apply(table, members)
         return None if table == state.table else table
 
     def _misplaced(self, member: Member) -> frozenset[PartitionId]:
-        wrong = misplaced(self._mirror.state.table, self._ideal(), member)
+        wrong = misplaced(self._mirror.state.table, self._target_table(), member)
         return wrong & self._tenures.current.keys()
 
-    def _moves_are_due(self, member: Member) -> bool:
+    def _moves_due(self, member: Member) -> bool:
         """Tell whether partitions of this member have been misplaced for long enough.
 
         A cell that starts gets its members one by one, and each move costs an adoption.
--- a/rhubarbferry/coordination/promises.py
+++ b/rhubarbferry/coordination/promises.py
@@ -8,7 +8,7 @@
 from prometheus_client import Counter
 
 from rhubarbferry.conf.settings import OwnershipSettings
-from rhubarbferry.coordination.guard_sets import Closed
+from rhubarbferry.coordination.guard_sets import CloseConfirmation
 from rhubarbferry.coordination.mirror import Mirror
 from rhubarbferry.coordination.signal import wait_at_most
 from rhubarbferry.coordination.tenure import HeldTenure, Tenures
@@ -25,13 +25,13 @@
 )
 
 PROMISES = Counter("rhubarbferry_promises_asked_total", "Promises asked of guards", ["result"])
-ROUNDS_PER_PROMISE = 4
+RENEWALS_PER_PROMISE = 4
 CALL_TIMEOUT_S = 0.5
-MS = 1000
-LONGEST_MS = 2**31
+MS_PER_S = 1000
+MAX_PROMISE_MS = 2**31
 
 
-class GuardCaller:
+class GuardClient:
     """Ask guards over RPC.
 
     :param pool: calls to frontends.
@@ -40,7 +40,9 @@
     def __init__(self, *, pool: Pool) -> None:
         self._pool = pool
 
-    async def __call__(self, guard: Guard, *, region: str, version: int) -> Closed | None:
+    async def __call__(
+        self, guard: Guard, *, region: str, version: int
+    ) -> CloseConfirmation | None:
         """Ask a guard to close the versions of its set below ``version``."""
         req = CloseGuardSetRequest(region=region, version=version)
         try:
@@ -52,7 +54,7 @@
         # Another process may listen at the address of a guard that has died.
         if not reply.closed or reply.guard_id != guard.id:
             return None
-        return Closed(guard_id=guard.id, promise_left_s=reply.promise_left_ms / 1000)
+        return CloseConfirmation(guard_id=guard.id, promise_left_s=reply.promise_left_ms / 1000)
 
     async def promise(self, guard: Guard, req: PromiseRequest) -> PromiseReply | None:
         """Ask a guard for a promise; ``None`` when it didn't answer for itself."""
@@ -65,7 +67,7 @@
         return reply if reply.guard_id == guard.id else None
 
 
-class PromiseKeeper:
+class PromiseRenewer:
     """Hold promises for the runner partitions of this process, before it needs them.
 
     It is too late to begin when the lease is over: an owner that is cut off just then would
@@ -80,45 +82,45 @@
         member_id: str,
         mirror: Mirror,
         tenures: Tenures,
-        caller: GuardCaller,
+        client: GuardClient,
     ) -> None:
         self._cfg = cfg
         self._clock = clock
         self._member_id = member_id
         self._mirror = mirror
         self._tenures = tenures
-        self._caller = caller
-        self._limits: dict[str, int] = {}
-        self._asked: set[HeldTenure] = set()
+        self._client = client
+        self._limits_ms: dict[str, int] = {}
+        self._promised: set[HeldTenure] = set()
 
     async def run(self) -> None:
         """Ask in rounds until cancelled."""
         while self._cfg.longest_extension_s > 0:
-            ends = self._tenures.ends.version
-            await self._give_up_ended()
+            ends = self._tenures.end_signal.version
+            await self._release_ended()
             runners = [
                 tenure
                 for partition, tenure in self._tenures.current.items()
                 if partition.kind is PartitionKind.RUNNER and not tenure.ended
             ]
-            self._forget_limits(runners)
-            self._asked.update(runners)
-            await asyncio.gather(*(self._round(tenure) for tenure in runners))
-            pause_s = self._cfg.promise_s / ROUNDS_PER_PROMISE
-            await wait_at_most(self._clock, pause_s, self._tenures.ends.changed(ends))
+            self._prune_limits(runners)
+            self._promised.update(runners)
+            await asyncio.gather(*(self._renew(tenure) for tenure in runners))
+            pause_s = self._cfg.promise_s / RENEWALS_PER_PROMISE
+            await wait_at_most(self._clock, pause_s, self._tenures.end_signal.changed(ends))
 
-    async def _give_up_ended(self) -> None:
+    async def _release_ended(self) -> None:
         """Tell the guards of tenures that have ended that their promises are not counted on.
 
         A planned hand-over ends a tenure seconds before its promises run out. Until then no guard
         acknowledges the successor, and callers get no slot for up to the length of a promise.
         A word that is lost only means that the promise runs out by itself.
         """
-        ended = [tenure for tenure in self._asked if tenure.ended]
-        self._asked.difference_update(ended)
-        await asyncio.gather(*(self._give_up(tenure) for tenure in ended))
+        ended = [tenure for tenure in self._promised if tenure.ended]
+        self._promised.difference_update(ended)
+        await asyncio.gather(*(self._release(tenure) for tenure in ended))
 
-    async def _give_up(self, tenure: HeldTenure) -> None:
+    async def _release(self, tenure: HeldTenure) -> None:
         req = PromiseRequest(
             partition=str(tenure.partition),
             epoch=tenure.epoch,
@@ -127,23 +129,25 @@
             guard_version=tenure.book.version,
         )
         guards = self._mirror.guards(tenure.partition.region)
-        replies = await asyncio.gather(*(self._caller.promise(guard, req) for guard in guards))
-        given_up = sum(1 for reply in replies if reply is not None and reply.given)
-        PROMISES.labels("given up").inc(given_up)
+        replies = await asyncio.gather(*(self._client.promise(guard, req) for guard in guards))
+        released = sum(1 for reply in replies if reply is not None and reply.given)
+        PROMISES.labels("given up").inc(released)
 
-    def _forget_limits(self, tenures: Iterable[HeldTenure]) -> None:
+    def _prune_limits(self, tenures: Iterable[HeldTenure]) -> None:
         regions = {tenure.partition.region for tenure in tenures}
         known = {guard.id for region in regions for guard in self._mirror.guards(region)}
-        self._limits = {id: limit for id, limit in self._limits.items() if id in known}
+        self._limits_ms = {id: limit_ms for id, limit_ms in self._limits_ms.items() if id in known}
 
-    async def _round(self, tenure: HeldTenure) -> None:
+    async def _renew(self, tenure: HeldTenure) -> None:
         guards = self._mirror.guards(tenure.partition.region)
-        await asyncio.gather(*(self._ask(tenure, guard) for guard in guards))
+        await asyncio.gather(*(self._renew_with(tenure, guard) for guard in guards))
 
-    async def _ask(self, tenure: HeldTenure, guard: Guard) -> None:
+    async def _renew_with(self, tenure: HeldTenure, guard: Guard) -> None:
         asked_at = self._clock.monotonic()
         version = tenure.book.version
-        duration_ms = min(int(self._cfg.promise_s * MS), self._limits.get(guard.id, LONGEST_MS))
+        duration_ms = min(
+            int(self._cfg.promise_s * MS_PER_S), self._limits_ms.get(guard.id, MAX_PROMISE_MS)
+        )
         req = PromiseRequest(
             partition=str(tenure.partition),
             epoch=tenure.epoch,
@@ -151,18 +155,18 @@
             duration_ms=duration_ms,
             guard_version=version,
         )
-        reply = await self._caller.promise(guard, req)
+        reply = await self._client.promise(guard, req)
         PROMISES.labels("given" if reply is not None and reply.given else "none").inc()
         if reply is None:
             return
         tenure.seen(reply.highest_epoch)
         if reply.limit_ms:
             # A guard started with a shorter setting gives nothing for more than that.
-            self._limits[guard.id] = reply.limit_ms
+            self._limits_ms[guard.id] = reply.limit_ms
         if reply.given:
             tenure.book.given(
                 guard=guard.id,
                 version=version,
                 asked_at=asked_at,
-                duration_s=duration_ms / MS,
+                duration_s=duration_ms / MS_PER_S,
             )
--- a/rhubarbferry/coordination/signal.py
+++ b/rhubarbferry/coordination/signal.py
@@ -30,14 +30,14 @@
 
 async def wait_at_most(clock: Clock, seconds: float, awaitable: Awaitable[Any]) -> bool:
     """Wait for ``awaitable``, but not longer than ``seconds``; tell whether it finished."""
-    waiting = asyncio.ensure_future(awaitable)
-    timer = asyncio.ensure_future(clock.sleep(seconds))
+    task = asyncio.ensure_future(awaitable)
+    timeout = asyncio.ensure_future(clock.sleep(seconds))
     try:
-        await asyncio.wait({waiting, timer}, return_when=asyncio.FIRST_COMPLETED)
-        if not waiting.done():
+        await asyncio.wait({task, timeout}, return_when=asyncio.FIRST_COMPLETED)
+        if not task.done():
             return False
-        waiting.result()
+        task.result()
         return True
     finally:
-        waiting.cancel()
-        timer.cancel()
+        task.cancel()
+        timeout.cancel()
--- a/rhubarbferry/coordination/table.py
+++ b/rhubarbferry/coordination/table.py
@@ -25,15 +25,15 @@
     def __init__(self, *, store: Store, writer_id: str) -> None:
         self._store = store
         self._writer_id = writer_id
-        self._numbers = itertools.count(1)
+        self._write_numbers = itertools.count(1)
 
     async def write(self, table: Table, *, based_on: int) -> bool:
         """Replace the table whose last write was store revision ``based_on`` (0: there is none).
 
-        :returns: whether this write stands; ``False`` when another one came first.
+        :returns: whether this write is_stored; ``False`` when another one came first.
         :raises StoreError: when that is not known. Read the table before the next attempt.
         """
-        write_id = str(next(self._numbers))
+        write_id = str(next(self._write_numbers))
         value = encode(TableRecord(table=table, writer_id=self._writer_id, write_id=write_id))
         try:
             if based_on == 0:
@@ -41,15 +41,15 @@
             else:
                 revision = await self._store.put_if(OWNERSHIP, value, mod_revision=based_on)
         except StoreUnclear:
-            stands = await self._stands(write_id)
+            is_stored = await self._is_stored(write_id)
             TABLE_WRITES.labels("read_back").inc()
-            return stands
+            return is_stored
         TABLE_WRITES.labels("refused" if revision is None else "written").inc()
         return revision is not None
 
-    async def _stands(self, write_id: str) -> bool:
+    async def _is_stored(self, write_id: str) -> bool:
         # Repeating the write would be refused by its own first copy, and a caller told "refused"
-        # would plan again although its table stands.
+        # would plan again although its table is_stored.
         kv = await self._store.get(OWNERSHIP)
         if kv is None:
             return False
--- a/rhubarbferry/coordination/tenure.py
+++ b/rhubarbferry/coordination/tenure.py
@@ -42,7 +42,7 @@
     extension_until: Callable[[], float]
     book: PromiseBook = field(factory=PromiseBook)
     ended: bool = False
-    highest_seen: int = 0
+    highest_seen_epoch: int = 0
 
     def holds(self) -> bool:
         """Tell whether this process may act NOW: checked right before each act."""
@@ -57,8 +57,8 @@
                 return self.lease_holds() or self._promised()
 
     def seen(self, epoch: int) -> None:
-        """Note an epoch that a worker or a guard has named; a higher one ends the tenure."""
-        self.highest_seen = max(self.highest_seen, epoch)
+        """Note an epoch that a worker or a guard has named; a higher one end_signal the tenure."""
+        self.highest_seen_epoch = max(self.highest_seen_epoch, epoch)
         if epoch > self.epoch:
             self.ended = True
 
@@ -87,7 +87,7 @@
 
     :ivar events: :class:`Won` and :class:`Lost`, in order.
     :ivar current: the tenures that have not ended.
-    :ivar ends: counts the tenures that have ended.
+    :ivar end_signal: counts the tenures that have ended.
     """
 
     def __init__(
@@ -97,28 +97,28 @@
         self._clock = clock
         self._membership = membership
         self._mirror = mirror
-        self._used: dict[PartitionId, int] = {}
+        self._used_epochs: dict[PartitionId, int] = {}
         self.events: asyncio.Queue[Won | Lost] = asyncio.Queue(MAX_EVENTS)
         self.current: dict[PartitionId, HeldTenure] = {}
-        self.ends = Signal()
+        self.end_signal = Signal()
 
     def sync(self) -> None:
         """End what is no longer ours, begin what has become ours."""
         lease = self._membership.lease
         entries = self._mirror.state.table.entries
         for partition, tenure in list(self.current.items()):
-            same_lease = lease is not None and lease.incarnation == tenure.incarnation
-            ours = _names(entries.get(partition), self._member_id, tenure)
-            if tenure.ended or not same_lease or not ours:
+            lease_unchanged = lease is not None and lease.incarnation == tenure.incarnation
+            ours = _matches(entries.get(partition), self._member_id, tenure)
+            if tenure.ended or not lease_unchanged or not ours:
                 self.end(partition)
         if lease is None or not self._membership.holds(lease.incarnation):
             return
         for partition, entry in entries.items():
             if (entry.member_id, entry.incarnation) != (self._member_id, lease.incarnation):
                 continue
-            if partition not in self.current and entry.epoch > self._used.get(partition, 0):
+            if partition not in self.current and entry.epoch > self._used_epochs.get(partition, 0):
                 self._begin(partition, entry)
-        self._use_guards()
+        self._sync_guards()
 
     def end(self, partition: PartitionId) -> None:
         """End a tenure for good: its epoch is never used again here."""
@@ -126,31 +126,31 @@
         if tenure is None:
             return
         tenure.ended = True
-        self._used[partition] = max(tenure.epoch, tenure.highest_seen)
+        self._used_epochs[partition] = max(tenure.epoch, tenure.highest_seen_epoch)
         LOST.labels(partition.kind.value).inc()
         OWNED.set(len(self.current))
         logger.info("{} lost at epoch {}", partition, tenure.epoch)
         self.events.put_nowait(Lost(partition=partition, epoch=tenure.epoch))
-        self.ends.notify()
+        self.end_signal.notify()
 
     def end_all(self, partitions: Iterable[PartitionId] | None = None) -> None:
         """End the tenures of ``partitions``, of all when there is no list."""
         for partition in list(self.current if partitions is None else partitions):
             self.end(partition)
 
-    def floors(self) -> Mapping[PartitionId, int]:
+    def min_epochs(self) -> Mapping[PartitionId, int]:
         """Return the lowest epochs that the next plan may use."""
-        floors: dict[PartitionId, int] = {}
+        min_epochs: dict[PartitionId, int] = {}
         entries = self._mirror.state.table.entries
         for partition, seen in self._mirror.epochs.items():
             entry = entries.get(partition)
             # The table shows a lower epoch than before only when the store itself went back.
             if entry is None or entry.epoch < seen:
-                floors[partition] = seen + 1
-        for partition, used in self._used.items():
+                min_epochs[partition] = seen + 1
+        for partition, used in self._used_epochs.items():
             if partition not in self.current:
-                floors[partition] = max(used + 1, floors.get(partition, 0))
-        return floors
+                min_epochs[partition] = max(used + 1, min_epochs.get(partition, 0))
+        return min_epochs
 
     def _begin(self, partition: PartitionId, entry: OwnerEntry) -> None:
         incarnation = entry.incarnation
@@ -164,7 +164,7 @@
             book=PromiseBook(margin_s=self._cfg.clock_margin_s),
         )
         self.current[partition] = tenure
-        self._used[partition] = entry.epoch
+        self._used_epochs[partition] = entry.epoch
         WON.labels(partition.kind.value).inc()
         OWNED.set(len(self.current))
         logger.info("{} won at epoch {}", partition, entry.epoch)
@@ -173,9 +173,9 @@
     def _extension_until(self) -> float:
         # Counted from the last whole read of the table: an owner that has not read it for
         # longer may have missed that its guard set was replaced without its guards.
-        return self._mirror.read_at + self._cfg.longest_extension_s
+        return self._mirror.last_read_at + self._cfg.longest_extension_s
 
-    def _use_guards(self) -> None:
+    def _sync_guards(self) -> None:
         for partition, tenure in self.current.items():
             if partition.kind is PartitionKind.RUNNER:
                 guard_set = self._mirror.guard_set(partition.region)
@@ -188,7 +188,7 @@
         return self._membership.member.id
 
 
-def _names(entry: OwnerEntry | None, member_id: str, tenure: HeldTenure) -> bool:
+def _matches(entry: OwnerEntry | None, member_id: str, tenure: HeldTenure) -> bool:
     if entry is None:
         return False
     return (entry.member_id, entry.incarnation, entry.epoch) == (
--- a/rhubarbferry/coordination/watcher.py
+++ b/rhubarbferry/coordination/watcher.py
@@ -14,7 +14,7 @@
 from rhubarbferry.ports.store import Store, StoreError
 
 RESTARTS = Counter("rhubarbferry_watch_restarts_total", "Watches of the cell's records begun anew")
-RETRY_S = 0.5
+RETRY_INTERVAL_S = 0.5
 
 
 class Watcher:
@@ -44,24 +44,24 @@
         """
         asked_at = self._clock.monotonic()
         # The watch may be set up while the list is under way, so this is looked at before.
-        reconnected = not self._watching
+        without_watch = not self._watching
         listing = await self._store.list(CELL)
-        self._mirror.replace(listing, asked_at=asked_at, reconnected=reconnected)
+        self._mirror.replace(listing, asked_at=asked_at, without_watch=without_watch)
 
     async def _watch_forever(self) -> None:
         while True:
             try:
                 await self._watch()
             except StoreError as exc:
-                self._note(connected=False, reason=str(exc))
-            await self._clock.sleep(RETRY_S)
+                self._set_connected(connected=False, reason=str(exc))
+            await self._clock.sleep(RETRY_INTERVAL_S)
 
     async def _watch(self) -> None:
         # What happened while no watch ran was missed. So each watch begins from a whole read;
         # else a member's end or a new table would never be seen.
         RESTARTS.inc()
         await self.refresh()
-        self._note(connected=True, reason="")
+        self._set_connected(connected=True, reason="")
         self._watching = True
         try:
             events = self._store.watch(CELL, from_revision=self._mirror.revision + 1)
@@ -78,9 +78,9 @@
             try:
                 await self.refresh()
             except StoreError as exc:
-                self._note(connected=False, reason=str(exc))
+                self._set_connected(connected=False, reason=str(exc))
 
-    def _note(self, *, connected: bool, reason: str) -> None:
+    def _set_connected(self, *, connected: bool, reason: str) -> None:
         if connected != self.connected:
             self.connected = connected
             if connected:
--- a/tests/coordination/gated_store.py
+++ b/tests/coordination/gated_store.py
@@ -1,4 +1,4 @@
-"""A store whose calls take effect, and answer, only when a test says so."""
+"""A store whose calls take apply, and answer, only when a test says so."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from rhubarbferry.test.memory_store import MemoryStore
 
 
-class How(StrEnum):
+class Delivery(StrEnum):
     """What becomes of a call."""
 
     ANSWER = "answer"
@@ -37,50 +37,54 @@
     act: Callable[[], Any]
     writes: bool
     fut: asyncio.Future[Any]
-    acted: bool = False
+    applied: bool = False
     result: Any = None
 
-    def effect(self) -> None:
-        if not self.acted:
+    def apply(self) -> None:
+        if not self.applied:
             self.result = run_now(self.act())
-            self.acted = True
+            self.applied = True
 
 
 class GatedStore:
     """Calls of one process; effects that are under way outlive the process."""
 
-    def __init__(self, *, memory: MemoryStore, under_way: list[Callable[[], Any]]) -> None:
+    def __init__(self, *, memory: MemoryStore, in_transit: list[Callable[[], Any]]) -> None:
         self._memory = memory
-        self._under_way = under_way
+        self._in_transit = in_transit
         self.pending: list[Pending] = []
 
-    def step(self, index: int, how: How) -> None:
+    def step(self, index: int, delivery: Delivery) -> None:
         """Let one call go on."""
         call = self.pending[index % len(self.pending)]
-        if how is How.EFFECT_ONLY:
-            call.effect()
+        if delivery is Delivery.EFFECT_ONLY:
+            call.apply()
             return
         self.pending.remove(call)
         if call.fut.done():
             return
-        if how is How.ANSWER or (how is How.LOSE_CALL and call.acted and not call.writes):
-            call.effect()
+        if delivery is Delivery.ANSWER or (
+            delivery is Delivery.LOSE_CALL and call.applied and not call.writes
+        ):
+            call.apply()
             call.fut.set_result(call.result)
-        elif not call.writes or (how is How.LOSE_CALL and not call.acted):
+        elif not call.writes or (delivery is Delivery.LOSE_CALL and not call.applied):
             call.fut.set_exception(StoreUnavailable("lost"))
         else:
-            self._lose(call, delay=how is How.DELAY)
+            self._lose(call, delay=delivery is Delivery.DELAY)
             call.fut.set_exception(StoreUnclear("lost"))
 
-    def leave_under_way(self) -> None:
-        """Let writes that were sent take effect later, though nobody waits for them."""
-        self._under_way.extend(call.act for call in self.pending if call.writes and not call.acted)
+    def leave_in_transit(self) -> None:
+        """Let writes that were sent take apply later, though nobody waits for them."""
+        self._in_transit.extend(
+            call.act for call in self.pending if call.writes and not call.applied
+        )
 
     def _lose(self, call: Pending, *, delay: bool) -> None:
-        if delay and not call.acted:
-            self._under_way.append(call.act)
+        if delay and not call.applied:
+            self._in_transit.append(call.act)
         else:
-            call.effect()
+            call.apply()
 
     async def _call(self, act: Callable[[], Any], *, writes: bool) -> Any:
         fut: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
--- a/tests/coordination/log_rig.py
+++ b/tests/coordination/log_rig.py
@@ -13,7 +13,7 @@
 from rhubarbferry.test.store_faults import RateGate, StoreRates
 
 PARTITION = "key/north/0"
-KEEP_S = 60.0
+RETENTION_S = 60.0
 NO_LIMIT = StoreRates(writes_per_s=0, reads_per_s=0)
 
 
@@ -51,7 +51,7 @@
         epoch=epoch,
         writer_id=f"member-{epoch}",
         clock=clock or store.clock,
-        keep_s=KEEP_S,
+        retention_s=RETENTION_S,
         **options,
     )
 
--- a/tests/coordination/test_configuration.py
+++ b/tests/coordination/test_configuration.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from rhubarbferry.coordination import configuration as conf
-from rhubarbferry.coordination.configuration import ConfigKeeper
+from rhubarbferry.coordination.configuration import ActiveConfig
 from rhubarbferry.coordination.keys import CONFIG, MEMBERS
 from rhubarbferry.coordination.records import decode, encode
 from rhubarbferry.core.configuration import ConfigRecord, gone_back
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def store(monkeypatch):
-    monkeypatch.setattr(conf, "PAUSE_S", 0.01)
+    monkeypatch.setattr(conf, "RETRY_INTERVAL_S", 0.01)
     return MemoryStore(clock=SystemClock())
 
 
@@ -135,15 +135,15 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.none() | records_st, max_size=12))
-def test_revision_in_force_never_falls(offers):
-    keeper = ConfigKeeper()
-    for record in offers:
-        before = keeper.record
-        keeper.offer(record)
-        assert keeper.record.revision >= before.revision
-        assert keeper.current().revision == keeper.record.revision
-        if keeper.record.revision == before.revision:
-            assert keeper.record is before
+def test_revision_in_force_never_falls(records):
+    active = ActiveConfig()
+    for record in records:
+        before = active.record
+        active.update(record)
+        assert active.record.revision >= before.revision
+        assert active.current().revision == active.record.revision
+        if active.record.revision == before.revision:
+            assert active.record is before
 
 
 @pytest.mark.parametrize(
@@ -160,7 +160,7 @@
 async def test_later_configuration_is_put_back(store, older):
     in_force = ConfigRecord(revision=3, text=OTHER, author="ann")
     based_on = 0 if older is None else await store.create(CONFIG, encode(older))
-    assert await conf.republish(store, in_force=in_force, based_on=based_on)
+    assert await conf.restore(store, in_force=in_force, based_on=based_on)
     kv = await store.get(CONFIG)
     assert decode(CONFIG, kv.value, ConfigRecord) == in_force
-    assert not await conf.republish(store, in_force=in_force, based_on=based_on)
+    assert not await conf.restore(store, in_force=in_force, based_on=based_on)
--- a/tests/coordination/test_guard_sets.py
+++ b/tests/coordination/test_guard_sets.py
@@ -6,7 +6,7 @@
 from attrs import evolve
 
 from rhubarbferry.conf.settings import OwnershipSettings
-from rhubarbferry.coordination.guard_sets import Closed, GuardSetChanger
+from rhubarbferry.coordination.guard_sets import CloseConfirmation, GuardSetManager
 from rhubarbferry.coordination.mirror import Mirror
 from rhubarbferry.core.guards import GuardSet
 from rhubarbferry.core.ownership import Table
@@ -24,7 +24,7 @@
 CFG = OwnershipSettings(clock_margin_s=0.5, longest_extension_s=100.0)
 
 
-class Asked:
+class FakeGuards:
     """Guards that answer when they live; a promise may still be open."""
 
     def __init__(self, alive: str, left_s: float = 0.0) -> None:
@@ -34,22 +34,24 @@
     async def __call__(self, guard, *, region, version):
         if guard.id not in self.alive:
             return None
-        return Closed(guard_id=guard.id, promise_left_s=self.left_s)
+        return CloseConfirmation(guard_id=guard.id, promise_left_s=self.left_s)
 
 
-async def changed_after(*, alive, left_s=0.0, seconds, extension_s=100.0, closing=False):
+async def proposed_set(*, alive, left_s=0.0, seconds, extension_s=100.0, closing=False):
     """Return the set that a planner proposes after some time, with ``bcd`` alive."""
     clock, mirror = FakeClock(), Mirror()
     table = Table(guards={"north": evolve(OLD, closing=closing)})
     members = {name: frontend(name) for name in "bcd"}
     mirror.state = evolve(mirror.state, table=table, members=members)
     cfg = evolve(CFG, longest_extension_s=extension_s)
-    changer = GuardSetChanger(cfg=cfg, clock=clock, mirror=mirror, ask=Asked(alive, left_s))
-    task = asyncio.ensure_future(changer.run())
+    manager = GuardSetManager(
+        cfg=cfg, clock=clock, mirror=mirror, close_set=FakeGuards(alive, left_s)
+    )
+    task = asyncio.ensure_future(manager.run())
     await settle()
     await clock.advance(seconds)
     task.cancel()
-    return changer.apply(table, members.values()).guards["north"]
+    return manager.apply(table, members.values()).guards["north"]
 
 
 @pytest.mark.parametrize(
@@ -69,7 +71,7 @@
 async def test_set_changes_only_when_it_is_safe(case, version, closing, names):
     """One or two of the guards a, b, c die while d is new. The set changes once a majority of
     it has closed the old version and its promises have run out, or after the longest wait."""
-    found = await changed_after(**case)
+    found = await proposed_set(**case)
     assert (found.version, found.closing) == (version, closing)
     assert "".join(guard.id for guard in found.guards) == names
 
@@ -81,10 +83,10 @@
     table = Table(guards={"north": OLD})
     members = {name: frontend(name) for name in "abcd"}
     mirror.state = evolve(mirror.state, table=table, members=members)
-    changer = GuardSetChanger(cfg=CFG, clock=clock, mirror=mirror, ask=Asked("abc"))
-    task = asyncio.ensure_future(changer.run())
+    manager = GuardSetManager(cfg=CFG, clock=clock, mirror=mirror, close_set=FakeGuards("abc"))
+    task = asyncio.ensure_future(manager.run())
     await clock.advance(1.0)
     task.cancel()
     del members["d"]
-    found = changer.apply(table, members.values()).guards["north"]
+    found = manager.apply(table, members.values()).guards["north"]
     assert found == evolve(OLD, version=4)
--- a/tests/coordination/test_log.py
+++ b/tests/coordination/test_log.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 
 import pytest
-from gated_store import GatedStore, How
-from log_rig import KEEP_S, PARTITION, LeapingClock, entry, make_log, make_store, names
+from gated_store import Delivery, GatedStore
+from log_rig import PARTITION, RETENTION_S, LeapingClock, entry, make_log, make_store, names
 
-from rhubarbferry.coordination.log import LARGEST_APPEND_BYTES, SealedLog
+from rhubarbferry.coordination.log import MAX_APPEND_BYTES, SealedLog
 from rhubarbferry.coordination.log_codec import decode_segment, encode_segment
 from rhubarbferry.core.log import LogKeys
 from rhubarbferry.ports.log import (
@@ -43,16 +43,16 @@
         await asyncio.sleep(0)
 
 
-class Held:
+class SteppedLog:
     """A log whose store calls go on one by one."""
 
     def __init__(self, memory: MemoryStore, epoch: int) -> None:
-        self.store = GatedStore(memory=memory, under_way=[])
+        self.store = GatedStore(memory=memory, in_transit=[])
         self.log = make_log(self.store, epoch=epoch, clock=memory.clock)
 
-    async def step(self, how: How = How.ANSWER) -> None:
+    async def step(self, delivery: Delivery = Delivery.ANSWER) -> None:
         assert self.store.pending, "no call waits"
-        self.store.step(0, how)
+        self.store.step(0, delivery)
         await settle()
 
     async def finish(self, task: asyncio.Task[object]) -> None:
@@ -89,14 +89,14 @@
     assert len(values) > 5
     assert max(map(len, values)) < SEGMENT_BYTES + 200
     with pytest.raises(LogTooLarge):
-        await log.append([entry("x" * LARGEST_APPEND_BYTES)])
+        await log.append([entry("x" * MAX_APPEND_BYTES)])
     await log.append([entry("small")])
 
 
 async def test_a_full_queue_refuses_at_once() -> None:
     """The store is slow and more appends come than may wait. The surplus is refused as not done."""
     store = make_store()
-    log = await opened(store, 1, max_waiting=3)
+    log = await opened(store, 1, max_queued_appends=3)
     results = await asyncio.gather(
         *(log.append([entry(number)]) for number in range(5)), return_exceptions=True
     )
@@ -130,15 +130,15 @@
     """A reply is lost and then the store goes down. The caller hears "unclear", later callers
     are refused at once, and once the store is back the unclear entry stands before them."""
     memory = make_store()
-    held = Held(memory, 1)
+    held = SteppedLog(memory, 1)
     await held.open()
     task = held.append("a")
     await settle()
-    await held.step(How.DELAY)
+    await held.step(Delivery.DELAY)
     for _ in range(40):
         if task.done():
             break
-        await held.step(How.LOSE_CALL)
+        await held.step(Delivery.LOSE_CALL)
     with pytest.raises(LogUnclear):
         await task
     with pytest.raises(LogUnavailable):
@@ -182,12 +182,12 @@
     """An owner pauses right before a write, for long. Its successor compacts, which deletes
     the seal, so the write succeeds where nobody reads. The caller must not hear "done"."""
     memory = make_store()
-    held = Held(memory, 1)
+    held = SteppedLog(memory, 1)
     await held.open()
     task = held.append("lost")
     await settle()
     new = await opened(memory, 2)
-    memory.clock.now += KEEP_S + 1
+    memory.clock.now += RETENTION_S + 1
     await new.compact([entry("kept")])
     assert memory.engine.get(KEYS.segment(2)) is None
     await held.finish(task)
@@ -216,13 +216,13 @@
     memory = make_store()
     first = await opened(memory, 1)
     await first.append([entry("a")])
-    held = Held(memory, 2)
+    held = SteppedLog(memory, 2)
     task = asyncio.ensure_future(held.log.open())
     await settle()
     await held.step()
     await held.step()
     new = await opened(memory, 3)
-    memory.clock.now += KEEP_S + 1
+    memory.clock.now += RETENTION_S + 1
     await new.compact([entry("a")])
     await held.finish(task)
     with pytest.raises(LogFenced):
@@ -234,7 +234,7 @@
     """An owner holds an entry that it never got recorded and pauses within a compaction. The
     successor opens the log without the entry; afterwards it must not come back."""
     memory = make_store()
-    held = Held(memory, 1)
+    held = SteppedLog(memory, 1)
     await held.open()
     task = asyncio.ensure_future(held.log.compact([entry("never recorded")]))
     await settle()
@@ -271,7 +271,7 @@
 async def test_compaction_keeps_the_log_short_and_deletes_what_is_covered() -> None:
     store = make_store()
     log = await opened(store, 1, segment_bytes=SEGMENT_BYTES)
-    store.clock.now += KEEP_S + 1
+    store.clock.now += RETENTION_S + 1
     for number in range(25):
         await log.append([entry(number)])
     assert log.size() == 26
@@ -290,9 +290,9 @@
 async def test_a_crash_within_a_compaction_leaves_a_whole_log(crash_after: int) -> None:
     """The process dies after some call of a compaction. The successor reads every entry."""
     memory = make_store()
-    held = Held(memory, 1)
+    held = SteppedLog(memory, 1)
     await held.open()
-    memory.clock.now += KEEP_S + 1
+    memory.clock.now += RETENTION_S + 1
     kept = ["a", "b"]
     for name in kept:
         await held.finish(held.append(name))
@@ -300,7 +300,7 @@
     await settle()
     for _ in range(crash_after):
         if held.store.pending:
-            held.store.step(0, How.EFFECT_ONLY)
+            held.store.step(0, Delivery.EFFECT_ONLY)
             await held.step()
     task.cancel()
     await settle()
@@ -415,7 +415,7 @@
 async def test_the_writes_keep_their_least_interval() -> None:
     clock = LeapingClock()
     store = make_store(clock=clock)
-    log = await opened(store, 1, min_interval_s=1)
+    log = await opened(store, 1, min_write_interval_s=1)
     begun = clock.now
     for number in range(4):
         await log.append([entry(number)])
--- a/tests/coordination/test_log_machine.py
+++ b/tests/coordination/test_log_machine.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from attrs import define, field
-from gated_store import GatedStore, How
+from gated_store import Delivery, GatedStore
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
-from log_rig import KEEP_S, LeapingClock, entry, make_log, make_store, names
+from log_rig import RETENTION_S, LeapingClock, entry, make_log, make_store, names
 
 from rhubarbferry.coordination.log import SealedLog
 from rhubarbferry.ports.log import LogFenced, LogUnavailable, LogUnclear
@@ -24,7 +24,7 @@
 ROUNDS = 40
 MAX_LIVE = 3
 MAX_CALLS = 60
-ANY = st.integers(min_value=0, max_value=50)
+INDEX = st.integers(min_value=0, max_value=50)
 
 
 @define(kw_only=True, eq=False)
@@ -51,7 +51,7 @@
         self.loop = asyncio.new_event_loop()
         self.clock = LeapingClock()
         self.engine = Engine()
-        self.under_way: list[Callable[[], Any]] = []
+        self.in_transit: list[Callable[[], Any]] = []
         self.processes: list[Process] = []
         self.all: list[Process] = []
         self.acked: list[tuple[int, str]] = []
@@ -66,7 +66,7 @@
                 break
             self.step_all(last)
         assert last.opened is not None, "the last owner could not open the log"
-        while self.under_way:
+        while self.in_transit:
             self.deliver(0)
         for process in self.processes:
             self.cancel(process)
@@ -132,21 +132,21 @@
         for name in added:
             assert self.epoch_of[name] >= first.epoch, f"{name} of a fenced owner has appeared"
 
-    async def _append(self, process: Process, wanted: list[str]) -> None:
+    async def _append(self, process: Process, submitted: list[str]) -> None:
         try:
-            await process.log.append([entry(name) for name in wanted])
+            await process.log.append([entry(name) for name in submitted])
         except LogUnclear:
-            process.state.extend(wanted)
+            process.state.extend(submitted)
         except (LogUnavailable, LogFenced):
-            self.refused.update(wanted)
+            self.refused.update(submitted)
             for other in self.all:
-                assert not set(wanted) & set(other.opened or []), "a refused entry stands"
+                assert not set(submitted) & set(other.opened or []), "a refused entry stands"
         else:
-            process.state.extend(wanted)
-            self.acked.extend((process.epoch, name) for name in wanted)
+            process.state.extend(submitted)
+            self.acked.extend((process.epoch, name) for name in submitted)
             for other in self.all:
                 if other.epoch > process.epoch and other.opened is not None:
-                    assert set(wanted) <= set(other.opened), "acknowledged behind a seal"
+                    assert set(submitted) <= set(other.opened), "acknowledged behind a seal"
 
     async def _compact(self, process: Process) -> None:
         try:
@@ -159,8 +159,8 @@
     def start(self) -> None:
         epoch = len(self.all) + 1
         memory = make_store(self.engine, self.clock)
-        store = GatedStore(memory=memory, under_way=self.under_way)
-        log = make_log(store, epoch=epoch, clock=self.clock, settle_s=0.0)
+        store = GatedStore(memory=memory, in_transit=self.in_transit)
+        log = make_log(store, epoch=epoch, clock=self.clock, resolve_timeout_s=0.0)
         process = Process(epoch=epoch, store=store, log=log)
         self.processes.append(process)
         self.all.append(process)
@@ -172,14 +172,14 @@
         """Let a new owner do all that it can while the others are paused."""
         self.start()
         process = self.processes[-1]
-        self.run_to_rest(process)
+        self.run_until_idle(process)
         if waits:
-            self.clock.now += KEEP_S + 1
+            self.clock.now += RETENTION_S + 1
         if compacts and process.opened is not None:
             self.spawn(process, self._compact(process))
-            self.run_to_rest(process)
+            self.run_until_idle(process)
 
-    def run_to_rest(self, process: Process) -> None:
+    def run_until_idle(self, process: Process) -> None:
         for _ in range(MAX_CALLS):
             if not process.store.pending:
                 return
@@ -190,67 +190,67 @@
         return found[index % len(found)] if found else None
 
     @rule(
-        index=ANY,
+        index=INDEX,
         number=st.integers(min_value=1, max_value=2),
-        steps=st.lists(st.sampled_from(How), max_size=3),
+        steps=st.lists(st.sampled_from(Delivery), max_size=3),
     )
-    def append(self, index: int, number: int, steps: list[How]) -> None:
+    def append(self, index: int, number: int, steps: list[Delivery]) -> None:
         process = self.pick(index, opened=True)
         if process is None:
             return
-        wanted = [f"e{len(self.epoch_of) + at}" for at in range(number)]
-        self.epoch_of.update((name, process.epoch) for name in wanted)
-        self.spawn(process, self._append(process, wanted))
+        submitted = [f"e{len(self.epoch_of) + at}" for at in range(number)]
+        self.epoch_of.update((name, process.epoch) for name in submitted)
+        self.spawn(process, self._append(process, submitted))
         self.take_steps(process, steps)
 
-    @rule(index=ANY, steps=st.lists(st.sampled_from(How), max_size=3))
-    def compact(self, index: int, steps: list[How]) -> None:
+    @rule(index=INDEX, steps=st.lists(st.sampled_from(Delivery), max_size=3))
+    def compact(self, index: int, steps: list[Delivery]) -> None:
         process = self.pick(index, opened=True)
         if process is not None:
             self.spawn(process, self._compact(process))
             self.take_steps(process, steps)
 
-    def take_steps(self, process: Process, steps: list[How]) -> None:
-        for how in steps:
+    def take_steps(self, process: Process, steps: list[Delivery]) -> None:
+        for delivery in steps:
             if process.store.pending:
-                process.store.step(0, how)
+                process.store.step(0, delivery)
                 self.settle()
 
     def step_all(self, process: Process) -> None:
         if process.store.pending:
-            process.store.step(0, How.ANSWER)
+            process.store.step(0, Delivery.ANSWER)
         self.settle()
 
-    @rule(index=ANY, count=st.integers(min_value=1, max_value=20))
+    @rule(index=INDEX, count=st.integers(min_value=1, max_value=20))
     def go_on(self, index: int, count: int) -> None:
         process = self.pick(index, opened=False)
         for _ in range(count if process else 0):
             assert process is not None
             self.step_all(process)
 
-    @rule(index=ANY, call=ANY, how=st.sampled_from(How))
-    def step(self, index: int, call: int, how: How) -> None:
+    @rule(index=INDEX, call=INDEX, delivery=st.sampled_from(Delivery))
+    def step(self, index: int, call: int, delivery: Delivery) -> None:
         process = self.pick(index, opened=False)
         if process is not None and process.store.pending:
-            process.store.step(call, how)
+            process.store.step(call, delivery)
             self.settle()
 
-    @precondition(lambda self: self.under_way)
-    @rule(index=ANY)
+    @precondition(lambda self: self.in_transit)
+    @rule(index=INDEX)
     def deliver(self, index: int) -> None:
-        act = self.under_way.pop(index % len(self.under_way))
+        act = self.in_transit.pop(index % len(self.in_transit))
         self.loop.run_until_complete(act())
 
-    @rule(seconds=st.sampled_from([1.0, KEEP_S / 3, KEEP_S + 1]))
+    @rule(seconds=st.sampled_from([1.0, RETENTION_S / 3, RETENTION_S + 1]))
     def pass_time(self, seconds: float) -> None:
         self.clock.now += seconds
 
-    @rule(index=ANY, sent=st.booleans())
+    @rule(index=INDEX, sent=st.booleans())
     def crash(self, index: int, sent: bool) -> None:
         process = self.pick(index, opened=False)
         if process is not None:
             if sent:
-                process.store.leave_under_way()
+                process.store.leave_in_transit()
             self.cancel(process)
             self.processes.remove(process)
             self.settle()
--- a/tests/coordination/test_node.py
+++ b/tests/coordination/test_node.py
@@ -151,8 +151,8 @@
 async def test_process_started_in_an_outage_asks_its_peers(cell, monkeypatch):
     """A process starts while the store is down. It takes the configuration from another
     process, owns nothing, and joins when the store is back."""
-    monkeypatch.setattr("rhubarbferry.coordination.node.START_S", 0.2)
-    monkeypatch.setattr("rhubarbferry.coordination.node.PEERS_S", 0.05)
+    monkeypatch.setattr("rhubarbferry.coordination.node.START_TIMEOUT_S", 0.2)
+    monkeypatch.setattr("rhubarbferry.coordination.node.PEER_POLL_INTERVAL_S", 0.05)
 
     async def fetch():
         return ConfigRecord(revision=4, text=TEXT, author="peer")
--- a/tests/coordination/test_node_guards.py
+++ b/tests/coordination/test_node_guards.py
@@ -38,8 +38,8 @@
 async def test_guard_set_without_its_majority_is_closed_first(cell, monkeypatch):
     """Two of three frontends die at once, so no majority can give its word. The set is closed,
     and replaced after the longest extension."""
-    monkeypatch.setattr("rhubarbferry.coordination.guard_sets.CLOSE_AFTER_S", 0.2)
-    monkeypatch.setattr("rhubarbferry.coordination.guard_sets.ASK_AGAIN_S", 0.1)
+    monkeypatch.setattr("rhubarbferry.coordination.guard_sets.CLOSE_DELAY_S", 0.2)
+    monkeypatch.setattr("rhubarbferry.coordination.guard_sets.RETRY_INTERVAL_S", 0.1)
     cfg = settings()
     cfg = evolve(cfg, ownership=evolve(cfg.ownership, longest_extension_s=0.5))
     guards = GuardPool()
