--- a/rhubarbferry/coordination/__init__.py
+++ b/rhubarbferry/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""Members, ownership and configuration of a cell, agreed through the platform's store."""
+"""Membership, partition ownership and configuration of a cell, coordinated through its store."""
 
 from rhubarbferry.coordination.node import Node
 from rhubarbferry.coordination.tenure import HeldTenure, Lost, Won
--- a/rhubarbferry/coordination/budget.py
+++ b/rhubarbferry/coordination/budget.py
@@ -1,4 +1,4 @@
-"""The share of the store's rate that one process may use."""
+"""Rate limiting of one process's calls to the store."""
 
 from __future__ import annotations
 
@@ -24,14 +24,16 @@
 
 
 class SharedBudget:
-    """Let calls wait so that all members together keep the store's rate.
+    """Delay calls to the store so that all members together stay within its rate limits.
 
-    A lease renewal never waits: it takes its token in advance and the others wait for it.
-    Otherwise a burst of appends would delay renewals until the process lost its lease.
+    A lease renewal never waits: it consumes its token immediately, and later calls wait until the
+    token bucket has refilled. Otherwise a burst of log appends could delay renewals until the
+    process lost its lease.
 
-    :param writes_per_s: writes allowed to the whole cell.
-    :param reads_per_s: reads allowed to the whole cell.
-    :param max_wait_s: a call that would wait longer is refused at once.
+    :param writes_per_s: write rate limit of the whole cell.
+    :param reads_per_s: read rate limit of the whole cell.
+    :param members: number of members that share these limits equally.
+    :param max_wait_s: a call that would wait longer than this is rejected immediately.
     """
 
     def __init__(
@@ -54,16 +56,16 @@
         }
 
     def set_members(self, count: float) -> None:
-        """Take the share of one of ``count`` equal members from now on."""
+        """Set the number of members that share the cell's rate limits equally."""
         self._rates = {
             kind: share(per_s=per_s, members=count, burst_s=BURST_S)
             for kind, per_s in self._per_s.items()
         }
 
     async def spend(self, spend: Spend) -> None:
-        """Return when the call may be sent.
+        """Wait until the call may be sent.
 
-        :raises StoreRateLimited: when it would wait too long; nothing was sent.
+        :raises StoreRateLimited: when the wait would exceed the limit; the call must not be sent.
         """
         kind = Spend.READ if spend is Spend.READ else Spend.WRITE
         taken = take(self._buckets[kind], self._rates[kind], self._clock.monotonic())
--- a/rhubarbferry/coordination/configuration.py
+++ b/rhubarbferry/coordination/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: apply a change, and keep it in force in each process."""
+"""Apply changes of the cell's configuration, and track the active revision in each process."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 
 class ConfigError(Exception):
-    """Base of the errors of a change of the configuration."""
+    """Base class for errors raised when the configuration is changed."""
 
 
 class ConfigInvalid(ConfigError):
-    """The text has problems; nothing was changed. Mend them and apply again."""
+    """The text has problems; nothing was changed. Correct them and apply again."""
 
     def __init__(self, problems: tuple[Problem, ...]) -> None:
         super().__init__("\n".join(str(problem) for problem in problems))
@@ -47,19 +47,22 @@
 
 
 class ConfigRace(ConfigError):
-    """Another change came first; nothing was changed. Look at it, then apply again."""
+    """Another change was applied first; nothing was changed. Review it, then apply again."""
 
 
 class ConfigBehind(ConfigError):
-    """The store is pending what is in force; nothing was changed. Try again in a few seconds."""
+    """The store holds an older revision than the members use; nothing was changed. Retry later."""
 
 
 class ConfigUnclear(ConfigError):
-    """It is not known whether the change stands. Compare with the store once it answers."""
+    """It is unknown whether the change was stored. Read the stored configuration and compare."""
 
 
 class NotInForce(ConfigError):
-    """Accepted and never to be reverted, but not yet in force in the members named."""
+    """The change is accepted and permanent, but some members have not activated it yet.
+
+    :ivar members: ids of these members.
+    """
 
     def __init__(self, revision: int, members: tuple[str, ...]) -> None:
         names = ", ".join(members)
@@ -69,7 +72,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Stored:
-    """The configuration in the store; ``mod_revision`` 0 says that there is none."""
+    """The configuration in the store; ``mod_revision`` is 0 when there is none."""
 
     record: ConfigRecord
     mod_revision: int
@@ -77,7 +80,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Applied:
-    """An accepted change and its difference to what it replaced."""
+    """An accepted change, with a diff against the revision that it replaced."""
 
     revision: int
     diff: str
@@ -86,7 +89,7 @@
 class ActiveConfig:
     """The configuration in force in one process; implements ``ports.ownership.CellView``.
 
-    :ivar record: the revision in force; it never goes back.
+    :ivar record: the active revision; it never decreases.
     :ivar changes: notified after each change.
     """
 
@@ -97,11 +100,11 @@
         self._refused: ConfigRecord | None = None
 
     def current(self) -> Cell:
-        """Return the revision in force."""
+        """Return the active configuration."""
         return self._cell
 
     def update(self, record: ConfigRecord | None) -> None:
-        """Take over a configuration seen in the store or at a peer, unless it is older."""
+        """Activate a configuration read from the store or from a peer, unless it is older."""
         if newer(self.record, record) is self.record or record is None or record == self._refused:
             return
         match parse_cell(record.text, record.revision):
@@ -112,15 +115,16 @@
                 logger.info("configuration {} of {} in force", record.revision, record.author)
                 self.changes.notify()
             case Failure(problems):
-                # Only a newer version of this program writes what this one can't read. The old
-                # revision stays in force and is reported, so that the operator sees this member.
+                # Only a newer version of this program writes a configuration that this version
+                # can't parse. The old revision stays active, and this member keeps reporting it,
+                # so that the operator can see which members have not activated the new one.
                 self._refused = record
                 REFUSED.labels("unreadable").inc()
                 logger.error("configuration {} unreadable: {}", record.revision, problems[0])
 
 
 def diff(old: str, new: str) -> str:
-    """Return the difference of two configurations, empty when there is none."""
+    """Return a unified diff of two configurations, empty when they are equal."""
     lines = difflib.unified_diff(
         old.splitlines(), new.splitlines(), "in force", "new", lineterm="", n=2
     )
@@ -130,7 +134,7 @@
 async def read(store: Store) -> Stored:
     """Return the configuration in the store.
 
-    :raises RecordCorrupt: when it can't be read.
+    :raises RecordCorrupt: when the record can't be decoded.
     """
     return _stored(await store.get(CONFIG))
 
@@ -138,14 +142,14 @@
 async def apply(
     store: Store, *, text: str, based_on: int, author: str, clock: Clock, write_id: str
 ) -> Applied:
-    """Accept a new configuration.
+    """Validate a new configuration and store it.
 
     :param based_on: the revision that the author has edited; 0 for the first.
-    :param write_id: unique for this change, to know it again after a lost reply.
+    :param write_id: unique for this change, to identify it when the reply to the write is lost.
     :raises ConfigInvalid: when the text has problems.
-    :raises ConfigRace: when another revision than ``based_on`` is in the store.
-    :raises ConfigBehind: when members have a later revision in force than the store holds.
-    :raises ConfigUnclear: when the store does not say whether the change stands.
+    :raises ConfigRace: when the store holds another revision than ``based_on``.
+    :raises ConfigBehind: when a member uses a later revision than the store holds.
+    :raises ConfigUnclear: when it can't be determined whether the change was stored.
     :raises StoreError: when the store was not reached; nothing was changed.
     """
     match parse_cell(text, based_on + 1):
@@ -170,9 +174,11 @@
 
 
 async def restore(store: Store, *, in_force: ConfigRecord, based_on: int) -> bool:
-    """Put an accepted configuration back into a store that has lost it.
+    """Write the active configuration back to a store that has lost it.
 
-    :param based_on: the store's revision of the last write of the older one, 0 for none.
+    :param in_force: the configuration to write.
+    :param based_on: the store revision at which the older record was last written; 0 when there is
+        no record.
     :returns: whether it was written; ``False`` when another write came first.
     """
     REFUSED.labels("older").inc()
@@ -182,14 +188,14 @@
             return await store.create(CONFIG, encode(in_force)) is not None
         return await store.put_if(CONFIG, encode(in_force), mod_revision=based_on) is not None
     except StoreUnclear:
-        # The next look at the store shows whether it stands; writing it twice does no harm.
+        # The next read of the store shows whether the write took effect; repeating it is harmless.
         return False
 
 
 async def wait_in_force(store: Store, *, revision: int, timeout_s: float, clock: Clock) -> None:
-    """Return once each live member reports ``revision`` or a later one.
+    """Wait until each live member reports ``revision`` or a later one.
 
-    :raises NotInForce: when that took longer than ``timeout_s``; names the members.
+    :raises NotInForce: when this takes longer than ``timeout_s``; lists the remaining members.
     """
     until = clock.monotonic() + timeout_s
     pending: tuple[str, ...] = ("unknown, the store can't be read",)
@@ -233,8 +239,8 @@
                 await _check_stored(store, record, outcome_unknown=outcome_unknown)
             return
         except StoreUnclear:
-            # The same compare-and-swap again can't take effect twice; if the first one stands,
-            # the second is refused and the record read back is our own.
+            # The same compare-and-swap can't take effect twice. If the first attempt succeeded,
+            # the second one is rejected, and the record read back is the one written here.
             outcome_unknown = True
         except StoreError:
             if not outcome_unknown:
@@ -249,8 +255,9 @@
     except (StoreError, RecordCorrupt) as exc:
         raise StoreUnclear(f"can't read back: {exc}") from exc
     if outcome_unknown and stored.record.revision > record.revision:
-        # A later change stands, and may have been based on this one current its author heard of
-        # it. "Not made" would be untrue then: the operator would make the same change twice.
+        # A later change is stored. It may be based on this one, if its author read this one before
+        # the reply was lost. Reporting "not made" could then be wrong, and the operator would make
+        # the same change twice.
         raise ConfigUnclear(
             f"{stored.record.author!r} has put revision {stored.record.revision} in place "
             f"meanwhile; no answer whether revision {record.revision} was this change"
--- a/rhubarbferry/coordination/guard_sets.py
+++ b/rhubarbferry/coordination/guard_sets.py
@@ -1,4 +1,4 @@
-"""Replace a region's guard set after a majority of the old one has agreed."""
+"""Replace the guard set of a region once a majority of the old set has agreed."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 @frozen(kw_only=True, slots=True)
 class CloseConfirmation:
-    """A guard's word that it promises nothing more under lower versions.
+    """A guard's confirmation that it makes no further promises under lower versions.
 
-    :param promise_left_s: the longest promise that it has still open for the region.
+    :param promise_left_s: remaining time of the longest promise it has made for the region.
     """
 
     guard_id: str
@@ -32,21 +32,22 @@
 
 
 class CloseGuardSet(Protocol):
-    """Ask a guard to close the versions of its region's set below ``version``."""
+    """Request that a guard closes all versions of its region's guard set below ``version``."""
 
     async def __call__(
         self, guard: Guard, *, region: str, version: int
     ) -> CloseConfirmation | None:
-        """Return its word, or ``None`` when it did not give it."""
+        """Return the guard's confirmation, or ``None`` when it has not confirmed."""
         ...
 
 
 @define(kw_only=True, slots=True)
 class _PendingChange:
-    """What this planner knows about the change of one version of a set.
+    """A pending replacement of one version of a guard set.
 
-    :param since: when it first saw this version to be in the way.
-    :param usable_at: when the last promise under this version has run out.
+    :param since: monotonic time at which the replacement became necessary.
+    :param usable_at: monotonic time at which the last promise under this version has expired;
+        ``None`` until a majority has confirmed.
     """
 
     old: GuardSet
@@ -55,15 +56,16 @@
 
 
 class GuardSetManager:
-    """Find out which changes of guard sets are safe, and put them into a table.
+    """Determine which guard sets can be replaced safely, and update the ownership table.
 
-    An owner that acts on promises of the old set and a successor acknowledged by the new one
-    need not share a guard. So the old set's majority must have stopped to promise, and its
-    open promises must have run out, before the new set counts. When that majority does not
-    answer, the set is first marked as closing, and replaced after the longest extension: an
-    owner that has read the table later holds no promise, one that has not has stopped.
+    An owner that acts on promises of the old set and a successor acknowledged by the new set may
+    have no guard in common. The new set therefore becomes valid only after a majority of the old
+    set has stopped making promises and its promises have expired. If that majority does not
+    respond, the set is first marked as closing, and it is replaced after the longest extension: by
+    then, an owner that has read the closing mark no longer relies on promises, and an owner that
+    has not read the table since has stopped.
 
-    :param close_set: asks one guard.
+    :param close_set: sends a close request to one guard.
     """
 
     def __init__(
@@ -76,7 +78,7 @@
         self._changes: dict[str, _PendingChange] = {}
 
     def apply(self, table: Table, members: Iterable[Member]) -> Table:
-        """Return ``table`` with those changes of guard sets that are safe now."""
+        """Return ``table`` with all guard set changes that are safe now."""
         guards = dict(table.guards)
         for region, desired in self._desired(table, members).items():
             old = table.guards.get(region, NO_GUARDS)
@@ -87,7 +89,7 @@
         return table if guards == table.guards else evolve(table, guards=guards)
 
     async def run(self) -> None:
-        """Ask the guards for the changes that are desired, until cancelled."""
+        """Send close requests for all required replacements until cancelled."""
         while True:
             state = self._mirror.state
             for region, desired in self._desired(state.table, state.members.values()).items():
@@ -101,8 +103,8 @@
         for region, change in self._changes.items():
             old = table.guards.get(region, NO_GUARDS)
             if region not in desired and change.old == old and change.usable_at is not None:
-                # The guards have closed this version for a change that is no longer desired, and
-                # would refuse its owners' promises for good.
+                # The guards have closed this version for a replacement that is no longer needed.
+                # Without a new version they would refuse all promises to the owners of the region.
                 desired[region] = evolve(old, version=old.version + 1)
         return desired
 
--- a/rhubarbferry/coordination/keys.py
+++ b/rhubarbferry/coordination/keys.py
@@ -1,7 +1,7 @@
-"""Names of the records of a cell in the store, below the prefix of the cell.
+"""Keys of a cell's records in the store, relative to the cell's key prefix.
 
-All of them share one prefix, apart from logs and snapshots, so that one watch a process is
-enough and log writes wake nobody.
+These records share one prefix, which logs and snapshots do not use. One watch per process is
+therefore enough, and writes to logs produce no watch events.
 """
 
 from __future__ import annotations
--- a/rhubarbferry/coordination/log.py
+++ b/rhubarbferry/coordination/log.py
@@ -1,8 +1,9 @@
 """The sealed log: durable entries of one partition, with group commit and fencing.
 
-Segments ``log/<partition>/<n>`` have consecutive numbers and are created, never overwritten.
-A new owner claims the head, reads everything and creates the next number as its seal. The
-append of a paused earlier owner then finds its number taken and knows that its tenure is over.
+Segments ``log/<partition>/<n>`` have consecutive numbers and are created, never overwritten. A new
+owner claims the head, reads the log and creates the next number as its seal. When a previous owner
+resumes after a pause and appends, its segment number is already taken, which shows it that its
+tenure has ended.
 """
 
 from __future__ import annotations
@@ -57,16 +58,18 @@
 
 
 class SealedLog:
-    """The log of one partition under one epoch; throw it away with the tenure.
+    """The log of one partition under one epoch; discard the object when the tenure ends.
 
     :param partition: the partition.
     :param epoch: the epoch under which this process owns it.
-    :param writer_id: the id of this process, never used again after a restart.
-    :param min_write_interval_s: least time between the starts of two writes; appends gather
-        meanwhile.
-    :param resolve_timeout_s: how long a write with a lost reply is followed up before its callers
-        hear that it is unclear.
+    :param writer_id: the id of this process; not reused after a restart.
+    :param min_write_interval_s: minimum time between the starts of two writes; appends made in the
+        meantime are batched.
+    :param resolve_timeout_s: how long a write whose reply was lost is retried before its callers
+        receive :exc:`~rhubarbferry.ports.log.LogUnclear`.
     :param retention_s: see :class:`~rhubarbferry.core.log.Retention`; the same in all processes.
+    :param segment_bytes: how many bytes of appends are batched into one segment.
+    :param max_queued_appends: further appends are rejected while this many are queued.
     """
 
     def __init__(
@@ -126,11 +129,11 @@
         self._last_write_at = float("-inf")
 
     async def open(self) -> Sequence[LogEntry]:
-        """Seal the log against earlier owners; return all entries that stand, oldest first.
+        """Seal the log against previous owners; return all committed entries, oldest first.
 
-        :raises LogFenced: when a later owner has sealed it already.
-        :raises LogCorrupt: when a record can't be read.
-        :raises LogUnavailable: when the store can't be used now; call again.
+        :raises LogFenced: when a later owner has already sealed it.
+        :raises LogCorrupt: when a record can't be decoded.
+        :raises LogUnavailable: when the store is unavailable; retry later.
         """
         try:
             replay = await self._claim_and_replay()
@@ -150,12 +153,13 @@
         return replay.entries
 
     async def append(self, entries: Sequence[LogEntry]) -> None:
-        """Return once ``entries`` are on record.
+        """Return once ``entries`` are committed.
 
-        :raises LogFenced: when a successor has sealed the log; nothing stands.
-        :raises LogUnavailable: when the store can't be written now; nothing stands.
-        :raises LogUnclear: when the entries may stand.
-        :raises LogTooLarge: when they don't fit into one record; nothing stands.
+        :raises LogFenced: when a successor has sealed the log; nothing was written.
+        :raises LogUnavailable: when the store is not writable; nothing was written.
+        :raises LogUnclear: when the entries may have been written.
+        :raises LogTooLarge: when the entries exceed the size limit of one append; nothing was
+            written.
         """
         if not entries:
             return
@@ -172,11 +176,11 @@
             append.resumed = True
 
     async def compact(self, entries: Iterable[LogEntry]) -> None:
-        """Replace all that is on record by ``entries``, which rebuild the same state.
+        """Replace all committed entries by ``entries``, from which the same state can be rebuilt.
 
         :raises LogFenced: when a later owner has claimed the log.
-        :raises LogUnavailable: when the store can't be written now; the log is as it was.
-        :raises LogUnclear: when it may have been done; either way the log is whole.
+        :raises LogUnavailable: when the store is not writable; the log is unchanged.
+        :raises LogUnclear: when it may have been replaced; the log is consistent in either case.
         """
         self._check_open()
         kept = tuple(entries)
@@ -191,11 +195,11 @@
                 raise
 
     def size(self) -> int:
-        """Return how many segments stand since the last snapshot."""
+        """Return the number of segments since the last snapshot."""
         return self._next_number - 1 - self._head.head.upto
 
     async def close(self) -> None:
-        """Stop writing; appends in progress fail, the one in flight as unclear."""
+        """Stop writing; queued appends fail, and the one in flight fails as unclear."""
         writer = self._writer
         if writer is not None:
             writer.cancel()
@@ -212,13 +216,13 @@
         try:
             replay = await reader.read(self._head.head)
         except LogCorrupt:
-            # A successor that compacts while we read deletes what we are about to read. That
-            # must not be told as a broken record: look first whether there is one.
+            # A successor that compacts the log during this read deletes segments that are still to
+            # be read. Check for a successor before reporting a corrupt record.
             await self._head.verify()
             raise
         await self._seal(replay)
-        # The seal may stand at a number that a successor had freed by compaction, and then
-        # all that we append would stand where nobody reads.
+        # The seal may have been created at a number that a successor's compaction had freed.
+        # Appends after such a seal would never be read.
         await self._head.verify()
         return replay
 
@@ -329,7 +333,8 @@
                 raise self._fenced_error(batch, outcome)
             await self._verify_if_due(batch)
         except (StoreUnclear, LogUnclear, LogUnavailable) as exc:
-            # After LogUnavailable the segment stands, only the head could not be looked at.
+            # LogUnavailable means that the segment is written and only the check of the head
+            # failed.
             self._mark_unresolved(batch, exc)
         except StoreError as exc:
             FAILURES.labels("unavailable").inc()
@@ -356,7 +361,7 @@
         try:
             await self._head.verify()
         except (LogFenced, LogCorrupt) as exc:
-            # A successor may have read the segment before it sealed, or may not.
+            # It is unknown whether the successor read this segment before it sealed the log.
             batch.fail(LogUnclear(f"the log was lost to us during the write: {exc}"))
             raise
 
--- a/rhubarbferry/coordination/log_batches.py
+++ b/rhubarbferry/coordination/log_batches.py
@@ -1,4 +1,4 @@
-"""Appends that wait for their write, and how far the state has taken them in."""
+"""Queued appends, their batches, and how much of the log the caller's state covers."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @define(kw_only=True, slots=True, eq=False)
 class PendingAppend:
-    """One append.
+    """One append that waits for its write.
 
-    :param size: bytes of its entries.
-    :param resumed: whether the caller has gone on with the result.
+    :param size: size of its entries in bytes.
+    :param resumed: whether the caller has continued after the write.
     """
 
     entries: Sequence[LogEntry]
@@ -27,19 +27,19 @@
     resumed: bool = False
 
     def fail(self, exc: LogError) -> None:
-        """Wake the caller with an error, unless it has been woken or has gone."""
+        """Wake the caller with an error, unless it is already woken or cancelled."""
         if not self.fut.done():
             self.fut.set_exception(exc)
 
     def succeed(self) -> None:
-        """Wake the caller, unless it has been woken or has gone."""
+        """Wake the caller, unless it is already woken or cancelled."""
         if not self.fut.done():
             self.fut.set_result(None)
 
 
 @define(kw_only=True, slots=True, eq=False)
 class Batch:
-    """Appends that go into one segment."""
+    """Appends that are written as one segment."""
 
     number: int
     key: str
@@ -57,28 +57,28 @@
             append.succeed()
 
     def all_resumed(self) -> bool:
-        """Tell whether all callers have gone on."""
+        """Return whether all callers have continued after the write."""
         return all(append.resumed for append in self.appends)
 
 
 @define(kw_only=True, slots=True)
 class Coverage:
-    """How far a snapshot of the state covers the log.
+    """Tracks up to which segment a snapshot of the caller's state covers the log.
 
-    An entry is on record a little before its caller has applied it. A snapshot taken between
-    the two that claimed to cover the entry would lose it for good; so a segment is covered
-    only once all its callers have gone on.
+    An entry is written shortly before its caller applies it to the state. A snapshot taken between
+    these two steps does not contain the entry, and would lose it if it replaced the segment. A
+    segment therefore counts as covered only once all its callers have continued.
     """
 
     upto: int
     _batches: deque[Batch] = field(factory=deque)
 
     def segment_written(self, batch: Batch) -> None:
-        """Note that the next segment stands."""
+        """Record that the next segment is written."""
         self._batches.append(batch)
 
     def advance(self) -> int:
-        """Return the highest number that the present state covers."""
+        """Return the highest segment number that the current state covers."""
         while self._batches and self._batches[0].all_resumed():
             self.upto = self._batches.popleft().number
         return self.upto
@@ -86,7 +86,7 @@
 
 @define(kw_only=True, slots=True)
 class AppendQueue:
-    """Appends that no write has taken yet."""
+    """Appends that are not part of a write yet."""
 
     limit: int
     _items: deque[PendingAppend] = field(factory=deque)
@@ -95,15 +95,15 @@
         return len(self._items)
 
     def full(self) -> bool:
-        """Tell whether an append must be refused."""
+        """Return whether further appends must be rejected."""
         return len(self._items) >= self.limit
 
     def add(self, append: PendingAppend) -> None:
-        """Put an append at the end."""
+        """Add an append to the end of the queue."""
         self._items.append(append)
 
     def take(self, cap: int) -> Sequence[PendingAppend]:
-        """Take the first appends that fit into one segment, without those given up."""
+        """Remove and return the first appends that fit into one segment, without cancelled ones."""
         while self._items and self._items[0].fut.done():
             self._items.popleft()
         count = leading((append.size for append in self._items), cap=cap)
@@ -111,7 +111,7 @@
         return [append for append in taken if not append.fut.done()]
 
     def fail(self, exc: LogError) -> None:
-        """Wake all callers with an error."""
+        """Remove all appends and wake their callers with an error."""
         items: Iterable[PendingAppend] = tuple(self._items)
         self._items.clear()
         for append in items:
--- a/rhubarbferry/coordination/log_codec.py
+++ b/rhubarbferry/coordination/log_codec.py
@@ -1,4 +1,4 @@
-"""Records of the log as bytes: magic, checksum over key and payload, thrift."""
+"""Binary encoding of log records: magic, checksum over key and payload, Thrift payload."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def _digest(key: str, payload: bytes) -> bytes:
-    # The key is part of it: a value that was copied to another key is found as corrupt.
+    # The checksum includes the key, so that a value copied to another key is detected as corrupt.
     return xxhash.xxh3_64_digest(key.encode() + b"\x00" + payload)
 
 
@@ -47,33 +47,33 @@
 
 
 def missing_record(key: str) -> LogCorrupt:
-    """Return the error for a record that should be there."""
+    """Return the error for a record that should exist but does not."""
     return _corrupt(key, "it is missing, though later ones or the head need it")
 
 
 def decreasing_epoch(key: str, *, epoch: int, before: int) -> LogCorrupt:
-    """Return the error for a record of an owner that had been fenced before it."""
+    """Return the error for a record whose epoch is lower than that of the preceding record."""
     return _corrupt(key, f"its epoch {epoch} is lower than {before} of the record before it")
 
 
 def entry_bytes(entry: LogEntry) -> int:
-    """Return the encoded size of an entry."""
+    """Return the encoded size of an entry in bytes."""
     transport = TMemoryBuffer()
     entry.write(TBinaryProtocolAccelerated(transport))
     return len(transport.getvalue())
 
 
 def encode_segment(key: str, segment: LogSegment) -> bytes:
-    """Return the value of a segment under ``key``."""
+    """Return the encoded segment for ``key``."""
     transport = TMemoryBuffer()
     segment.write(TBinaryProtocolAccelerated(transport))
     return _frame(SEGMENT_MAGIC, key, transport.getvalue())
 
 
 def decode_segment(key: str, value: bytes) -> LogSegment:
-    """Read the value of a segment.
+    """Decode a segment.
 
-    :raises LogCorrupt: when it is not whole, naming ``key``.
+    :raises LogCorrupt: when the value is damaged; names ``key``.
     """
     payload = _unframe(SEGMENT_MAGIC, key, value)
     segment = LogSegment()
@@ -86,7 +86,7 @@
 
 
 def stamp_of(segment: LogSegment) -> Stamp:
-    """Return who wrote a segment."""
+    """Return the stamp that identifies the writer of a segment."""
     return Stamp(
         epoch=segment.epoch,
         writer_id=segment.writer_id,
@@ -96,14 +96,14 @@
 
 
 def encode_head(key: str, head: Head) -> bytes:
-    """Return the value of a head under ``key``."""
+    """Return the encoded head for ``key``."""
     return _frame(HEAD_MAGIC, key, json.dumps(attrs.asdict(head)).encode())
 
 
 def decode_head(key: str, value: bytes) -> Head:
-    """Read the value of a head.
+    """Decode a head.
 
-    :raises LogCorrupt: when it is not whole, naming ``key``.
+    :raises LogCorrupt: when the value is damaged; names ``key``.
     """
     payload = _unframe(HEAD_MAGIC, key, value)
     try:
--- a/rhubarbferry/coordination/log_compaction.py
+++ b/rhubarbferry/coordination/log_compaction.py
@@ -1,4 +1,4 @@
-"""Put a snapshot in the place of a log's older records; whole after a crash at any step."""
+"""Replace old log segments by a snapshot; the log is consistent after a crash at any step."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class MakeSegment(Protocol):
-    """Make a segment of the owner of the log, with a write id of its own."""
+    """Create a segment of the log's owner with a unique write id."""
 
     def __call__(self, entries: Sequence[LogEntry]) -> LogSegment:
         """Return the segment."""
@@ -31,18 +31,20 @@
 
 
 class CreateOnce(Protocol):
-    """Create a key and find out whether it stands."""
+    """Create a key and determine whether the value was stored."""
 
     def __call__(self, key: str, value: bytes) -> Awaitable[Created | Conflict]:
-        """Return what stands at the key."""
+        """Return whether the key was created, or which other value it holds."""
         ...
 
 
 class Compactor:
-    """Write the values of a snapshot, then move the head, then delete what it covers.
+    """Write the chunks of a snapshot, then move the head, then delete what the snapshot covers.
 
     :param head: the head, claimed by this owner.
-    :param chunk_bytes: how much goes into one value.
+    :param chunk_bytes: size of one chunk of a snapshot in bytes.
+    :param segment: creates a segment with the given entries.
+    :param create: creates a key.
     """
 
     def __init__(
@@ -68,11 +70,11 @@
         self._attempts = count(1)
 
     async def replace(self, entries: Sequence[LogEntry], *, upto: int, sealed_at: float) -> None:
-        """Let ``entries`` stand for all segments up to ``upto``.
+        """Replace all segments up to ``upto`` by a snapshot of ``entries``.
 
-        :param sealed_at: when this owner sealed the log, on its monotonic clock.
+        :param sealed_at: monotonic time at which this owner sealed the log.
         :raises LogFenced: when a later owner has claimed the head.
-        :raises LogUnavailable: when the store can't be written now; the log is as it was.
+        :raises LogUnavailable: when the store is not writable; the log is unchanged.
         :raises LogUnclear: when the head may have been moved.
         """
         epoch = self._head.head.epoch
@@ -94,7 +96,7 @@
             raise LogUnavailable(f"{key} exists already; try again")
 
     async def _delete_covered(self, upto: int, snapshot: str, sealed_at: float) -> None:
-        """Delete what the head no longer needs; what is left over goes the next time."""
+        """Delete what the head no longer refers to; the next compaction deletes any remainder."""
         now = self._clock.monotonic()
         try:
             await self._store.delete_prefix_below(*self._keys.snapshots_below(snapshot))
@@ -107,7 +109,7 @@
 
 
 async def _sizes(entries: Sequence[LogEntry]) -> list[int]:
-    """Return the size of each entry; let others chunk in between, for there may be many."""
+    """Return the size of each entry, yielding to the event loop at intervals."""
     sizes = []
     for index, entry in enumerate(entries, start=1):
         sizes.append(entry_bytes(entry))
--- a/rhubarbferry/coordination/log_head.py
+++ b/rhubarbferry/coordination/log_head.py
@@ -1,4 +1,4 @@
-"""The head of a log: claimed by each new owner, moved by compare-and-swap only."""
+"""The head of a log: claimed by each new owner, changed only by compare-and-swap."""
 
 from __future__ import annotations
 
@@ -23,15 +23,18 @@
 
 
 class LogHead:
-    """The head as this owner holds it.
-
-    A claim comes before anything is read: from then on no earlier owner can move the head,
-    so a snapshot of its state, which may hold entries that were never recorded, can't come
-    into force after the successor has read the log.
-
-    :param writer_id: this process.
-    :param epoch: the epoch under which it owns the partition.
-    :param nonce: unique for each object, so that its write ids are never used again.
+    """The head of the log as last read or written by this owner.
+
+    A new owner claims the head before it reads the log. From then on no previous owner can move
+    the head. Otherwise a snapshot of a previous owner, which may contain entries that were never
+    committed, could become valid after the new owner has read the log.
+
+    :param writer_id: the id of this process.
+    :param epoch: the epoch under which this process owns the partition.
+    :param nonce: unique for each object, so that its write ids are never reused.
+    :ivar revision: store revision of the last known head; 0 before the first read.
+    :ivar verified_at: monotonic time of the last confirmation that no later owner has claimed it.
+    :ivar head: the last known head.
     """
 
     def __init__(
@@ -50,26 +53,26 @@
         self.head = Head(epoch=0, writer_id="", write_id="")
 
     async def claim(self) -> None:
-        """Put our epoch into the head.
+        """Write the epoch of this owner into the head.
 
-        :raises LogFenced: when a later owner has claimed it.
+        :raises LogFenced: when a later owner has claimed the head.
         """
         async with self._lock:
             self._load(await self._read())
             await self._swap()
 
     async def verify(self) -> None:
-        """Make sure that no later owner has claimed the head.
+        """Check that no later owner has claimed the head.
 
-        It is written, not read: an answer of a store that lags behind could hide a claim.
+        The check is a write, not a read, because a read from a lagging store could miss a claim.
 
-        :raises LogFenced: when one has.
+        :raises LogFenced: when a later owner has claimed the head.
         """
         async with self._lock:
             await self._swap()
 
     async def move(self, *, upto: int, snapshot: str, chunks: int) -> None:
-        """Point the head at a snapshot that is wholly on record."""
+        """Point the head at a snapshot whose chunks are all stored."""
         async with self._lock:
             await self._swap(
                 lambda head: attrs.evolve(head, upto=upto, snapshot=snapshot, chunks=chunks)
--- a/rhubarbferry/coordination/log_metrics.py
+++ b/rhubarbferry/coordination/log_metrics.py
@@ -1,4 +1,4 @@
-"""Counters of the logs of this process."""
+"""Metrics of all logs of this process."""
 
 from __future__ import annotations
 
--- a/rhubarbferry/coordination/log_reader.py
+++ b/rhubarbferry/coordination/log_reader.py
@@ -1,4 +1,4 @@
-"""Read a log from its head on, in pages, and check that it is whole and in order."""
+"""Read a log page by page, starting at its head, and check that it is complete and in order."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @define(kw_only=True, slots=True)
 class Replay:
-    """What a log holds.
+    """The contents of a log.
 
-    :param entries: all entries that stand, oldest first.
-    :param next_number: the first number that was not found.
+    :param entries: all committed entries, oldest first.
+    :param next_number: the first segment number that does not exist.
     :param epoch: epoch of the last segment.
     """
 
@@ -25,11 +25,11 @@
     epoch: int = 0
 
     def add(self, key: str, segment: LogSegment, *, limit: int) -> None:
-        """Take in the segment with the next number.
+        """Append the segment with the next number.
 
-        :param limit: our epoch; a higher one fences us.
-        :raises LogFenced: when a later owner wrote it.
-        :raises LogCorrupt: when an owner wrote it that was fenced before.
+        :param limit: the epoch of this owner; a segment with a higher epoch fences it.
+        :raises LogFenced: when a later owner wrote the segment.
+        :raises LogCorrupt: when the segment was written by an owner that was already fenced.
         """
         if segment.epoch > limit:
             raise LogFenced(f"{key} is of epoch {segment.epoch}; give up the partition")
@@ -41,11 +41,11 @@
 
 
 class LogReader:
-    """Read the snapshot and the segments behind it.
+    """Read the snapshot and the segments after it.
 
-    Each answer holds at most ``PAGE`` values, so its size is bounded.
+    Each reply of the store holds at most ``PAGE`` values, which bounds its size.
 
-    :param revision: an answer from before this revision of the store is refused.
+    :param revision: replies from an earlier store revision than this are rejected.
     """
 
     def __init__(self, *, store: Store, keys: LogKeys, epoch: int, revision: int) -> None:
@@ -55,11 +55,11 @@
         self._revision = revision
 
     async def read(self, head: Head) -> Replay:
-        """Return what the log holds.
+        """Return the contents of the log.
 
-        :raises LogUnavailable: when the store does not answer or lags behind.
-        :raises LogCorrupt: when a record is missing_record or not whole.
-        :raises LogFenced: when a later owner wrote one.
+        :raises LogUnavailable: when the store does not respond or lags behind.
+        :raises LogCorrupt: when a record is missing or damaged.
+        :raises LogFenced: when a later owner wrote a segment.
         """
         replay = Replay(next_number=head.upto + 1)
         await self._read_snapshot(head, replay)
@@ -91,7 +91,7 @@
         return True
 
     def _check_end(self, key: str, found: dict[str, KeyValue]) -> None:
-        # Numbers are consecutive, so one behind a gap means that a record has been lost.
+        # Segment numbers are consecutive, so a segment after a gap shows that a record was lost.
         if any(other > key for other in found):
             raise missing_record(key)
 
--- a/rhubarbferry/coordination/membership.py
+++ b/rhubarbferry/coordination/membership.py
@@ -1,4 +1,4 @@
-"""The record of this process under a lease in the store."""
+"""The member record of this process and the lease that it depends on."""
 
 from __future__ import annotations
 
@@ -27,11 +27,12 @@
 
 
 class Membership:
-    """Keep this process a member; own its lease and its record.
+    """Keep this process a member of the cell: maintain its lease and publish its record.
 
     :param member: the record to publish.
-    :ivar store_answered: whether the store store_answered the last time that it was asked.
-    :ivar changes: notified when the lease is granted, renewed or lost, and on publication.
+    :ivar lease: the current lease, or ``None``.
+    :ivar store_answered: whether the store answered the last request.
+    :ivar changes: notified when the lease is renewed or lost, and on publication.
     """
 
     def __init__(
@@ -50,18 +51,19 @@
 
     @property
     def member(self) -> Member:
-        """The record as it should be."""
+        """The desired state of the record."""
         return self._desired
 
     @property
     def published(self) -> Member | None:
-        """The record as the store holds it, ``None`` without a lease."""
+        """The record as last stored, or ``None`` without a lease."""
         return self._published
 
     def is_missing_from(self, members: Mapping[str, Member], revision: int) -> bool:
-        """Tell whether the record has been deleted, as of a revision of the store.
+        """Return whether the record was deleted, as of a store revision.
 
-        Others take it for the end of this process, however long the lease may still run.
+        Other members treat a missing record as the end of this process, even if its lease is still
+        valid.
         """
         published = self._published
         if published is None or revision < self._revision:
@@ -70,22 +72,22 @@
         return seen is None or seen.incarnation != published.incarnation
 
     def update(self, **changes: Any) -> None:
-        """Change fields of the record; changes made close together go in one write."""
+        """Change fields of the record; changes made in quick succession share one write."""
         self._desired = evolve(self._desired, **changes)
         self._updates.notify()
 
     def holds(self, incarnation: int) -> bool:
-        """Tell whether the lease with this incarnation holds for sure."""
+        """Return whether the lease with this incarnation is still valid beyond doubt."""
         lease = self.lease
         if lease is None or lease.incarnation != incarnation:
             return False
         return lease.holds(self._clock.monotonic())
 
     def drop_lease(self) -> None:
-        """Give the lease up: all that was won under it is lost.
+        """Drop the lease, which ends all tenures that were won under it.
 
-        A lease regained is a new lease. While there was none, others may have taken over, so
-        the next one gets a new incarnation, which no entry of the table names.
+        While there was no lease, others may have taken over the partitions. The next lease
+        therefore gets a new incarnation, which no entry of the ownership table refers to.
         """
         if self.lease is None:
             return
@@ -97,7 +99,7 @@
         self.changes.notify()
 
     async def run(self) -> None:
-        """Join, renew and publish until cancelled."""
+        """Acquire and renew the lease and publish the record until cancelled."""
         while True:
             version = self._updates.version
             pause_s = self._cfg.renew_s
@@ -115,9 +117,9 @@
             await wait_at_most(self._clock, pause_s, self._updates.changed(version))
 
     async def leave(self) -> None:
-        """Revoke the lease, so that nobody has to wait for its end.
+        """Revoke the lease, so that others need not wait for it to expire.
 
-        :raises StoreError: when the store can't be reached; the lease lapses by itself then.
+        :raises StoreError: when the store can't be reached; the lease then expires on its own.
         """
         lease = self.lease
         self.drop_lease()
@@ -172,7 +174,11 @@
         self.changes.notify()
 
     async def _resolve_write(self, key: str, value: bytes, lease: Lease) -> int:
-        """Return the revision of the record, or drop the lease when it is not ours to write."""
+        """Return the revision of the stored record, or raise when it must not be overwritten.
+
+        :raises StoreUnclear: when an older record of this lease is stored; it is written again.
+        :raises LeaseLost: when the record is gone or belongs to another lease.
+        """
         kv = await self._store.get(key)
         if kv is not None and kv.lease_id == lease.id:
             if kv.value == value:
@@ -181,5 +187,5 @@
             self._published = decode(key, kv.value, Member)
             self._updates.notify()
             raise StoreUnclear("the record is an older one of ours; write it again")
-        # Gone, or of another lease: others may have seen this process as dead already.
+        # Deleted, or attached to another lease: others may already consider this process dead.
         raise LeaseLost(f"the record {key!r} does not hang on our lease")
--- a/rhubarbferry/coordination/mirror.py
+++ b/rhubarbferry/coordination/mirror.py
@@ -1,4 +1,4 @@
-"""This process's copy of the cell's records, and the views made of it."""
+"""This process's copy of the cell's records, and views derived from it."""
 
 from __future__ import annotations
 
@@ -29,13 +29,14 @@
 
 @frozen(kw_only=True, slots=True)
 class State:
-    """The records at one revision of the store.
+    """The decoded records at one revision of the store.
 
     :param members: live members by id.
-    :param table_revision: the store's revision of the last write of the table, 0 for none.
-    :param table_readable: whether ``table`` is what that write held; nobody may plan a table
-        that begins the epochs anew because the stored one can't be read.
-    :param config_revision: the same of the configuration.
+    :param table_revision: the store revision at which the ownership table was last written; 0 when
+        there is none.
+    :param table_readable: whether ``table`` was decoded from that write. While it is ``False``, no
+        table may be planned: epochs would start again at 1 because the stored ones can't be read.
+    :param config_revision: the same as ``table_revision``, for the configuration.
     """
 
     members: dict[str, Member]
@@ -57,9 +58,9 @@
 
 
 def read_state(items: Iterable[KeyValue], previous: State = EMPTY_STATE) -> State:
-    """Read the records of a list; one that can't be read is left out and counted.
+    """Decode the records of a list; records that can't be decoded are skipped and counted.
 
-    :param previous: keeps its table or configuration while the stored one can't be read.
+    :param previous: supplies the table or configuration while the stored one can't be decoded.
     """
     members: dict[str, Member] = {}
     table, table_revision, table_readable = Table(), 0, True
@@ -97,11 +98,13 @@
 
 
 class Mirror:
-    """The records as last seen; implements ``ports.ownership.OwnershipView``.
+    """The records as last read; implements ``ports.ownership.OwnershipView``.
 
+    :ivar state: the decoded records.
+    :ivar revision: the store revision that ``state`` reflects.
     :ivar changes: notified after each change.
-    :ivar last_read_at: monotonic time previous the last whole read was asked for.
-    :ivar epochs: the highest epoch ever seen of each partition.
+    :ivar last_read_at: monotonic time at which the last full read was requested.
+    :ivar epochs: the highest epoch ever observed for each partition.
     """
 
     def __init__(self) -> None:
@@ -114,11 +117,12 @@
         self._by_kind: dict[tuple[PartitionKind, str | None], tuple[PartitionId, ...]] = {}
 
     def replace(self, listing: Listing, *, asked_at: float, without_watch: bool) -> None:
-        """Take over a whole read.
+        """Replace all records by the result of a full read.
 
-        :param asked_at: monotonic time previous it was asked for.
-        :param without_watch: whether no watch runs beside it, so that a lower revision means that
-            the store itself went back; else the watch was merely faster.
+        :param asked_at: monotonic time at which the read was requested.
+        :param without_watch: whether no watch was running when the read was requested. In that
+            case a lower revision means that the store itself was rolled back; otherwise the watch
+            was merely ahead of the read.
         """
         if listing.revision < self.revision:
             if not without_watch:
@@ -135,7 +139,7 @@
             self._update()
 
     def apply(self, events: Iterable[WatchEvent]) -> None:
-        """Take over watched changes."""
+        """Apply events received from a watch."""
         for event in events:
             match event:
                 case KeyPut(kv=kv):
@@ -164,7 +168,7 @@
         self.changes.notify()
 
     def owner(self, partition: PartitionId) -> Owner | None:
-        """Return the owner, or ``None`` while there is none that lives."""
+        """Return the owner of a partition, or ``None`` when it has no live owner."""
         entry = self.state.table.entries.get(partition)
         if entry is None:
             return None
@@ -174,7 +178,7 @@
         return Owner(member_id=entry.member_id, address=entry.address, epoch=entry.epoch)
 
     def partitions(self, kind: PartitionKind, region: str | None = None) -> tuple[PartitionId, ...]:
-        """Return the known partitions of a kind, in order."""
+        """Return the known partitions of a kind in sorted order."""
         found = self._by_kind.get((kind, region))
         if found is None:
             entries = self.state.table.entries
@@ -185,18 +189,18 @@
         return found
 
     def members(self, role: Role, region: str | None = None) -> tuple[Member, ...]:
-        """Return the live members of a role, in order of id."""
+        """Return the live members with a role, ordered by id."""
         found = (m for m in self.state.members.values() if m.role is role)
         return tuple(sorted((m for m in found if region in (None, m.region)), key=lambda m: m.id))
 
     def guards(self, region: str) -> tuple[Guard, ...]:
-        """Return the guard set of a region, its dead members among them."""
+        """Return the guard set of a region, including its dead members."""
         return self.guard_set(region).guards
 
     def guard_version(self, region: str) -> int:
-        """Return the version of that guard set; 0 while there is none."""
+        """Return the version of that guard set; 0 when there is none."""
         return self.guard_set(region).version
 
     def guard_set(self, region: str) -> GuardSet:
-        """Return the guard set of a region; version 0 while there is none."""
+        """Return the guard set of a region; its version is 0 when there is none."""
         return self.state.table.guards.get(region, NO_GUARDS)
--- a/rhubarbferry/coordination/node.py
+++ b/rhubarbferry/coordination/node.py
@@ -1,4 +1,4 @@
-"""One process as a member of the cell: membership, ownership and configuration together."""
+"""One process as a member of the cell: combines membership, ownership and configuration."""
 
 from __future__ import annotations
 
@@ -42,16 +42,17 @@
 
 
 class Node:
-    """Join the cell, follow its records, and say which partitions this process owns.
-
-    :param role: only schedulers own and plan; frontends just follow.
-    :param address: ``ip:port`` of this process's RPC server, already listening.
-    :param guards: calls to frontends; made here when not given.
-    :param fetch_from_peers: asks other processes for the configuration while the store can't be
-        read; by default the addresses in ``[process] peers``.
-    :param jitter: returns random numbers below 1.
-    :param budget: the budget of ``store``; kept at this process's share of the cell's rate.
-    :ivar events: :class:`Won` and :class:`Lost`; only schedulers get any.
+    """Join the cell, follow its records and maintain the partitions that this process owns.
+
+    :param role: only schedulers own and plan partitions; frontends only follow the records.
+    :param address: ``ip:port`` of this process's RPC server, which must already be listening.
+    :param guards: connection pool for calls to frontends; created here when omitted.
+    :param fetch_from_peers: fetches the configuration from other processes while the store is
+        unavailable; by default from the addresses in ``[process] peers``.
+    :param jitter: returns random numbers from 0 up to 1.
+    :param budget: the rate limiter of ``store``; updated to this process's share of the cell's
+        limits.
+    :ivar events: :class:`Won` and :class:`Lost`; only schedulers receive any.
     """
 
     def __init__(
@@ -123,60 +124,62 @@
 
     @property
     def ownership(self) -> Mirror:
-        """The ownership table and the members, as last seen."""
+        """The ownership table and the members, as last read."""
         return self._mirror
 
     @property
     def config_text(self) -> str:
-        """The INI of the configuration in force."""
+        """The active configuration in INI format."""
         return self.cell.record.text
 
     @property
     def events(self) -> asyncio.Queue[Won | Lost]:
-        """What was won and lost, in order."""
+        """Queue of won and lost tenures, in order."""
         return self._tenures.events
 
     @property
     def tenures(self) -> dict[PartitionId, HeldTenure]:
-        """The tenures that have not ended."""
+        """The active tenures by partition."""
         return dict(self._tenures.current)
 
     @property
     def draining(self) -> bool:
-        """Whether this process is on its way out."""
+        """Whether this process is draining."""
         return self._membership.member.draining
 
     @property
     def connected(self) -> bool:
-        """Whether the records of the cell are being watched."""
+        """Whether the cell's records are being watched."""
         return self._watcher.connected
 
     @property
     def store_lost(self) -> bool:
-        """Whether the store has not answered this process for longer than a lease lasts.
+        """Whether the store has been unreachable from this process for longer than a lease lasts.
 
-        While the store is down for all, no partition changes its owner; while only this process
-        is cut off, it would not hear of a new owner. A short break of the watch is neither.
+        While the store is down for all processes, no partition changes its owner. While only this
+        process is cut off, it would not learn of a new owner. A short interruption of the watch
+        does not count as either case.
         """
         membership = self._membership
         return not membership.store_answered and not membership.holds(membership.member.incarnation)
 
     async def start(self) -> None:
-        """Begin; return once the records were read, or after a bounded wait without a store."""
+        """Start; return once the records are read, or after a timeout while there is no store."""
         self._main = asyncio.create_task(self._run())
         await wait_at_most(self._clock, START_TIMEOUT_S, self._wait_started())
 
     async def wait(self) -> None:
-        """Return when the node has stopped; raise what stopped it."""
+        """Wait until the node has stopped; raise the exception that stopped it."""
         if self._main is not None:
             await self._main
 
     async def drain(self, handover: bool = True) -> None:
-        """Leave in order.
+        """Leave the cell gracefully.
 
-        :param handover: ``False`` only marks this process as draining, so that it gets nothing
-            new. ``True`` then ends all tenures and returns once the table gives the partitions
-            to others, or after ``[process] drain_s``: call it after their work is done.
+        :param handover: ``False`` only marks this process as draining, so that it is assigned no
+            new partitions. ``True`` also ends all tenures and returns once the table assigns the
+            partitions to others, or after ``[process] drain_s``; call it after the work of the
+            partitions is done.
         """
         self._membership.update(draining=True)
         if not handover:
@@ -211,7 +214,7 @@
                     tasks.create_task(self._promises.run())
                     tasks.create_task(self._restore_config())
         finally:
-            # Without these tasks nobody would notice that a partition was lost.
+            # Without these tasks, the loss of a partition would go undetected.
             self._tenures.end_all()
 
     async def _sync_forever(self) -> None:
--- a/rhubarbferry/coordination/peers.py
+++ b/rhubarbferry/coordination/peers.py
@@ -1,4 +1,4 @@
-"""Ask other processes for the configuration, when the store can't be read."""
+"""Fetch the configuration from other processes while the store is unavailable."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 class PeerConfiguration:
-    """Read the configuration of peers by their ``status``.
+    """Read the active configuration of peers with the ``status`` RPC.
 
-    :param pool: calls to them; each service of this project has that method.
+    :param pool: connection pool for calls to the peers; every service of this project implements
+        ``status``.
     :param addresses: ``ip:port`` of their RPC servers.
     """
 
@@ -24,7 +25,7 @@
         self._addresses = tuple(addresses)
 
     async def __call__(self) -> ConfigRecord | None:
-        """Return the highest revision that a peer has in force; ``None`` when none answers."""
+        """Return the highest revision active at any peer; ``None`` when no peer answers."""
         answers = await asyncio.gather(*(self._fetch(address) for address in self._addresses))
         found = [record for record in answers if record is not None]
         return max(found, key=lambda record: record.revision, default=None)
--- a/rhubarbferry/coordination/planner.py
+++ b/rhubarbferry/coordination/planner.py
@@ -1,4 +1,4 @@
-"""Keep the table as the plan has it: take over from the dead, hand over to the new."""
+"""Update the ownership table: replace dead owners and move partitions to new members."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class RecordSource(Protocol):
-    """Read all records of the cell anew."""
+    """Source of all records of the cell."""
 
     async def refresh(self) -> None:
-        """Read them.
+        """Read all records again.
 
         :raises StoreError: when they can't be read.
         """
@@ -38,10 +38,13 @@
 
 
 class Planner:
-    """Propose the table as one scheduler; all schedulers do, and would write the same.
+    """Compute the ownership table and write it.
 
-    :param partitions: returns what has to be owned, from configuration and hosts.
-    :param jitter: returns a random number below 1, so that racing planners don't all write.
+    Each scheduler runs a planner; from the same records, all of them compute the same table.
+
+    :param partitions: returns the partitions that need an owner, from configuration and hosts.
+    :param jitter: returns a random number from 0 up to 1, so that not all planners write at the
+        same time.
     """
 
     def __init__(
@@ -72,7 +75,7 @@
         self._misplaced_since: float | None = None
 
     async def run(self) -> None:
-        """Plan after each change until cancelled."""
+        """Run a planning step after each change until cancelled."""
         while True:
             version = self._mirror.changes.version
             try:
@@ -84,12 +87,12 @@
             )
 
     def hand_over(self) -> None:
-        """End all tenures and give their partitions away with the next step."""
+        """End all tenures; the next step assigns their partitions to other members."""
         self._leaving = True
         self._tenures.end_all()
 
     async def step(self) -> None:
-        """Bring the table one step nearer to the plan.
+        """Move the table one step closer to the target assignment.
 
         :raises StoreError: when the store can't be read or written.
         """
@@ -97,8 +100,9 @@
         if member is None or not self._membership.holds(member.incarnation):
             return
         if self._moves_due(member):
-            # Given up while the store is down, the partitions would have no owner until it is
-            # back. So the store must answer first, and the plan must still be the same.
+            # If tenures were ended while the store is down, their partitions would have no owner
+            # until it is available again. So the store must answer first, and the moves must still
+            # be required.
             await self._source.refresh()
             self._tenures.end_all(self._misplaced(member))
             self._misplaced_since = None
@@ -107,8 +111,9 @@
         await self._clock.sleep(
             self._rank(member) * DELAY_PER_RANK_S + self._jitter() * DELAY_PER_RANK_S
         )
-        # A member may seem dead only because its record was not seen here. So nobody loses a
-        # partition but on a list read after that, together with the table that is replaced.
+        # A member may seem dead only because this process has not received its record. So a
+        # partition is reassigned only after a full read, which also returns the table to be
+        # replaced.
         await self._source.refresh()
         table = self._next_table()
         if table is None:
@@ -144,12 +149,13 @@
         return wrong & self._tenures.current.keys()
 
     def _moves_due(self, member: Member) -> bool:
-        """Tell whether partitions of this member have been misplaced for long enough.
+        """Return whether partitions of this member have been misplaced for long enough to move.
 
-        A cell that starts gets its members one by one, and each move costs an adoption.
+        The members of a starting cell join one by one, and each move costs a recovery by the new
+        owner.
         """
         if member.draining or not self._mirror.state.table_readable:
-            # A draining member keeps its partitions until it has finished with them.
+            # A draining member keeps its partitions until their work is done.
             return False
         if not self._misplaced(member):
             self._misplaced_since = None
--- a/rhubarbferry/coordination/promises.py
+++ b/rhubarbferry/coordination/promises.py
@@ -1,4 +1,4 @@
-"""Calls to the guards: promises for the tenures of runner partitions, and closing a set."""
+"""Calls to guards: request promises for runner partitions, and close guard sets."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 
 class GuardClient:
-    """Ask guards over RPC.
+    """RPC client for the guards.
 
-    :param pool: calls to frontends.
+    :param pool: connection pool for calls to frontends.
     """
 
     def __init__(self, *, pool: Pool) -> None:
@@ -43,7 +43,7 @@
     async def __call__(
         self, guard: Guard, *, region: str, version: int
     ) -> CloseConfirmation | None:
-        """Ask a guard to close the versions of its set below ``version``."""
+        """Request that a guard closes the versions of its guard set below ``version``."""
         req = CloseGuardSetRequest(region=region, version=version)
         try:
             reply: CloseGuardSetReply = await self._pool.call(
@@ -51,13 +51,13 @@
             )
         except RpcError:
             return None
-        # Another process may listen at the address of a guard that has died.
+        # Another process may listen at the address of a dead guard.
         if not reply.closed or reply.guard_id != guard.id:
             return None
         return CloseConfirmation(guard_id=guard.id, promise_left_s=reply.promise_left_ms / 1000)
 
     async def promise(self, guard: Guard, req: PromiseRequest) -> PromiseReply | None:
-        """Ask a guard for a promise; ``None`` when it didn't answer for itself."""
+        """Request a promise; return ``None`` when this guard did not answer."""
         try:
             reply: PromiseReply = await self._pool.call(
                 guard.address, "promise", req, timeout_s=CALL_TIMEOUT_S
@@ -68,10 +68,10 @@
 
 
 class PromiseRenewer:
-    """Hold promises for the runner partitions of this process, before it needs them.
+    """Keep promises for this process's runner partitions up to date before they are needed.
 
-    It is too late to begin when the lease is over: an owner that is cut off just then would
-    refuse requests until the first majority has answered.
+    When the lease has expired, it is too late to start: an owner that is cut off at that moment
+    would refuse requests until a majority of the guards has answered.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         self._promised: set[HeldTenure] = set()
 
     async def run(self) -> None:
-        """Ask in rounds until cancelled."""
+        """Request and renew promises until cancelled."""
         while self._cfg.longest_extension_s > 0:
             ends = self._tenures.end_signal.version
             await self._release_ended()
@@ -110,11 +110,11 @@
             await wait_at_most(self._clock, pause_s, self._tenures.end_signal.changed(ends))
 
     async def _release_ended(self) -> None:
-        """Tell the guards of tenures that have ended that their promises are not counted on.
+        """Release the promises of tenures that have ended.
 
-        A planned hand-over ends a tenure seconds before its promises run out. Until then no guard
-        acknowledges the successor, and callers get no slot for up to the length of a promise.
-        A word that is lost only means that the promise runs out by itself.
+        A planned handover ends a tenure seconds before its promises expire. Until then no guard
+        acknowledges the successor, and callers could wait up to the duration of a promise for a
+        slot. If a release is lost, the promise simply expires.
         """
         ended = [tenure for tenure in self._promised if tenure.ended]
         self._promised.difference_update(ended)
@@ -161,7 +161,7 @@
             return
         tenure.seen(reply.highest_epoch)
         if reply.limit_ms:
-            # A guard started with a shorter setting gives nothing for more than that.
+            # A guard started with a lower limit refuses promises longer than that limit.
             self._limits_ms[guard.id] = reply.limit_ms
         if reply.given:
             tenure.book.given(
--- a/rhubarbferry/coordination/records.py
+++ b/rhubarbferry/coordination/records.py
@@ -1,4 +1,4 @@
-"""Encode and decode the records of a cell as JSON."""
+"""Encode and decode the cell's records as JSON."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class RecordCorrupt(Exception):
-    """A record can't be read; the message names its key. Restore or delete it by hand."""
+    """A record can't be decoded; the message names its key. Restore or delete it manually."""
 
 
 @frozen(kw_only=True, slots=True)
 class TableRecord:
-    """The ownership table as the store holds it.
+    """The ownership table as stored.
 
     :param writer_id: the member that wrote it.
-    :param write_id: unique for each attempt of that member, to know one's own write again.
+    :param write_id: unique for each attempt of that member, so that it can identify its own write.
     """
 
     table: Table
@@ -36,14 +36,14 @@
 
 
 def encode(record: object) -> bytes:
-    """Return the JSON of a record."""
+    """Return a record as JSON."""
     return _converter.dumps(record).encode()
 
 
 def decode(key: str, value: bytes, kind: type[T]) -> T:
-    """Read a record.
+    """Decode a record.
 
-    :raises RecordCorrupt: when ``value`` is not the JSON of a ``kind``.
+    :raises RecordCorrupt: when ``value`` is not valid JSON for a ``kind``.
     """
     try:
         return _converter.loads(value.decode(), kind)
--- a/rhubarbferry/coordination/release.py
+++ b/rhubarbferry/coordination/release.py
@@ -1,4 +1,4 @@
-"""What an operator may force when the guards of a region are really dead."""
+"""Manual release of a region's guard set, for when its guards are permanently lost."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class ReleaseRace(Exception):
-    """The table was changed meanwhile; nothing was done. Try again."""
+    """The table was changed concurrently; nothing was done. Retry."""
 
 
 async def release_guards(store: Store, *, region: str, writer_id: str) -> int:
-    """Empty the guard set of a region, so that the live frontends form the next one at once.
+    """Empty the guard set of a region, so that its live frontends form a new one immediately.
 
-    Safe only when no scheduler that owned a runner partition of the region still runs cut off
-    from the store: two owners might then give out the same slots.
+    This is safe only when no scheduler that owned a runner partition of the region is still
+    running without access to the store. Otherwise two owners could grant the same slots.
 
-    :param writer_id: names the author of the change; unique for each call.
+    :param writer_id: identifies the author of the change; unique for each call.
     :returns: the version of the empty set.
-    :raises NoTable: when there is no table.
-    :raises ReleaseRace: when another change came first.
+    :raises NoTable: when there is no ownership table.
+    :raises ReleaseRace: when the table was changed concurrently.
     """
     kv = await store.get(OWNERSHIP)
     if kv is None:
--- a/rhubarbferry/coordination/signal.py
+++ b/rhubarbferry/coordination/signal.py
@@ -1,4 +1,4 @@
-"""Wait for changes of state, with a bound on each wait."""
+"""Change notification for state that tasks wait on, and waits with a timeout."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 class Signal:
-    """A counter of changes that tasks can wait on; no change is missed between two waits."""
+    """A change counter that tasks can wait on; changes between two waits are not missed."""
 
     def __init__(self) -> None:
         self.version = 0
         self._event = asyncio.Event()
 
     def notify(self) -> None:
-        """Count a change and wake all who wait."""
+        """Increment the version and wake all waiting tasks."""
         self.version += 1
         event, self._event = self._event, asyncio.Event()
         event.set()
 
     async def changed(self, since: int) -> None:
-        """Return when the version is no longer ``since``."""
+        """Wait until the version differs from ``since``."""
         while self.version == since:
             await self._event.wait()
 
 
 async def wait_at_most(clock: Clock, seconds: float, awaitable: Awaitable[Any]) -> bool:
-    """Wait for ``awaitable``, but not longer than ``seconds``; tell whether it finished."""
+    """Wait for ``awaitable`` for at most ``seconds``; return whether it finished."""
     task = asyncio.ensure_future(awaitable)
     timeout = asyncio.ensure_future(clock.sleep(seconds))
     try:
--- a/rhubarbferry/coordination/table.py
+++ b/rhubarbferry/coordination/table.py
@@ -17,9 +17,9 @@
 
 
 class TableWriter:
-    """Write the table as one member.
+    """Write the ownership table on behalf of one member.
 
-    :param writer_id: the member, part of each value to know one's own write again.
+    :param writer_id: the id of this member, stored with the table to identify its own writes.
     """
 
     def __init__(self, *, store: Store, writer_id: str) -> None:
@@ -28,10 +28,10 @@
         self._write_numbers = itertools.count(1)
 
     async def write(self, table: Table, *, based_on: int) -> bool:
-        """Replace the table whose last write was store revision ``based_on`` (0: there is none).
+        """Replace the table last written at store revision ``based_on`` (0: there is no table).
 
-        :returns: whether this write is_stored; ``False`` when another one came first.
-        :raises StoreError: when that is not known. Read the table before the next attempt.
+        :returns: whether this table was stored; ``False`` when another write came first.
+        :raises StoreError: when this is unknown. Read the table before the next attempt.
         """
         write_id = str(next(self._write_numbers))
         value = encode(TableRecord(table=table, writer_id=self._writer_id, write_id=write_id))
@@ -48,8 +48,8 @@
         return revision is not None
 
     async def _is_stored(self, write_id: str) -> bool:
-        # Repeating the write would be refused by its own first copy, and a caller told "refused"
-        # would plan again although its table is_stored.
+        # Don't repeat the write: if the first attempt was stored, the repetition would be
+        # rejected, and the caller would plan again although its table is in place.
         kv = await self._store.get(OWNERSHIP)
         if kv is None:
             return False
--- a/rhubarbferry/coordination/tenure.py
+++ b/rhubarbferry/coordination/tenure.py
@@ -1,4 +1,4 @@
-"""The tenures of this process: which partitions it may decide for, and until when."""
+"""Tenures of this process: which partitions it may decide for, and until when."""
 
 from __future__ import annotations
 
@@ -29,9 +29,11 @@
 class HeldTenure:
     """One tenure; implements ``ports.ownership.Tenure``.
 
-    :param lease_holds: tells whether the lease it was won under holds.
-    :param extension_until: monotonic time up to which promises may stand in for the lease.
-    :param book: the promises of the guards, or the answers of a rack's workers.
+    :param lease_holds: returns whether the lease under which the tenure was won is still valid.
+    :param extension_until: returns the monotonic time up to which promises may replace the lease.
+    :param book: the promises of the guards, or the replies of a rack's workers.
+    :param ended: whether the tenure has ended for good.
+    :param highest_seen_epoch: the highest epoch that a worker or guard has reported.
     """
 
     partition: PartitionId
@@ -45,19 +47,19 @@
     highest_seen_epoch: int = 0
 
     def holds(self) -> bool:
-        """Tell whether this process may act NOW: checked right before each act."""
+        """Return whether this process may act now; call it immediately before each action."""
         if self.ended:
             return False
         match self.partition.kind:
             case PartitionKind.KEY:
                 return self.lease_holds()
             case PartitionKind.WORKER | PartitionKind.RUNNER:
-                # Past the lease there may be a successor. With a majority behind it, this
-                # owner knows that a successor has none, and so has decided nothing yet.
+                # After the lease has expired, there may be a successor. While a majority supports
+                # this owner, a successor has no majority, and so has not made any decision yet.
                 return self.lease_holds() or self._promised()
 
     def seen(self, epoch: int) -> None:
-        """Note an epoch that a worker or a guard has named; a higher one end_signal the tenure."""
+        """Record an epoch reported by a worker or guard; a higher epoch ends the tenure."""
         self.highest_seen_epoch = max(self.highest_seen_epoch, epoch)
         if epoch > self.epoch:
             self.ended = True
@@ -76,18 +78,18 @@
 
 @frozen(kw_only=True, slots=True)
 class Lost:
-    """A tenure has ended; its ``holds()`` was false before this was sent."""
+    """A tenure has ended; its ``holds()`` returned ``False`` before this event was queued."""
 
     partition: PartitionId
     epoch: int
 
 
 class Tenures:
-    """Turn what the mirror and the lease say into tenures and events.
+    """Derive tenures and events from the ownership table and the lease.
 
     :ivar events: :class:`Won` and :class:`Lost`, in order.
-    :ivar current: the tenures that have not ended.
-    :ivar end_signal: counts the tenures that have ended.
+    :ivar current: the active tenures by partition.
+    :ivar end_signal: notified whenever a tenure ends.
     """
 
     def __init__(
@@ -103,7 +105,7 @@
         self.end_signal = Signal()
 
     def sync(self) -> None:
-        """End what is no longer ours, begin what has become ours."""
+        """End tenures that are no longer valid and begin those that the table assigns."""
         lease = self._membership.lease
         entries = self._mirror.state.table.entries
         for partition, tenure in list(self.current.items()):
@@ -121,7 +123,7 @@
         self._sync_guards()
 
     def end(self, partition: PartitionId) -> None:
-        """End a tenure for good: its epoch is never used again here."""
+        """End a tenure permanently; this process never uses its epoch again."""
         tenure = self.current.pop(partition, None)
         if tenure is None:
             return
@@ -134,17 +136,17 @@
         self.end_signal.notify()
 
     def end_all(self, partitions: Iterable[PartitionId] | None = None) -> None:
-        """End the tenures of ``partitions``, of all when there is no list."""
+        """End the tenures of ``partitions``, or all tenures when omitted."""
         for partition in list(self.current if partitions is None else partitions):
             self.end(partition)
 
     def min_epochs(self) -> Mapping[PartitionId, int]:
-        """Return the lowest epochs that the next plan may use."""
+        """Return the lowest epoch that the next plan may use, for partitions with such a limit."""
         min_epochs: dict[PartitionId, int] = {}
         entries = self._mirror.state.table.entries
         for partition, seen in self._mirror.epochs.items():
             entry = entries.get(partition)
-            # The table shows a lower epoch than before only when the store itself went back.
+            # The table contains a lower epoch than before only when the store was rolled back.
             if entry is None or entry.epoch < seen:
                 min_epochs[partition] = seen + 1
         for partition, used in self._used_epochs.items():
@@ -171,8 +173,8 @@
         self.events.put_nowait(Won(tenure=tenure))
 
     def _extension_until(self) -> float:
-        # Counted from the last whole read of the table: an owner that has not read it for
-        # longer may have missed that its guard set was replaced without its guards.
+        # Counted from the last full read of the table: an owner that has not read it for longer
+        # may have missed that its guard set was replaced without its guards' confirmation.
         return self._mirror.last_read_at + self._cfg.longest_extension_s
 
     def _sync_guards(self) -> None:
--- a/rhubarbferry/coordination/watcher.py
+++ b/rhubarbferry/coordination/watcher.py
@@ -1,4 +1,4 @@
-"""Keep the mirror up to date: one watch, and a whole read now and then."""
+"""Keep the local copy of the cell's records up to date: one watch and periodic full reads."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 class Watcher:
     """List and watch the records of the cell.
 
-    :ivar connected: whether the last call to the store went well.
+    :ivar connected: whether the last call to the store succeeded.
     """
 
     def __init__(self, *, cfg: Settings, clock: Clock, store: Store, mirror: Mirror) -> None:
@@ -32,7 +32,7 @@
         self.connected = False
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Watch and refresh the records until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._watch_forever())
             tasks.create_task(self._refresh_forever())
@@ -43,7 +43,7 @@
         :raises StoreError: when they can't be read.
         """
         asked_at = self._clock.monotonic()
-        # The watch may be set up while the list is under way, so this is looked at before.
+        # Checked before the read, because the watch may start while the read is in progress.
         without_watch = not self._watching
         listing = await self._store.list(CELL)
         self._mirror.replace(listing, asked_at=asked_at, without_watch=without_watch)
@@ -57,8 +57,8 @@
             await self._clock.sleep(RETRY_INTERVAL_S)
 
     async def _watch(self) -> None:
-        # What happened while no watch ran was missed. So each watch begins from a whole read;
-        # else a member's end or a new table would never be seen.
+        # Changes made while no watch was running are not delivered later. So each watch starts
+        # with a full read; otherwise the deletion of a member or a new table could be missed.
         RESTARTS.inc()
         await self.refresh()
         self._set_connected(connected=True, reason="")
@@ -71,8 +71,8 @@
             self._watching = False
 
     async def _refresh_forever(self) -> None:
-        # A watch can fall silent for good on a connection that looks open. A whole read now
-        # and then finds what it did not deliver.
+        # A watch can stop delivering events on a connection that still appears open. A periodic
+        # full read finds the changes that it missed.
         while True:
             await self._clock.sleep(self._cfg.ownership.refresh_s)
             try:
--- a/rhubarbferry/coordination/write_once.py
+++ b/rhubarbferry/coordination/write_once.py
@@ -1,4 +1,4 @@
-"""Create a key and find out whether it stands, also when replies are lost."""
+"""Create a key and determine whether the value was stored, even if replies are lost."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @frozen(kw_only=True, slots=True)
 class Created:
-    """Our value stands."""
+    """The value is stored."""
 
 
 @frozen(kw_only=True, slots=True)
 class Conflict:
-    """Another value stands at the key, and ours never will."""
+    """The key holds another value; this value was not stored and never will be."""
 
     kv: KeyValue
 
@@ -32,16 +32,16 @@
     resolve_timeout_s: float,
     maybe_sent: bool = False,
 ) -> Created | Conflict:
-    """Create a key with a value that no other write has.
+    """Create a key with a value that no other write uses.
 
-    The same create may be sent again after a lost reply, since it can take effect only once;
-    but "the key exists" then does not mean that another writer was first. A copy that is still
-    on its way finds the key taken. So the key is read and compared before that is believed.
+    The create can safely be repeated after a lost reply, because it takes effect at most once. A
+    "key exists" result is then ambiguous, though: it may be caused by a delayed copy of the same
+    request. So the key is read back and its value compared.
 
-    :param resolve_timeout_s: how long to go on after a lost reply.
+    :param resolve_timeout_s: how long to keep trying after a lost reply.
     :param maybe_sent: whether an earlier call with this value may have taken effect.
-    :raises StoreUnclear: when the value may stand or come to stand.
-    :raises StoreError: any other: it does not stand and never will.
+    :raises StoreUnclear: when the value may be stored, now or later.
+    :raises StoreError: any other error: the value is not stored and never will be.
     """
     until = clock.monotonic() + resolve_timeout_s
     backoff_s = INITIAL_BACKOFF_S
