--- a/rhubarbferry/coordination/budget.py
+++ b/rhubarbferry/coordination/budget.py
@@ -13,12 +13,12 @@
 
 WAITS = Counter(
     "rhubarbferry_store_budget_wait_seconds_total",
-    "Seconds that calls to the store waited for the budget",
+    "Seconds that calls to the store were delayed by the rate limit",
     ["kind"],
 )
 REFUSALS = Counter(
     "rhubarbferry_store_budget_refusals_total",
-    "Calls refused here because the budget was used up for too long ahead",
+    "Calls to the store rejected because the rate limit would delay them too long",
     ["kind"],
 )
 
@@ -75,8 +75,9 @@
         if taken.wait_s > self._max_wait_s:
             REFUSALS.labels(kind.value).inc()
             raise StoreRateLimited(
-                f"this process would wait {taken.wait_s:.1f} s for its share of the store's"
-                f" {kind.value}s; send fewer, larger batches or raise [store] {kind.value}s_per_s"
+                f"the call would wait {taken.wait_s:.1f} s for this process's share of the"
+                f" store's {kind.value} rate; send fewer, larger batches or raise"
+                f" [store] {kind.value}s_per_s"
             )
         self._buckets[kind] = taken.bucket
         if taken.wait_s > 0:
--- a/rhubarbferry/coordination/configuration.py
+++ b/rhubarbferry/coordination/configuration.py
@@ -26,9 +26,11 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.store import KeyValue, Store, StoreError, StoreUnclear
 
-IN_FORCE = Gauge("rhubarbferry_config_revision", "Revision of the configuration in force here")
+IN_FORCE = Gauge(
+    "rhubarbferry_config_revision", "Revision of the configuration in force in this process"
+)
 REFUSED = Counter(
-    "rhubarbferry_config_refused_total", "Configurations not taken over here", ["reason"]
+    "rhubarbferry_config_refused_total", "Configurations rejected by this process", ["reason"]
 )
 MAX_ATTEMPTS = 5
 RETRY_INTERVAL_S = 0.2
@@ -51,7 +53,7 @@
 
 
 class ConfigBehind(ConfigError):
-    """The store holds an older revision than the members use; nothing was changed. Retry later."""
+    """The store lags behind the revision in force; nothing was changed. Retry in a few seconds."""
 
 
 class ConfigUnclear(ConfigError):
@@ -71,7 +73,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Stored:
+class StoredConfig:
     """The configuration in the store; ``mod_revision`` is 0 when there is none."""
 
     record: ConfigRecord
@@ -79,7 +81,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Applied:
+class AppliedChange:
     """An accepted change, with a diff against the revision that it replaced."""
 
     revision: int
@@ -112,7 +114,7 @@
                 self._cell = cell
                 self.record = record
                 IN_FORCE.set(record.revision)
-                logger.info("configuration {} of {} in force", record.revision, record.author)
+                logger.info("configuration {} by {} is in force", record.revision, record.author)
                 self.changes.notify()
             case Failure(problems):
                 # Only a newer version of this program writes a configuration that this version
@@ -120,7 +122,7 @@
                 # so that the operator can see which members have not activated the new one.
                 self._refused = record
                 REFUSED.labels("unreadable").inc()
-                logger.error("configuration {} unreadable: {}", record.revision, problems[0])
+                logger.error("configuration {} can't be parsed: {}", record.revision, problems[0])
 
 
 def diff(old: str, new: str) -> str:
@@ -131,17 +133,17 @@
     return "\n".join(lines)
 
 
-async def read(store: Store) -> Stored:
+async def read(store: Store) -> StoredConfig:
     """Return the configuration in the store.
 
     :raises RecordCorrupt: when the record can't be decoded.
     """
-    return _stored(await store.get(CONFIG))
+    return _decode_stored(await store.get(CONFIG))
 
 
 async def apply(
     store: Store, *, text: str, based_on: int, author: str, clock: Clock, write_id: str
-) -> Applied:
+) -> AppliedChange:
     """Validate a new configuration and store it.
 
     :param based_on: the revision that the author has edited; 0 for the first.
@@ -158,10 +160,12 @@
     listing = await store.list(CELL)
     state = read_state(listing.items)
     config = next((kv for kv in listing.items if kv.key == CONFIG), None)
-    current = _stored(config)
+    current = _decode_stored(config)
     _check_base_revision(current, based_on)
     if highest_in_force(state.members.values()) > current.record.revision:
-        raise ConfigBehind("members have a later revision in force than the store holds")
+        raise ConfigBehind(
+            "members have a later revision in force than the store holds; try again later"
+        )
     record = ConfigRecord(
         revision=based_on + 1,
         text=text,
@@ -170,7 +174,7 @@
         write_id=write_id,
     )
     await _write(store, record, current.mod_revision, clock)
-    return Applied(revision=record.revision, diff=diff(current.record.text, text))
+    return AppliedChange(revision=record.revision, diff=diff(current.record.text, text))
 
 
 async def restore(store: Store, *, in_force: ConfigRecord, based_on: int) -> bool:
@@ -182,7 +186,7 @@
     :returns: whether it was written; ``False`` when another write came first.
     """
     REFUSED.labels("older").inc()
-    logger.warning("the store lost configuration {}; putting it back", in_force.revision)
+    logger.warning("the store lost configuration {}; writing it back", in_force.revision)
     try:
         if based_on == 0:
             return await store.create(CONFIG, encode(in_force)) is not None
@@ -204,7 +208,7 @@
             listing = await store.list(MEMBERS)
             pending = lagging(read_state(listing.items).members.values(), revision)
         except StoreError as exc:
-            logger.debug("members can't be read: {}", exc)
+            logger.debug("the members can't be read: {}", exc)
         if not pending:
             return
         if clock.monotonic() >= until:
@@ -212,13 +216,13 @@
         await clock.sleep(RETRY_INTERVAL_S)
 
 
-def _stored(kv: KeyValue | None) -> Stored:
+def _decode_stored(kv: KeyValue | None) -> StoredConfig:
     if kv is None:
-        return Stored(record=NO_CONFIG, mod_revision=0)
-    return Stored(record=decode(CONFIG, kv.value, ConfigRecord), mod_revision=kv.mod_revision)
+        return StoredConfig(record=NO_CONFIG, mod_revision=0)
+    return StoredConfig(record=decode(CONFIG, kv.value, ConfigRecord), mod_revision=kv.mod_revision)
 
 
-def _check_base_revision(current: Stored, based_on: int) -> None:
+def _check_base_revision(current: StoredConfig, based_on: int) -> None:
     if current.record.revision != based_on:
         raise ConfigRace(
             f"revision {current.record.revision} by {current.record.author!r} is in the store, "
@@ -246,24 +250,24 @@
             if not outcome_unknown:
                 raise
         await clock.sleep(RETRY_INTERVAL_S)
-    raise ConfigUnclear(f"no answer whether revision {record.revision} stands")
+    raise ConfigUnclear(f"it is unknown whether revision {record.revision} was stored")
 
 
 async def _check_stored(store: Store, record: ConfigRecord, *, outcome_unknown: bool) -> None:
     try:
         stored = await read(store)
     except (StoreError, RecordCorrupt) as exc:
-        raise StoreUnclear(f"can't read back: {exc}") from exc
+        raise StoreUnclear(f"the stored configuration can't be read: {exc}") from exc
     if outcome_unknown and stored.record.revision > record.revision:
-        # A later change is stored. It may be based on this one, if its author read this one before
-        # the reply was lost. Reporting "not made" could then be wrong, and the operator would make
-        # the same change twice.
+        # A later change is stored. It may be based on this one, which its author could read before
+        # this call determined the outcome. Reporting "not made" could then be wrong, and the
+        # operator would make the same change twice.
         raise ConfigUnclear(
-            f"{stored.record.author!r} has put revision {stored.record.revision} in place "
-            f"meanwhile; no answer whether revision {record.revision} was this change"
+            f"{stored.record.author!r} has stored revision {stored.record.revision} meanwhile; "
+            f"it is unknown whether revision {record.revision} was this change"
         )
     if stored.record.write_id != record.write_id:
         raise ConfigRace(
-            f"{stored.record.author!r} won with revision {stored.record.revision}; "
+            f"{stored.record.author!r} stored revision {stored.record.revision} first; "
             "this change was not made"
         )
--- a/rhubarbferry/coordination/guard_sets.py
+++ b/rhubarbferry/coordination/guard_sets.py
@@ -46,13 +46,13 @@
     """A pending replacement of one version of a guard set.
 
     :param since: monotonic time at which the replacement became necessary.
-    :param usable_at: monotonic time at which the last promise under this version has expired;
-        ``None`` until a majority has confirmed.
+    :param replaceable_at: monotonic time from which this version can be replaced because its
+        last promise has expired; ``None`` until a majority has confirmed.
     """
 
     old: GuardSet
     since: float
-    usable_at: float | None = None
+    replaceable_at: float | None = None
 
 
 class GuardSetManager:
@@ -80,7 +80,7 @@
     def apply(self, table: Table, members: Iterable[Member]) -> Table:
         """Return ``table`` with all guard set changes that are safe now."""
         guards = dict(table.guards)
-        for region, desired in self._desired(table, members).items():
+        for region, desired in self._desired_sets(table, members).items():
             old = table.guards.get(region, NO_GUARDS)
             if self._is_safe(region, old, desired):
                 guards[region] = desired
@@ -92,23 +92,23 @@
         """Send close requests for all required replacements until cancelled."""
         while True:
             state = self._mirror.state
-            for region, desired in self._desired(state.table, state.members.values()).items():
+            for region, desired in self._desired_sets(state.table, state.members.values()).items():
                 old = state.table.guards.get(region, NO_GUARDS)
                 if not self._is_safe(region, old, desired):
                     await self._request_close(region, old)
             await self._clock.sleep(RETRY_INTERVAL_S)
 
-    def _desired(self, table: Table, members: Iterable[Member]) -> Mapping[str, GuardSet]:
+    def _desired_sets(self, table: Table, members: Iterable[Member]) -> Mapping[str, GuardSet]:
         desired = dict(plan_guards(table.guards, members))
         for region, change in self._changes.items():
             old = table.guards.get(region, NO_GUARDS)
-            if region not in desired and change.old == old and change.usable_at is not None:
+            if region not in desired and change.old == old and change.replaceable_at is not None:
                 # The guards have closed this version for a replacement that is no longer needed.
                 # Without a new version they would refuse all promises to the owners of the region.
                 desired[region] = evolve(old, version=old.version + 1)
         return desired
 
-    def _change(self, region: str, old: GuardSet) -> _PendingChange:
+    def _pending_change(self, region: str, old: GuardSet) -> _PendingChange:
         change = self._changes.get(region)
         if change is None or change.old != old:
             change = _PendingChange(old=old, since=self._clock.monotonic())
@@ -118,29 +118,34 @@
     def _is_safe(self, region: str, old: GuardSet, desired: GuardSet) -> bool:
         if not old.guards or old.guards == desired.guards or self._cfg.longest_extension_s == 0:
             return True
-        change = self._change(region, old)
+        change = self._pending_change(region, old)
         now = self._clock.monotonic()
-        if change.usable_at is not None and now >= change.usable_at:
+        if change.replaceable_at is not None and now >= change.replaceable_at:
             return True
         wait_s = self._cfg.longest_extension_s + self._cfg.clock_margin_s
         return old.closing and now >= change.since + wait_s
 
     def _must_close(self, region: str, old: GuardSet) -> bool:
-        change = self._change(region, old)
+        change = self._pending_change(region, old)
         waited_s = self._clock.monotonic() - change.since
-        return not old.closing and change.usable_at is None and waited_s >= CLOSE_DELAY_S
+        return not old.closing and change.replaceable_at is None and waited_s >= CLOSE_DELAY_S
 
     async def _request_close(self, region: str, old: GuardSet) -> None:
-        change = self._change(region, old)
-        if change.usable_at is not None:
+        change = self._pending_change(region, old)
+        if change.replaceable_at is not None:
             return
         version = old.version + 1
-        answers = await asyncio.gather(
+        replies = await asyncio.gather(
             *(self._close_set(guard, region=region, version=version) for guard in old.guards)
         )
-        closed = [answer for answer in answers if answer is not None]
-        if len(closed) < old.majority:
-            logger.debug("{} of {} guards of {} agree", len(closed), len(old.guards), region)
+        confirmations = [reply for reply in replies if reply is not None]
+        if len(confirmations) < old.majority:
+            logger.debug(
+                "{} of {} guards of region {} have closed their set",
+                len(confirmations),
+                len(old.guards),
+                region,
+            )
             return
-        left_s = max(answer.promise_left_s for answer in closed)
-        change.usable_at = self._clock.monotonic() + left_s + self._cfg.clock_margin_s
+        left_s = max(reply.promise_left_s for reply in confirmations)
+        change.replaceable_at = self._clock.monotonic() + left_s + self._cfg.clock_margin_s
--- a/rhubarbferry/coordination/log.py
+++ b/rhubarbferry/coordination/log.py
@@ -144,7 +144,7 @@
         self._closed_error = None
         REPLAYED.inc(len(replay.entries))
         logger.info(
-            "log {} open: epoch {}, {} entries, next segment {}",
+            "log {} opened: epoch {}, {} entries, next segment {}",
             self._keys.partition,
             self._epoch,
             len(replay.entries),
@@ -183,13 +183,15 @@
         :raises LogUnclear: when it may have been replaced; the log is consistent in either case.
         """
         self._check_open()
-        kept = tuple(entries)
+        snapshot_entries = tuple(entries)
         upto = self._coverage.advance()
         async with self._compacting:
             if upto <= self._head.head.upto:
                 return
             try:
-                await self._compactor.replace(kept, upto=upto, sealed_at=self._sealed_at)
+                await self._compactor.replace(
+                    snapshot_entries, upto=upto, sealed_at=self._sealed_at
+                )
             except LogFenced as exc:
                 self._close_with(exc)
                 raise
@@ -237,9 +239,9 @@
                 return
             found = decode_segment(key, outcome.kv.value)
             if judge(stamp_of(found), mine=stamp_of(segment)) is Verdict.FENCED:
-                raise LogFenced(f"{key} is of epoch {found.epoch}; give up the partition")
+                raise LogFenced(f"{key} has the later epoch {found.epoch}; give up the partition")
             replay.add(key, found, limit=self._epoch)
-        raise LogUnavailable("an earlier owner goes on writing faster than we; try again")
+        raise LogUnavailable("a previous owner keeps writing during the seal; try again")
 
     async def _create_seal(self, key: str, value: bytes) -> Created | Conflict:
         try:
@@ -276,9 +278,11 @@
         if size > MAX_APPEND_BYTES:
             raise LogTooLarge(f"the entries take {size} bytes, over {MAX_APPEND_BYTES}; split them")
         if self._unresolved is not None:
-            raise LogUnavailable("an earlier write is not settled yet; come back in a second")
+            raise LogUnavailable(
+                "the outcome of an earlier write is still unknown; try again in 1 s"
+            )
         if self._queue.full():
-            raise LogUnavailable("too many appends are waiting; come back in a second")
+            raise LogUnavailable("too many appends are queued; try again in 1 s")
 
     def _start_writer(self) -> None:
         if self._writer is None or self._writer.done():
@@ -350,8 +354,8 @@
     def _fenced_error(self, batch: Batch, outcome: Conflict) -> LogError:
         found = stamp_of(decode_segment(batch.key, outcome.kv.value))
         return LogFenced(
-            f"{batch.key} was written by {found.writer_id} with epoch {found.epoch} over our"
-            f" {self._epoch}; give up the partition"
+            f"{batch.key} was written by {found.writer_id} with epoch {found.epoch}, this owner has"
+            f" epoch {self._epoch}; give up the partition"
         )
 
     async def _verify_if_due(self, batch: Batch) -> None:
@@ -362,20 +366,24 @@
             await self._head.verify()
         except (LogFenced, LogCorrupt) as exc:
             # It is unknown whether the successor read this segment before it sealed the log.
-            batch.fail(LogUnclear(f"the log was lost to us during the write: {exc}"))
+            batch.fail(LogUnclear(f"this owner lost the log during the write: {exc}"))
             raise
 
     def _mark_unresolved(self, batch: Batch, exc: Exception) -> None:
         FAILURES.labels("unclear").inc()
         if self._unresolved is None:
-            logger.warning("log {}: a write is not settled: {}", self._keys.partition, exc)
+            logger.warning(
+                "log {}: the outcome of a write is unknown: {}", self._keys.partition, exc
+            )
         self._unresolved = batch
-        batch.fail(LogUnclear(f"it is not known whether the entries stand: {exc}"))
-        self._queue.fail(LogUnavailable("an earlier write is not settled yet; come back"))
+        batch.fail(LogUnclear(f"it is unknown whether the entries were written: {exc}"))
+        self._queue.fail(
+            LogUnavailable("the outcome of an earlier write is still unknown; try again later")
+        )
 
     def _complete(self, batch: Batch) -> None:
         if self._unresolved is not None:
-            logger.info("log {}: the unresolved write stands", self._keys.partition)
+            logger.info("log {}: the unresolved write succeeded", self._keys.partition)
         self._unresolved = None
         self._next_number = batch.number + 1
         self._coverage.segment_written(batch)
@@ -384,5 +392,5 @@
     def _close_with(self, exc: LogError) -> None:
         if self._closed_error is None:
             self._closed_error = exc
-            logger.info("log {} ended: {}", self._keys.partition, exc)
+            logger.info("log {} closed: {}", self._keys.partition, exc)
         self._queue.fail(exc)
--- a/rhubarbferry/coordination/log_codec.py
+++ b/rhubarbferry/coordination/log_codec.py
@@ -42,7 +42,7 @@
 def _corrupt(key: str, problem: str) -> LogCorrupt:
     return LogCorrupt(
         f"the record at key {key!r} can't be read: {problem}. Restore it from a backup; until then"
-        " its partition stays closed, and the others go on"
+        " its partition stays unavailable; other partitions are not affected"
     )
 
 
@@ -81,7 +81,7 @@
         segment.read(TBinaryProtocolAccelerated(TMemoryBuffer(payload)))
         check_required(segment)
     except Exception as exc:
-        raise _corrupt(key, f"it is no segment ({exc!r})") from exc
+        raise _corrupt(key, f"it is not a segment ({exc!r})") from exc
     return segment
 
 
@@ -109,4 +109,4 @@
     try:
         return Head(**json.loads(payload))
     except (ValueError, TypeError) as exc:
-        raise _corrupt(key, f"it is no head ({exc!r})") from exc
+        raise _corrupt(key, f"it is not a head ({exc!r})") from exc
--- a/rhubarbferry/coordination/log_compaction.py
+++ b/rhubarbferry/coordination/log_compaction.py
@@ -105,7 +105,7 @@
                 await self._store.delete_prefix_below(self._keys.first_segment, end)
         except StoreError as exc:
             FAILURES.labels("sweep").inc()
-            logger.debug("log {}: sweep failed: {}", self._keys.partition, exc)
+            logger.debug("log {}: deleting compacted records failed: {}", self._keys.partition, exc)
 
 
 async def _sizes(entries: Sequence[LogEntry]) -> list[int]:
--- a/rhubarbferry/coordination/log_head.py
+++ b/rhubarbferry/coordination/log_head.py
@@ -99,8 +99,8 @@
                 return
             await self._clock.sleep(RETRY_INTERVAL_S)
         if outcome_unknown:
-            raise LogUnclear(f"it is not known whether {self._keys.head} was moved; try again")
-        raise LogUnavailable(f"{self._keys.head} is read as older than it is; try again")
+            raise LogUnclear(f"it is unknown whether {self._keys.head} was written; try again")
+        raise LogUnavailable(f"the store returned an outdated {self._keys.head}; try again")
 
     async def _put(self, value: bytes) -> int | None:
         if self.revision:
@@ -133,7 +133,7 @@
         if not may_move(head, epoch=self._epoch, writer_id=self._writer_id):
             raise LogFenced(
                 f"{self._keys.partition} was claimed by {head.writer_id} with epoch {head.epoch}"
-                f" over our {self._epoch}; give up the partition"
+                f", this owner has epoch {self._epoch}; give up the partition"
             )
         self.head = head
         self.revision = found.mod_revision
--- a/rhubarbferry/coordination/log_reader.py
+++ b/rhubarbferry/coordination/log_reader.py
@@ -32,7 +32,7 @@
         :raises LogCorrupt: when the segment was written by an owner that was already fenced.
         """
         if segment.epoch > limit:
-            raise LogFenced(f"{key} is of epoch {segment.epoch}; give up the partition")
+            raise LogFenced(f"{key} has the later epoch {segment.epoch}; give up the partition")
         if segment.epoch < self.epoch:
             raise decreasing_epoch(key, epoch=segment.epoch, before=self.epoch)
         self.entries.extend(segment.entries)
@@ -107,7 +107,7 @@
             raise LogUnavailable(f"{prefix}* can't be read: {exc}") from exc
         if listing.revision < self._revision:
             raise LogUnavailable(
-                f"the store answered as of revision {listing.revision}, before {self._revision};"
+                f"the store answered from revision {listing.revision}, before {self._revision};"
                 " try again once it has caught up"
             )
         return {kv.key: kv for kv in listing.items}
--- a/rhubarbferry/coordination/membership.py
+++ b/rhubarbferry/coordination/membership.py
@@ -18,9 +18,9 @@
 from rhubarbferry.ports.ownership import Member
 from rhubarbferry.ports.store import LeaseLost, Store, StoreError, StoreUnclear
 
-LEASES_LOST = Counter("rhubarbferry_leases_lost_total", "Leases of this process that lapsed")
+LEASES_LOST = Counter("rhubarbferry_leases_lost_total", "Leases that this process has lost")
 RENEWALS_FAILED = Counter(
-    "rhubarbferry_lease_renewals_failed_total", "Renewals without an answer of the store"
+    "rhubarbferry_lease_renewals_failed_total", "Lease renewals that the store did not answer"
 )
 FIRST_INCARNATION = 1
 REJOIN_DELAY_S = 0.05
@@ -68,8 +68,8 @@
         published = self._published
         if published is None or revision < self._revision:
             return False
-        seen = members.get(published.id)
-        return seen is None or seen.incarnation != published.incarnation
+        stored = members.get(published.id)
+        return stored is None or stored.incarnation != published.incarnation
 
     def update(self, **changes: Any) -> None:
         """Change fields of the record; changes made in quick succession share one write."""
@@ -86,8 +86,8 @@
     def drop_lease(self) -> None:
         """Drop the lease, which ends all tenures that were won under it.
 
-        While there was no lease, others may have taken over the partitions. The next lease
-        therefore gets a new incarnation, which no entry of the ownership table refers to.
+        While there is no lease, others may take over the partitions. A lease acquired later is a
+        new one with a new incarnation, which no entry of the ownership table refers to.
         """
         if self.lease is None:
             return
@@ -186,6 +186,8 @@
             self._revision = kv.mod_revision
             self._published = decode(key, kv.value, Member)
             self._updates.notify()
-            raise StoreUnclear("the record is an older one of ours; write it again")
+            raise StoreUnclear(
+                "the store holds an older record of this member; it must be written again"
+            )
         # Deleted, or attached to another lease: others may already consider this process dead.
-        raise LeaseLost(f"the record {key!r} does not hang on our lease")
+        raise LeaseLost(f"the record {key!r} is not attached to the lease of this process")
--- a/rhubarbferry/coordination/mirror.py
+++ b/rhubarbferry/coordination/mirror.py
@@ -19,9 +19,10 @@
 from rhubarbferry.ports.ownership import Guard, Member, Owner, Role
 from rhubarbferry.ports.store import KeyDeleted, KeyPut, KeyValue, Listing, WatchEvent
 
-CORRUPT = Counter("rhubarbferry_corrupt_records_total", "Records of the cell that can't be read")
+CORRUPT = Counter("rhubarbferry_corrupt_records_total", "Records of the cell that can't be decoded")
 ROLLBACKS = Counter(
-    "rhubarbferry_store_went_back_total", "Lists of the store older than what was seen before"
+    "rhubarbferry_store_went_back_total",
+    "Full reads that returned an older revision of the store than earlier reads",
 )
 
 T = TypeVar("T")
@@ -129,7 +130,7 @@
                 return
             ROLLBACKS.inc()
             logger.warning(
-                "the store went back from revision {} to {}", self.revision, listing.revision
+                "the store was rolled back from revision {} to {}", self.revision, listing.revision
             )
         self.last_read_at = max(self.last_read_at, asked_at)
         self.revision = listing.revision
--- a/rhubarbferry/coordination/node.py
+++ b/rhubarbferry/coordination/node.py
@@ -197,7 +197,7 @@
         try:
             await wait_at_most(self._clock, LEAVE_TIMEOUT_S, self._membership.leave())
         except StoreError as exc:
-            logger.info("the lease lapses by itself: {}", exc)
+            logger.info("the lease was not revoked and will expire: {}", exc)
         for pool in self._pools:
             await pool.close()
 
@@ -219,7 +219,7 @@
 
     async def _sync_forever(self) -> None:
         while True:
-            seen = self._mirror.changes.version
+            version = self._mirror.changes.version
             state = self._mirror.state
             if self._budget is not None:
                 self._budget.set_members(sharers(self._role, state.members.values()))
@@ -230,7 +230,7 @@
                 self._membership.update(config_revision=self.cell.record.revision)
             if self._role is Role.SCHEDULER:
                 self._tenures.sync()
-            await wait_at_most(self._clock, SYNC_INTERVAL_S, self._mirror.changes.changed(seen))
+            await wait_at_most(self._clock, SYNC_INTERVAL_S, self._mirror.changes.changed(version))
 
     async def _poll_peers(self) -> None:
         while True:
@@ -244,7 +244,7 @@
             try:
                 await self._restore_if_gone_back()
             except StoreError as exc:
-                logger.debug("the configuration can't be put back: {}", exc)
+                logger.debug("the configuration can't be written back: {}", exc)
 
     async def _restore_if_gone_back(self) -> None:
         if not gone_back(self.cell.record, self._mirror.state.config):
@@ -268,10 +268,10 @@
 
     async def _wait_handed_over(self) -> None:
         while True:
-            seen = self._mirror.changes.version
+            version = self._mirror.changes.version
             state = self._mirror.state
             member = state.members.get(self.member_id)
             others = [m for m in self._mirror.members(Role.SCHEDULER) if m.id != self.member_id]
             if member is None or not others or not state.table.owned_by(member):
                 return
-            await self._mirror.changes.changed(seen)
+            await self._mirror.changes.changed(version)
--- a/rhubarbferry/coordination/planner.py
+++ b/rhubarbferry/coordination/planner.py
@@ -81,7 +81,7 @@
             try:
                 await self.step()
             except (StoreError, RecordCorrupt) as exc:
-                logger.debug("planning: {}", exc)
+                logger.debug("the planning step failed: {}", exc)
             await wait_at_most(
                 self._clock, MAX_STEP_INTERVAL_S, self._mirror.changes.changed(version)
             )
@@ -151,8 +151,8 @@
     def _moves_due(self, member: Member) -> bool:
         """Return whether partitions of this member have been misplaced for long enough to move.
 
-        The members of a starting cell join one by one, and each move costs a recovery by the new
-        owner.
+        The members of a starting cell join one by one, and each move requires the new owner to
+        adopt the partition.
         """
         if member.draining or not self._mirror.state.table_readable:
             # A draining member keeps its partitions until their work is done.
--- a/rhubarbferry/coordination/promises.py
+++ b/rhubarbferry/coordination/promises.py
@@ -24,7 +24,9 @@
     PromiseRequest,
 )
 
-PROMISES = Counter("rhubarbferry_promises_asked_total", "Promises asked of guards", ["result"])
+PROMISES = Counter(
+    "rhubarbferry_promises_asked_total", "Promises requested from guards", ["result"]
+)
 RENEWALS_PER_PROMISE = 4
 CALL_TIMEOUT_S = 0.5
 MS_PER_S = 1000
@@ -96,7 +98,7 @@
     async def run(self) -> None:
         """Request and renew promises until cancelled."""
         while self._cfg.longest_extension_s > 0:
-            ends = self._tenures.end_signal.version
+            version = self._tenures.end_signal.version
             await self._release_ended()
             runners = [
                 tenure
@@ -107,12 +109,12 @@
             self._promised.update(runners)
             await asyncio.gather(*(self._renew(tenure) for tenure in runners))
             pause_s = self._cfg.promise_s / RENEWALS_PER_PROMISE
-            await wait_at_most(self._clock, pause_s, self._tenures.end_signal.changed(ends))
+            await wait_at_most(self._clock, pause_s, self._tenures.end_signal.changed(version))
 
     async def _release_ended(self) -> None:
         """Release the promises of tenures that have ended.
 
-        A planned handover ends a tenure seconds before its promises expire. Until then no guard
+        A planned handover version a tenure seconds before its promises expire. Until then no guard
         acknowledges the successor, and callers could wait up to the duration of a promise for a
         slot. If a release is lost, the promise simply expires.
         """
--- a/rhubarbferry/coordination/release.py
+++ b/rhubarbferry/coordination/release.py
@@ -39,5 +39,5 @@
     released = evolve(table, guards={**table.guards, region: empty})
     writer = TableWriter(store=store, writer_id=writer_id)
     if not await writer.write(released, based_on=kv.mod_revision):
-        raise ReleaseRace("the table was changed meanwhile; try again")
+        raise ReleaseRace("the ownership table was changed concurrently; try again")
     return empty.version
--- a/rhubarbferry/coordination/tenure.py
+++ b/rhubarbferry/coordination/tenure.py
@@ -18,9 +18,15 @@
 from rhubarbferry.core.promise import PromiseBook
 from rhubarbferry.ports.clock import Clock
 
-WON = Counter("rhubarbferry_partitions_won_total", "Partitions won", ["kind"])
-LOST = Counter("rhubarbferry_partitions_lost_total", "Partitions lost", ["kind"])
-OWNED = Gauge("rhubarbferry_partitions_owned", "Partitions owned now")
+WON = Counter(
+    "rhubarbferry_partitions_won_total", "Tenures of partitions that this process has won", ["kind"]
+)
+LOST = Counter(
+    "rhubarbferry_partitions_lost_total",
+    "Tenures of partitions that this process has lost",
+    ["kind"],
+)
+OWNED = Gauge("rhubarbferry_partitions_owned", "Partitions that this process owns")
 
 MAX_EVENTS = 100_000
 
@@ -110,8 +116,8 @@
         entries = self._mirror.state.table.entries
         for partition, tenure in list(self.current.items()):
             lease_unchanged = lease is not None and lease.incarnation == tenure.incarnation
-            ours = _matches(entries.get(partition), self._member_id, tenure)
-            if tenure.ended or not lease_unchanged or not ours:
+            is_assigned = _matches(entries.get(partition), self._member_id, tenure)
+            if tenure.ended or not lease_unchanged or not is_assigned:
                 self.end(partition)
         if lease is None or not self._membership.holds(lease.incarnation):
             return
--- a/rhubarbferry/coordination/watcher.py
+++ b/rhubarbferry/coordination/watcher.py
@@ -13,7 +13,7 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.store import Store, StoreError
 
-RESTARTS = Counter("rhubarbferry_watch_restarts_total", "Watches of the cell's records begun anew")
+RESTARTS = Counter("rhubarbferry_watch_restarts_total", "Started watches of the cell's records")
 RETRY_INTERVAL_S = 0.5
 
 
--- a/rhubarbferry/coordination/write_once.py
+++ b/rhubarbferry/coordination/write_once.py
@@ -63,8 +63,10 @@
         await clock.sleep(backoff_s)
         backoff_s *= 2
     if outcome_unknown:
-        raise StoreUnclear(f"it is not known whether {key} was written; settle it before going on")
-    raise StoreUnavailable(f"{key} exists but can't be read; try again after a pause")
+        raise StoreUnclear(
+            f"it is unknown whether {key} was written; resolve this before further writes"
+        )
+    raise StoreUnavailable(f"{key} exists but can't be read; try again later")
 
 
 async def _read(store: Store, key: str) -> KeyValue | None:
--- a/tests/coordination/test_configuration.py
+++ b/tests/coordination/test_configuration.py
@@ -58,7 +58,7 @@
     results = await asyncio.gather(
         *(apply(store, author=name) for name in ("ann", "bob", "eve")), return_exceptions=True
     )
-    won = [r for r in results if isinstance(r, conf.Applied)]
+    won = [r for r in results if isinstance(r, conf.AppliedChange)]
     lost = [r for r in results if isinstance(r, conf.ConfigRace)]
     assert (len(won), len(lost)) == (1, 2)
 
