--- a/tests/coordination/cell_harness.py
+++ b/tests/coordination/cell_harness.py
@@ -14,7 +14,7 @@
 from rhubarbferry.test.memory_store import MemoryStore
 
 TEXT = "[cell]\nregions = north, south\n"
-BOUND_S = 8.0
+TIMEOUT_S = 8.0
 
 
 class FixedHosts:
@@ -84,8 +84,8 @@
         )
 
 
-async def until(condition, bound_s: float = BOUND_S) -> None:
-    end = time.monotonic() + bound_s
+async def until(condition, timeout_s: float = TIMEOUT_S) -> None:
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < end, "condition not reached in time"
+        assert time.monotonic() < deadline, "condition not reached in time"
         await asyncio.sleep(0.01)
--- a/tests/coordination/gated_store.py
+++ b/tests/coordination/gated_store.py
@@ -23,7 +23,7 @@
     DELAY = "delay"
 
 
-def run_now(coro: Coroutine[Any, Any, Any]) -> Any:
+def run_without_waiting(coro: Coroutine[Any, Any, Any]) -> Any:
     """Run a coroutine that waits for nothing."""
     try:
         coro.send(None)
@@ -33,16 +33,16 @@
 
 
 @define(kw_only=True, eq=False)
-class Pending:
-    act: Callable[[], Any]
-    writes: bool
+class PendingCall:
+    operation: Callable[[], Any]
+    is_write: bool
     fut: asyncio.Future[Any]
     applied: bool = False
     result: Any = None
 
     def apply(self) -> None:
         if not self.applied:
-            self.result = run_now(self.act())
+            self.result = run_without_waiting(self.operation())
             self.applied = True
 
 
@@ -52,7 +52,7 @@
     def __init__(self, *, memory: MemoryStore, in_transit: list[Callable[[], Any]]) -> None:
         self._memory = memory
         self._in_transit = in_transit
-        self.pending: list[Pending] = []
+        self.pending: list[PendingCall] = []
 
     def step(self, index: int, delivery: Delivery) -> None:
         """Let one call go on."""
@@ -64,48 +64,50 @@
         if call.fut.done():
             return
         if delivery is Delivery.ANSWER or (
-            delivery is Delivery.LOSE_CALL and call.applied and not call.writes
+            delivery is Delivery.LOSE_CALL and call.applied and not call.is_write
         ):
             call.apply()
             call.fut.set_result(call.result)
-        elif not call.writes or (delivery is Delivery.LOSE_CALL and not call.applied):
+        elif not call.is_write or (delivery is Delivery.LOSE_CALL and not call.applied):
             call.fut.set_exception(StoreUnavailable("lost"))
         else:
             self._lose(call, delay=delivery is Delivery.DELAY)
             call.fut.set_exception(StoreUnclear("lost"))
 
     def leave_in_transit(self) -> None:
-        """Let writes that were sent take apply later, though nobody waits for them."""
+        """Let is_write that were sent take apply later, though nobody waits for them."""
         self._in_transit.extend(
-            call.act for call in self.pending if call.writes and not call.applied
+            call.operation for call in self.pending if call.is_write and not call.applied
         )
 
-    def _lose(self, call: Pending, *, delay: bool) -> None:
+    def _lose(self, call: PendingCall, *, delay: bool) -> None:
         if delay and not call.applied:
-            self._in_transit.append(call.act)
+            self._in_transit.append(call.operation)
         else:
             call.apply()
 
-    async def _call(self, act: Callable[[], Any], *, writes: bool) -> Any:
+    async def _call(self, operation: Callable[[], Any], *, is_write: bool) -> Any:
         fut: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self.pending.append(Pending(act=act, writes=writes, fut=fut))
+        self.pending.append(PendingCall(operation=operation, is_write=is_write, fut=fut))
         return await fut
 
     async def get(self, key: str) -> KeyValue | None:
-        return await self._call(lambda: self._memory.get(key), writes=False)
+        return await self._call(lambda: self._memory.get(key), is_write=False)
 
     async def list(self, prefix: str, *, limit: int = 0) -> Listing:
-        return await self._call(lambda: self._memory.list(prefix, limit=limit), writes=False)
+        return await self._call(lambda: self._memory.list(prefix, limit=limit), is_write=False)
 
     async def create(self, key: str, value: bytes, *, lease_id: int = 0) -> int | None:
-        return await self._call(lambda: self._memory.create(key, value), writes=True)
+        return await self._call(lambda: self._memory.create(key, value), is_write=True)
 
     async def put_if(
         self, key: str, value: bytes, *, mod_revision: int, lease_id: int = 0
     ) -> int | None:
         return await self._call(
-            lambda: self._memory.put_if(key, value, mod_revision=mod_revision), writes=True
+            lambda: self._memory.put_if(key, value, mod_revision=mod_revision), is_write=True
         )
 
     async def delete_prefix_below(self, prefix: str, end: str) -> int:
-        return await self._call(lambda: self._memory.delete_prefix_below(prefix, end), writes=True)
+        return await self._call(
+            lambda: self._memory.delete_prefix_below(prefix, end), is_write=True
+        )
--- a/tests/coordination/log_rig.py
+++ b/tests/coordination/log_rig.py
@@ -17,7 +17,7 @@
 NO_LIMIT = StoreRates(writes_per_s=0, reads_per_s=0)
 
 
-class LeapingClock:
+class AutoAdvancingClock:
     """Each sleep is over at once and moves the time to its end."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
 
 
 def make_log(
-    store: Any, *, epoch: int, clock: LeapingClock | None = None, **options: Any
+    store: Any, *, epoch: int, clock: AutoAdvancingClock | None = None, **options: Any
 ) -> SealedLog:
     return SealedLog(
         store=store,
@@ -56,5 +56,9 @@
     )
 
 
-def make_store(engine: Engine | None = None, clock: LeapingClock | None = None) -> MemoryStore:
-    return MemoryStore(clock=clock or LeapingClock(), engine=engine, gate=RateGate(rates=NO_LIMIT))
+def make_store(
+    engine: Engine | None = None, clock: AutoAdvancingClock | None = None
+) -> MemoryStore:
+    return MemoryStore(
+        clock=clock or AutoAdvancingClock(), engine=engine, gate=RateGate(rates=NO_LIMIT)
+    )
--- a/tests/coordination/test_budget_shared.py
+++ b/tests/coordination/test_budget_shared.py
@@ -1,46 +1,46 @@
 from __future__ import annotations
 
 import pytest
-from log_rig import LeapingClock
+from log_rig import AutoAdvancingClock
 
 from rhubarbferry.coordination.budget import SharedBudget
 from rhubarbferry.ports.store import Spend, StoreRateLimited
 
 
-def _budget(clock: LeapingClock, *, members: int = 1) -> SharedBudget:
+def _budget(clock: AutoAdvancingClock, *, members: int = 1) -> SharedBudget:
     return SharedBudget(clock=clock, writes_per_s=100.0, reads_per_s=1000.0, members=members)
 
 
 @pytest.mark.parametrize(("members", "seconds"), [(1, 2.0), (10, 20.0)])
-async def test_writes_keep_the_share_of_the_rate(members: int, seconds: float) -> None:
-    clock = LeapingClock()
+async def test_writes_keep_to_the_share_of_the_rate(members: int, seconds: float) -> None:
+    clock = AutoAdvancingClock()
     budget = _budget(clock, members=members)
-    begun = clock.now
+    started_at = clock.now
     for _ in range(200):
         await budget.spend(Spend.WRITE)
-    assert seconds * 0.7 <= clock.now - begun <= seconds
+    assert seconds * 0.7 <= clock.now - started_at <= seconds
 
 
-async def test_more_members_mean_a_smaller_share_from_now_on() -> None:
-    clock = LeapingClock()
+async def test_more_members_reduce_the_share_immediately() -> None:
+    clock = AutoAdvancingClock()
     budget = _budget(clock)
     budget.set_members(100)
     for _ in range(50):
         await budget.spend(Spend.WRITE)
-    begun = clock.now
+    started_at = clock.now
     await budget.spend(Spend.WRITE)
-    assert clock.now - begun == pytest.approx(1.0, abs=0.05)
+    assert clock.now - started_at == pytest.approx(1.0, abs=0.05)
 
 
 async def test_renewals_never_wait_and_reads_have_their_own_share() -> None:
     """Appends have used up the budget. A lease renewal must go out all the same, or the
     process would lose its lease to its own traffic."""
-    clock = LeapingClock()
+    clock = AutoAdvancingClock()
     budget = _budget(clock)
     for _ in range(300):
         await budget.spend(Spend.RENEWAL)
-    assert clock.now == LeapingClock().now
+    assert clock.now == AutoAdvancingClock().now
     await budget.spend(Spend.READ)
-    assert clock.now == LeapingClock().now
+    assert clock.now == AutoAdvancingClock().now
     with pytest.raises(StoreRateLimited):
         await budget.spend(Spend.WRITE)
--- a/tests/coordination/test_configuration.py
+++ b/tests/coordination/test_configuration.py
@@ -37,14 +37,14 @@
     )
 
 
-async def test_accepted_change_shows_its_difference(store):
+async def test_accepted_change_returns_its_diff(store):
     assert (await apply(store)).revision == 1
     applied = await apply(store, text=OTHER, based_on=1)
     assert applied.revision == 2
     assert "+regions = north, south" in applied.diff
 
 
-async def test_race_names_who_won(store):
+async def test_conflict_names_the_other_author(store):
     """Two operators edit the same revision. The second is told who was first, and nothing of
     that change is lost."""
     await apply(store, author="ann")
@@ -53,7 +53,7 @@
     assert (await conf.read(store)).record.text == TEXT
 
 
-async def test_race_at_the_same_instant(store):
+async def test_concurrent_changes(store):
     """Both have read the store before either writes; one wins, the other is told so."""
     results = await asyncio.gather(
         *(apply(store, author=name) for name in ("ann", "bob", "eve")), return_exceptions=True
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("lost", [1, 3])
-async def test_lost_reply_is_read_back(store, lost):
+async def test_lost_reply_is_resolved_by_reading_back(store, lost):
     """The store takes the change and its reply is lost. The operator is told that it stands,
     and it was made once."""
     store.faults.lose_replies = lost
@@ -93,7 +93,7 @@
         await apply(store)
 
 
-async def test_problems_are_refused(store):
+async def test_invalid_text_is_rejected(store):
     with pytest.raises(conf.ConfigInvalid, match="regions"):
         await apply(store, text="[cell]\n")
 
@@ -109,7 +109,7 @@
     )
 
 
-async def test_change_waits_while_the_store_is_behind(store):
+async def test_change_is_rejected_while_the_store_is_behind(store):
     """After an outage the store has an older revision than the processes. A change based on it
     would bring the older one back, so it is refused until the later one is there again."""
     await apply(store)
@@ -118,7 +118,7 @@
         await apply(store, text=OTHER, based_on=1)
 
 
-async def test_wait_in_force_names_who_lags(store):
+async def test_wait_in_force_names_lagging_members(store):
     clock = SystemClock()
     await store.create(MEMBERS + "a", encode(member("a", 2)))
     await conf.wait_in_force(store, revision=2, timeout_s=0.05, clock=clock)
@@ -135,7 +135,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.none() | records_st, max_size=12))
-def test_revision_in_force_never_falls(records):
+def test_active_revision_never_decreases(records):
     active = ActiveConfig()
     for record in records:
         before = active.record
@@ -150,14 +150,14 @@
     ("stored", "back"),
     [(None, True), (2, True), (3, False), (4, False)],
 )
-def test_store_that_went_back_is_noticed(stored, back):
+def test_store_rollback_is_detected(stored, back):
     in_force = ConfigRecord(revision=3, text=TEXT)
     record = None if stored is None else ConfigRecord(revision=stored, text=TEXT)
     assert gone_back(in_force, record) is back
 
 
 @pytest.mark.parametrize("older", [None, ConfigRecord(revision=1, text=TEXT)])
-async def test_later_configuration_is_put_back(store, older):
+async def test_later_configuration_is_restored(store, older):
     in_force = ConfigRecord(revision=3, text=OTHER, author="ann")
     based_on = 0 if older is None else await store.create(CONFIG, encode(older))
     assert await conf.restore(store, in_force=in_force, based_on=based_on)
--- a/tests/coordination/test_log.py
+++ b/tests/coordination/test_log.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gated_store import Delivery, GatedStore
-from log_rig import PARTITION, RETENTION_S, LeapingClock, entry, make_log, make_store, names
+from log_rig import PARTITION, RETENTION_S, AutoAdvancingClock, entry, make_log, make_store, names
 
 from rhubarbferry.coordination.log import MAX_APPEND_BYTES, SealedLog
 from rhubarbferry.coordination.log_codec import decode_segment, encode_segment
@@ -72,7 +72,7 @@
         return asyncio.ensure_future(self.log.append([entry(name)]))
 
 
-async def test_appends_of_one_moment_share_a_write_and_keep_their_order() -> None:
+async def test_concurrent_appends_share_a_write_and_keep_their_order() -> None:
     store = make_store()
     log = await opened(store, 1)
     before = store.counters.calls[CallKind.TXN]
@@ -104,7 +104,7 @@
     assert await replayed(store, 2) == ["0", "1", "2"]
 
 
-async def test_an_outage_refuses_appends_which_then_never_stand() -> None:
+async def test_an_append_refused_in_an_outage_is_never_written() -> None:
     """The store is down when an append comes. It is refused, and the next one goes through."""
     store = make_store()
     log = await opened(store, 1)
@@ -126,29 +126,29 @@
     assert await replayed(store, 2) == ["a", "b"]
 
 
-async def test_an_unclear_append_is_settled_before_anything_else() -> None:
+async def test_an_unclear_append_is_resolved_before_later_ones() -> None:
     """A reply is lost and then the store goes down. The caller hears "unclear", later callers
     are refused at once, and once the store is back the unclear entry stands before them."""
     memory = make_store()
-    held = SteppedLog(memory, 1)
-    await held.open()
-    task = held.append("a")
+    stepped = SteppedLog(memory, 1)
+    await stepped.open()
+    task = stepped.append("a")
     await settle()
-    await held.step(Delivery.DELAY)
+    await stepped.step(Delivery.DELAY)
     for _ in range(40):
         if task.done():
             break
-        await held.step(Delivery.LOSE_CALL)
+        await stepped.step(Delivery.LOSE_CALL)
     with pytest.raises(LogUnclear):
         await task
     with pytest.raises(LogUnavailable):
-        await held.log.append([entry("b")])
+        await stepped.log.append([entry("b")])
     for _ in range(10):
-        if not held.store.pending:
+        if not stepped.store.pending:
             break
-        await held.step()
-    await held.finish(held.append("c"))
-    await held.log.close()
+        await stepped.step()
+    await stepped.finish(stepped.append("c"))
+    await stepped.log.close()
     assert await replayed(memory, 2) == ["a", "c"]
 
 
@@ -182,23 +182,23 @@
     """An owner pauses right before a write, for long. Its successor compacts, which deletes
     the seal, so the write succeeds where nobody reads. The caller must not hear "done"."""
     memory = make_store()
-    held = SteppedLog(memory, 1)
-    await held.open()
-    task = held.append("lost")
+    stepped = SteppedLog(memory, 1)
+    await stepped.open()
+    task = stepped.append("lost")
     await settle()
     new = await opened(memory, 2)
     memory.clock.now += RETENTION_S + 1
     await new.compact([entry("kept")])
     assert memory.engine.get(KEYS.segment(2)) is None
-    await held.finish(task)
+    await stepped.finish(task)
     with pytest.raises(LogUnclear):
         await task
     with pytest.raises(LogFenced):
-        await held.log.append([entry("more")])
+        await stepped.log.append([entry("more")])
     assert await replayed(memory, 3) == ["kept"]
 
 
-async def test_a_new_owner_keeps_its_seal_for_a_while() -> None:
+async def test_a_new_owner_keeps_its_seal_for_the_retention_period() -> None:
     """A successor compacts right after its take-over, while the earlier owner is about to
     write without another look at the head. The seal must still be there to stop it."""
     store = make_store()
@@ -216,15 +216,15 @@
     memory = make_store()
     first = await opened(memory, 1)
     await first.append([entry("a")])
-    held = SteppedLog(memory, 2)
-    task = asyncio.ensure_future(held.log.open())
+    stepped = SteppedLog(memory, 2)
+    task = asyncio.ensure_future(stepped.log.open())
     await settle()
-    await held.step()
-    await held.step()
+    await stepped.step()
+    await stepped.step()
     new = await opened(memory, 3)
     memory.clock.now += RETENTION_S + 1
     await new.compact([entry("a")])
-    await held.finish(task)
+    await stepped.finish(task)
     with pytest.raises(LogFenced):
         await task
     assert await replayed(memory, 4) == ["a"]
@@ -234,19 +234,19 @@
     """An owner holds an entry that it never got recorded and pauses within a compaction. The
     successor opens the log without the entry; afterwards it must not come back."""
     memory = make_store()
-    held = SteppedLog(memory, 1)
-    await held.open()
-    task = asyncio.ensure_future(held.log.compact([entry("never recorded")]))
+    stepped = SteppedLog(memory, 1)
+    await stepped.open()
+    task = asyncio.ensure_future(stepped.log.compact([entry("never recorded")]))
     await settle()
-    await held.step()
+    await stepped.step()
     assert await replayed(memory, 2) == []
-    await held.finish(task)
+    await stepped.finish(task)
     with pytest.raises(LogFenced):
         await task
     assert await replayed(memory, 3) == []
 
 
-async def test_a_snapshot_does_not_cover_an_entry_its_state_lacks() -> None:
+async def test_a_snapshot_does_not_cover_an_entry_that_is_not_applied() -> None:
     """An entry gets on record while its caller has not yet applied it, and just then another
     task compacts. The entry must outlive the compaction."""
     store = make_store()
@@ -290,45 +290,45 @@
 async def test_a_crash_within_a_compaction_leaves_a_whole_log(crash_after: int) -> None:
     """The process dies after some call of a compaction. The successor reads every entry."""
     memory = make_store()
-    held = SteppedLog(memory, 1)
-    await held.open()
+    stepped = SteppedLog(memory, 1)
+    await stepped.open()
     memory.clock.now += RETENTION_S + 1
     kept = ["a", "b"]
     for name in kept:
-        await held.finish(held.append(name))
-    task = asyncio.ensure_future(held.log.compact(entry(name) for name in kept))
+        await stepped.finish(stepped.append(name))
+    task = asyncio.ensure_future(stepped.log.compact(entry(name) for name in kept))
     await settle()
     for _ in range(crash_after):
-        if held.store.pending:
-            held.store.step(0, Delivery.EFFECT_ONLY)
-            await held.step()
+        if stepped.store.pending:
+            stepped.store.step(0, Delivery.EFFECT_ONLY)
+            await stepped.step()
     task.cancel()
     await settle()
     assert await replayed(memory, 2) == kept
 
 
-def _cut(value: bytes) -> bytes:
+def _truncated(value: bytes) -> bytes:
     return value[:-3]
 
 
-def _flip(value: bytes) -> bytes:
+def _bit_flipped(value: bytes) -> bytes:
     return value[:20] + bytes([value[20] ^ 1]) + value[21:]
 
 
-def _empty(_value: bytes) -> bytes:
+def _emptied(_value: bytes) -> bytes:
     return b""
 
 
-def _foreign(_value: bytes) -> bytes:
+def _wrong_format(_value: bytes) -> bytes:
     return b'{"json": 1}'
 
 
-def _moved(_value: bytes) -> bytes:
+def _copied_from_other_key(_value: bytes) -> bytes:
     segment = LogSegment(epoch=1, writer_id="w", write_id="1", seal=False, entries=[])
     return encode_segment("log/elsewhere/000000000001", segment)
 
 
-BROKEN = [_cut, _flip, _empty, _foreign, _moved]
+CORRUPTIONS = [_truncated, _bit_flipped, _emptied, _wrong_format, _copied_from_other_key]
 
 
 def _overwrite(store: MemoryStore, key: str, change: Callable[[bytes], bytes]) -> None:
@@ -348,8 +348,8 @@
 
 
 @pytest.mark.parametrize("kind", ["segment", "chunk", "head"])
-@pytest.mark.parametrize("change", BROKEN)
-async def test_a_broken_record_is_told_by_its_key(
+@pytest.mark.parametrize("change", CORRUPTIONS)
+async def test_the_error_for_a_corrupt_record_names_its_key(
     kind: str, change: Callable[[bytes], bytes]
 ) -> None:
     """Someone edits a record by hand, or half of it is lost. The operator hears which key it
@@ -371,7 +371,7 @@
 
 
 @pytest.mark.parametrize("kind", ["segment", "chunk"])
-async def test_a_missing_record_is_told_by_its_key(kind: str) -> None:
+async def test_the_error_for_a_missing_record_names_its_key(kind: str) -> None:
     """A record was deleted by hand. The log does not pass over the gap in silence."""
     store = make_store()
     log = await opened(store, 1)
@@ -398,7 +398,7 @@
     assert key in str(caught.value)
 
 
-async def test_a_store_that_lags_behind_is_not_believed() -> None:
+async def test_reads_from_a_lagging_store_are_rejected() -> None:
     """After an outage the store answers reads out of the past. The log waits for it."""
     store = make_store()
     log = await opened(store, 1)
@@ -412,14 +412,14 @@
     assert names(await new.open()) == ["0", "1", "2"]
 
 
-async def test_the_writes_keep_their_least_interval() -> None:
-    clock = LeapingClock()
+async def test_writes_keep_their_minimum_interval() -> None:
+    clock = AutoAdvancingClock()
     store = make_store(clock=clock)
     log = await opened(store, 1, min_write_interval_s=1)
-    begun = clock.now
+    started_at = clock.now
     for number in range(4):
         await log.append([entry(number)])
-    assert clock.now - begun == pytest.approx(3.0)
+    assert clock.now - started_at == pytest.approx(3.0)
 
 
 async def test_a_closed_log_refuses() -> None:
--- a/tests/coordination/test_log_machine.py
+++ b/tests/coordination/test_log_machine.py
@@ -12,7 +12,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
-from log_rig import RETENTION_S, LeapingClock, entry, make_log, make_store, names
+from log_rig import RETENTION_S, AutoAdvancingClock, entry, make_log, make_store, names
 
 from rhubarbferry.coordination.log import SealedLog
 from rhubarbferry.ports.log import LogFenced, LogUnavailable, LogUnclear
@@ -21,8 +21,8 @@
 FUZZ = os.environ.get("HYPOTHESIS_PROFILE") == "fuzz"
 EXAMPLES = 2000 if FUZZ else 150
 STEPS = 60
-ROUNDS = 40
-MAX_LIVE = 3
+LOOP_ITERATIONS = 40
+MAX_LIVE_PROCESSES = 3
 MAX_CALLS = 60
 INDEX = st.integers(min_value=0, max_value=50)
 
@@ -49,11 +49,11 @@
     def __init__(self) -> None:
         super().__init__()
         self.loop = asyncio.new_event_loop()
-        self.clock = LeapingClock()
+        self.clock = AutoAdvancingClock()
         self.engine = Engine()
         self.in_transit: list[Callable[[], Any]] = []
         self.processes: list[Process] = []
-        self.all: list[Process] = []
+        self.all_processes: list[Process] = []
         self.acked: list[tuple[int, str]] = []
         self.refused: set[str] = set()
         self.epoch_of: dict[str, int] = {}
@@ -64,7 +64,7 @@
         for _ in range(300):
             if last.opened is not None:
                 break
-            self.step_all(last)
+            self.answer_next_call(last)
         assert last.opened is not None, "the last owner could not open the log"
         while self.in_transit:
             self.deliver(0)
@@ -74,12 +74,12 @@
         self.loop.close()
 
     def settle(self) -> None:
-        async def rounds() -> None:
-            for _ in range(ROUNDS):
+        async def iterate() -> None:
+            for _ in range(LOOP_ITERATIONS):
                 await asyncio.sleep(0)
 
-        self.loop.run_until_complete(rounds())
-        for process in self.all:
+        self.loop.run_until_complete(iterate())
+        for process in self.all_processes:
             for task in [task for task in process.tasks if task.done()]:
                 process.tasks.remove(task)
                 if not task.cancelled():
@@ -106,9 +106,9 @@
             return
         process.opened = distinct(names(found))
         process.state = list(process.opened)
-        self.check_open(process)
+        self.check_replayed(process)
 
-    def check_open(self, process: Process) -> None:
+    def check_replayed(self, process: Process) -> None:
         found = process.opened or []
         assert not self.refused & set(found), "an entry stands that was told not to"
         for epoch, name in self.acked:
@@ -117,7 +117,7 @@
         for epoch in {epoch for epoch, _ in self.acked}:
             order = [name for e, name in self.acked if e == epoch and name in found]
             assert order == [name for name in found if name in set(order)], "order changed"
-        for other in self.all:
+        for other in self.all_processes:
             if other.opened is None or other is process:
                 continue
             first, second = sorted((other, process), key=lambda one: one.epoch)
@@ -139,12 +139,12 @@
             process.state.extend(submitted)
         except (LogUnavailable, LogFenced):
             self.refused.update(submitted)
-            for other in self.all:
+            for other in self.all_processes:
                 assert not set(submitted) & set(other.opened or []), "a refused entry stands"
         else:
             process.state.extend(submitted)
             self.acked.extend((process.epoch, name) for name in submitted)
-            for other in self.all:
+            for other in self.all_processes:
                 if other.epoch > process.epoch and other.opened is not None:
                     assert set(submitted) <= set(other.opened), "acknowledged behind a seal"
 
@@ -154,28 +154,28 @@
         except (LogUnavailable, LogFenced, LogUnclear):
             return
 
-    @precondition(lambda self: len(self.processes) < MAX_LIVE)
+    @precondition(lambda self: len(self.processes) < MAX_LIVE_PROCESSES)
     @rule()
     def start(self) -> None:
-        epoch = len(self.all) + 1
+        epoch = len(self.all_processes) + 1
         memory = make_store(self.engine, self.clock)
         store = GatedStore(memory=memory, in_transit=self.in_transit)
         log = make_log(store, epoch=epoch, clock=self.clock, resolve_timeout_s=0.0)
         process = Process(epoch=epoch, store=store, log=log)
         self.processes.append(process)
-        self.all.append(process)
+        self.all_processes.append(process)
         self.spawn(process, self._open(process))
 
-    @precondition(lambda self: len(self.processes) < MAX_LIVE)
-    @rule(waits=st.booleans(), compacts=st.booleans())
-    def succeed(self, waits: bool, compacts: bool) -> None:
+    @precondition(lambda self: len(self.processes) < MAX_LIVE_PROCESSES)
+    @rule(wait_retention=st.booleans(), compact_log=st.booleans())
+    def take_over(self, wait_retention: bool, compact_log: bool) -> None:
         """Let a new owner do all that it can while the others are paused."""
         self.start()
         process = self.processes[-1]
         self.run_until_idle(process)
-        if waits:
+        if wait_retention:
             self.clock.now += RETENTION_S + 1
-        if compacts and process.opened is not None:
+        if compact_log and process.opened is not None:
             self.spawn(process, self._compact(process))
             self.run_until_idle(process)
 
@@ -183,7 +183,7 @@
         for _ in range(MAX_CALLS):
             if not process.store.pending:
                 return
-            self.step_all(process)
+            self.answer_next_call(process)
 
     def pick(self, index: int, *, opened: bool) -> Process | None:
         found = [one for one in self.processes if not opened or one.opened is not None]
@@ -216,17 +216,17 @@
                 process.store.step(0, delivery)
                 self.settle()
 
-    def step_all(self, process: Process) -> None:
+    def answer_next_call(self, process: Process) -> None:
         if process.store.pending:
             process.store.step(0, Delivery.ANSWER)
         self.settle()
 
     @rule(index=INDEX, count=st.integers(min_value=1, max_value=20))
-    def go_on(self, index: int, count: int) -> None:
+    def resume(self, index: int, count: int) -> None:
         process = self.pick(index, opened=False)
         for _ in range(count if process else 0):
             assert process is not None
-            self.step_all(process)
+            self.answer_next_call(process)
 
     @rule(index=INDEX, call=INDEX, delivery=st.sampled_from(Delivery))
     def step(self, index: int, call: int, delivery: Delivery) -> None:
@@ -238,11 +238,11 @@
     @precondition(lambda self: self.in_transit)
     @rule(index=INDEX)
     def deliver(self, index: int) -> None:
-        act = self.in_transit.pop(index % len(self.in_transit))
-        self.loop.run_until_complete(act())
+        operation = self.in_transit.pop(index % len(self.in_transit))
+        self.loop.run_until_complete(operation())
 
     @rule(seconds=st.sampled_from([1.0, RETENTION_S / 3, RETENTION_S + 1]))
-    def pass_time(self, seconds: float) -> None:
+    def advance_clock(self, seconds: float) -> None:
         self.clock.now += seconds
 
     @rule(index=INDEX, sent=st.booleans())
--- a/tests/coordination/test_long_outage.py
+++ b/tests/coordination/test_long_outage.py
@@ -10,13 +10,13 @@
 
 HOUR_S = 3600.0
 PROMISE_S = 3.0
-ROUND_S = 0.75
+RENEWAL_INTERVAL_S = 0.75
 MARGIN_S = 0.3
 EXTENSION_S = 7200.0
 
 
 @pytest.mark.parametrize(
-    ("name", "answering", "acts"),
+    ("name", "answering", "may_act"),
     [
         ("runner/attiki/orders", 3, True),
         ("runner/attiki/orders", 2, True),
@@ -25,7 +25,7 @@
     ],
     ids=["all guards", "two of three", "one of three", "keys"],
 )
-def test_what_an_owner_may_do_in_an_outage_of_an_hour(name, answering, acts) -> None:
+def test_owner_during_an_outage_of_one_hour(name, answering, may_act) -> None:
     """The store is down for an hour. Repeatable requests go on as long as a majority of the
     frontends promises; what has to be recorded is refused for the whole hour, and nobody who
     asks for a frontend's word meanwhile gets it."""
@@ -45,17 +45,17 @@
         book=book,
     )
     held: set[bool] = set()
-    taken: set[bool] = set()
+    acknowledged: set[bool] = set()
     while (now := clock.monotonic()) < began + HOUR_S:
         for id, state in list(guards.items())[:answering]:
             answer = state.promise(epoch=4, owner="s1", now=now, duration_s=PROMISE_S, version=1)
             if answer.accepted:
                 book.given(guard=id, version=1, asked_at=now, duration_s=PROMISE_S)
-        clock.jump(ROUND_S)
+        clock.jump(RENEWAL_INTERVAL_S)
         if lease.holds(clock.monotonic()):
             continue
         held.add(tenure.holds())
         first = guards["f0"].acknowledge(epoch=5, owner="s2", now=clock.monotonic())
-        taken.add(first.accepted)
-    assert held == {acts}
-    assert taken == {False}
+        acknowledged.add(first.accepted)
+    assert held == {may_act}
+    assert acknowledged == {False}
--- a/tests/coordination/test_node.py
+++ b/tests/coordination/test_node.py
@@ -4,7 +4,7 @@
 
 import pytest
 from attrs import evolve
-from cell_harness import BOUND_S, TEXT, FixedHosts, settings, until
+from cell_harness import TEXT, TIMEOUT_S, FixedHosts, settings, until
 
 from rhubarbferry.coordination import Lost, Won
 from rhubarbferry.coordination.configuration import read, wait_in_force
@@ -29,7 +29,7 @@
     assert len(node.ownership.partitions(PartitionKind.KEY)) == 4
 
 
-async def test_load_is_shared_with_a_new_scheduler(cell):
+async def test_partitions_are_moved_to_a_new_scheduler(cell):
     first = await cell.join("a")
     await until(lambda: len(first.tenures) == 5)
     second = await cell.join("b")
@@ -37,7 +37,7 @@
     assert all(tenure.epoch == 2 for tenure in second.tenures.values())
 
 
-async def test_nothing_is_given_away_that_nobody_can_take(cell):
+async def test_no_partition_is_released_while_the_store_is_down(cell):
     """The store goes down just when an owner is about to give partitions to a new scheduler.
 
     Given up before the store is known to answer, they would have no owner until it is back,
@@ -94,7 +94,7 @@
     await until(lambda: len(second.tenures) == 5, 0.5)
 
 
-async def test_last_scheduler_leaves_without_waiting_long(cell):
+async def test_last_scheduler_leaves_without_waiting_for_a_handover(cell):
     node = await cell.join("a")
     await until(lambda: len(node.tenures) == 5)
     await asyncio.wait_for(node.drain(handover=True), 1.0)
@@ -120,7 +120,7 @@
     rack.book.use(guards=["w", "x", "y"], version=1)
     for worker, answers_enough in (("w", False), ("x", True)):
         now = cell.clock.monotonic()
-        rack.book.given(guard=worker, version=1, asked_at=now, duration_s=BOUND_S)
+        rack.book.given(guard=worker, version=1, asked_at=now, duration_s=TIMEOUT_S)
         assert rack.holds() is answers_enough
     if lapsed:
         # The holder's count ends before the store's, and a renewal between the two still succeeds.
@@ -130,25 +130,25 @@
     assert {tenure.epoch for tenure in node.tenures.values()} == ({2} if lapsed else {1})
 
 
-async def test_configuration_reaches_all_and_never_reverts(cell):
+async def test_configuration_reaches_all_members_and_never_reverts(cell):
     """The store comes back from an outage with an older configuration. The processes keep the
     later one, and a scheduler puts it back."""
     node = await cell.join("a")
-    front = await cell.join("f", role=Role.FRONTEND)
+    frontend = await cell.join("f", role=Role.FRONTEND)
     await cell.apply(TEXT + "[service web]\n", based_on=1)
-    for each in (node, front):
+    for each in (node, frontend):
         await until(lambda each=each: each.cell.current().revision == 2)
-    await wait_in_force(cell.store, revision=2, timeout_s=BOUND_S, clock=cell.clock)
+    await wait_in_force(cell.store, revision=2, timeout_s=TIMEOUT_S, clock=cell.clock)
     stored = await read(cell.store)
     older = encode(ConfigRecord(revision=1, text=TEXT))
     await cell.store.put_if(CONFIG, older, mod_revision=stored.mod_revision)
     await until(lambda: node.ownership.state.config.revision == 1)
     assert node.cell.current().revision == 2
     await until(lambda: node.ownership.state.config.revision == 2)
-    assert front.config_text.endswith("[service web]\n")
+    assert frontend.config_text.endswith("[service web]\n")
 
 
-async def test_process_started_in_an_outage_asks_its_peers(cell, monkeypatch):
+async def test_process_started_in_an_outage_reads_the_configuration_from_peers(cell, monkeypatch):
     """A process starts while the store is down. It takes the configuration from another
     process, owns nothing, and joins when the store is back."""
     monkeypatch.setattr("rhubarbferry.coordination.node.START_TIMEOUT_S", 0.2)
@@ -166,7 +166,7 @@
     await until(lambda: node.ownership.state.config.revision == 4)
 
 
-async def test_table_that_cannot_be_read_is_left_alone(cell):
+async def test_unreadable_table_is_not_overwritten(cell):
     """The table was damaged. Nobody begins the epochs anew; the message names the key."""
     await cell.store.create(OWNERSHIP, b"{")
     node = await cell.join("a")
@@ -176,7 +176,7 @@
     assert not node.tenures
 
 
-async def test_member_that_only_seems_dead_loses_nothing(cell):
+async def test_member_wrongly_seen_as_dead_keeps_its_partitions(cell):
     """A process has wrongly taken another's record for deleted. It reads all records again
     before it takes anything, and finds the other alive."""
     first = await cell.join("a")
@@ -192,9 +192,9 @@
     assert second.ownership.state.table == table
 
 
-async def test_settled_cell_costs_only_renewals(cell):
+async def test_idle_cell_only_renews_leases(cell):
     nodes = [await cell.join(name) for name in "abc"]
-    await until(lambda: _settled(nodes))
+    await until(lambda: _is_balanced(nodes))
     # The tables of the last moves may still be read when the last tenure has begun.
     await _renewals(cell, 5)
     before = [dict(client.counters.calls) for client in cell.clients]
@@ -214,5 +214,5 @@
     )
 
 
-def _settled(nodes) -> bool:
+def _is_balanced(nodes) -> bool:
     return sorted(len(node.tenures) for node in nodes) == [1, 2, 2]
--- a/tests/coordination/test_node_guards.py
+++ b/tests/coordination/test_node_guards.py
@@ -19,15 +19,15 @@
 )
 
 
-async def test_guard_set_changes_with_its_majority(cell):
+async def test_guard_set_is_replaced_with_its_majority(cell):
     """One of three frontends dies. The other two give their word, and a new one takes its
     place in the guard set."""
-    guards = GuardPool()
+    guards = FakeGuardPool()
     node = await cell.join("a", guards=guards)
-    fronts = [await cell.join(f"f{number}", role=Role.FRONTEND) for number in range(3)]
+    frontends = [await cell.join(f"f{number}", role=Role.FRONTEND) for number in range(3)]
     await until(lambda: len(node.ownership.guards("north")) == 3)
     await until(lambda: _promised(node))
-    await fronts[0].stop()
+    await frontends[0].stop()
     guards.dead.add("f0")
     await cell.join("f3", role=Role.FRONTEND)
     names = ["f1", "f2", "f3"]
@@ -42,42 +42,42 @@
     monkeypatch.setattr("rhubarbferry.coordination.guard_sets.RETRY_INTERVAL_S", 0.1)
     cfg = settings()
     cfg = evolve(cfg, ownership=evolve(cfg.ownership, longest_extension_s=0.5))
-    guards = GuardPool()
+    guards = FakeGuardPool()
     node = await cell.join("a", guards=guards, cfg=cfg)
-    fronts = [await cell.join(f"f{number}", role=Role.FRONTEND) for number in range(3)]
+    frontends = [await cell.join(f"f{number}", role=Role.FRONTEND) for number in range(3)]
     await until(lambda: len(node.ownership.guards("north")) == 3)
     guards.dead.update({"f0", "f1"})
-    await asyncio.gather(fronts[0].stop(), fronts[1].stop())
+    await asyncio.gather(frontends[0].stop(), frontends[1].stop())
     await until(lambda: node.ownership.guard_set("north").closing)
     await until(lambda: not _runner(node).book.guards)
     await until(lambda: [guard.id for guard in node.ownership.guards("north")] == ["f2"])
 
 
-async def test_operator_releases_dead_guards(cell):
+async def test_operator_can_release_dead_guards(cell):
     """Two of three frontends are dead for sure, and the operator says so instead of waiting for
     the longest extension. The one that lives is the guard set at once."""
-    guards = GuardPool()
+    guards = FakeGuardPool()
     node = await cell.join("a", guards=guards)
-    fronts = [await cell.join(f"f{number}", role=Role.FRONTEND) for number in range(3)]
+    frontends = [await cell.join(f"f{number}", role=Role.FRONTEND) for number in range(3)]
     await until(lambda: len(node.ownership.guards("north")) == 3)
     guards.dead.update({"f0", "f1"})
-    await asyncio.gather(fronts[0].stop(), fronts[1].stop())
+    await asyncio.gather(frontends[0].stop(), frontends[1].stop())
     await until(lambda: len(node.ownership.members(Role.FRONTEND)) == 1)
     await release_guards(cell.store, region="north", writer_id="op")
     await until(lambda: [guard.id for guard in node.ownership.guards("north")] == ["f2"])
 
 
-async def test_an_owner_asks_no_more_than_its_guards_give(cell):
+async def test_an_owner_respects_the_promise_limit_of_its_guards(cell):
     """The operators lengthen promises, and the schedulers restart before the frontends. These
     refuse the longer ones; without shorter ones the owner would stop with the store."""
-    guards = GuardPool(limit_ms=200)
+    guards = FakeGuardPool(limit_ms=200)
     node = await cell.join("a", guards=guards)
     await cell.join("f0", role=Role.FRONTEND)
     await until(lambda: _promised(node))
-    assert guards.asked[0] > 200 and guards.asked[-1] == 200
+    assert guards.requested_ms[0] > 200 and guards.requested_ms[-1] == 200
 
 
-async def test_an_owner_that_hands_over_gives_its_promises_up(cell):
+async def test_a_handover_releases_promises(cell):
     """A scheduler is replaced as planned while its guards have promised to follow nobody else.
 
     Did they wait for their promises to run out, callers would get no slot from its successor
@@ -85,13 +85,13 @@
     """
     cfg = settings()
     cfg = evolve(cfg, ownership=evolve(cfg.ownership, promise_s=6.0))
-    guards = GuardPool()
+    guards = FakeGuardPool()
     node = await cell.join("a", guards=guards, cfg=cfg)
-    fronts = [await cell.join(f"f{number}", role=Role.FRONTEND) for number in range(3)]
+    frontends = [await cell.join(f"f{number}", role=Role.FRONTEND) for number in range(3)]
     await until(lambda: _promised(node))
-    await until(lambda: all(guards.left_s(front.member_id) > 0 for front in fronts))
+    await until(lambda: all(guards.left_s(frontend.member_id) > 0 for frontend in frontends))
     await node.drain()
-    await until(lambda: all(guards.left_s(front.member_id) == 0 for front in fronts), 1.5)
+    await until(lambda: all(guards.left_s(frontend.member_id) == 0 for frontend in frontends), 1.5)
 
 
 def _runner(node):
@@ -104,12 +104,12 @@
     return any(tenure.book.majority(time.monotonic()) for tenure in runners)
 
 
-class GuardPool:
+class FakeGuardPool:
     """Guards of one partition by address; the dead don't answer."""
 
     def __init__(self, *, limit_ms: int = 60_000) -> None:
         self.limit_ms = limit_ms
-        self.asked: list[int] = []
+        self.requested_ms: list[int] = []
         self.states: dict[str, GuardState] = {}
         self.dead: set[str] = set()
 
@@ -124,7 +124,7 @@
                 answer = guard.close(version=req.version, now=now)
                 left_ms = int(answer.promise_left_s * 1000) + 1
                 return CloseGuardSetReply(closed=True, promise_left_ms=left_ms, guard_id=name)
-            case PromiseRequest(duration_ms=asked) if self._over_limit(asked):
+            case PromiseRequest(duration_ms=duration_ms) if self._over_limit(duration_ms):
                 return PromiseReply(
                     given=False, highest_epoch=0, guard_id=name, limit_ms=self.limit_ms
                 )
@@ -149,6 +149,6 @@
         """Return how long the promise of a guard still runs."""
         return self.states[name].promise_left_s(time.monotonic()) if name in self.states else 0.0
 
-    def _over_limit(self, asked_ms: int) -> bool:
-        self.asked.append(asked_ms)
-        return asked_ms > self.limit_ms
+    def _over_limit(self, duration_ms: int) -> bool:
+        self.requested_ms.append(duration_ms)
+        return duration_ms > self.limit_ms
--- a/tests/coordination/test_ownership_machine.py
+++ b/tests/coordination/test_ownership_machine.py
@@ -97,21 +97,21 @@
         self.store = MemoryStore(clock=self.time)
         self.count = 0
         self.epochs: dict[str, int] = {}
-        self.do(self.begin())
+        self.run_coroutine(self.start_processes())
 
-    def do(self, coro):
+    def run_coroutine(self, coro):
         return self.runner.run(coro)
 
-    async def begin(self):
+    async def start_processes(self):
         await apply(self.store, text=TEXT, based_on=0, author="a", clock=self.time, write_id="w")
-        self.processes = [self.new() for _ in range(3)]
-        await self.pass_time(2.0)
+        self.processes = [self.new_process() for _ in range(3)]
+        await self.advance_clocks(2.0)
 
-    def new(self) -> Process:
+    def new_process(self) -> Process:
         self.count += 1
         return Process(self.count, self.store.engine, self.time)
 
-    async def pass_time(self, seconds: float) -> None:
+    async def advance_clocks(self, seconds: float) -> None:
         for _ in range(round(seconds / STEP_S)):
             self.time.jump(STEP_S)
             for process in self.processes:
@@ -130,7 +130,7 @@
 
     @rule(seconds=st.sampled_from([0.25, 0.5, 1.0, 2.5]))
     def advance(self, seconds):
-        self.do(self.pass_time(seconds))
+        self.run_coroutine(self.advance_clocks(seconds))
 
     @rule(number=PROCESSES)
     def pause_or_resume(self, number):
@@ -138,7 +138,7 @@
         process.paused = not process.paused
 
     @rule(number=PROCESSES)
-    def cut_or_heal(self, number):
+    def toggle_store(self, number):
         faults = self.processes[number].store.faults
         faults.down = not faults.down
 
@@ -152,11 +152,11 @@
 
     @rule(number=PROCESSES)
     def restart(self, number):
-        self.do(self._restart(number))
+        self.run_coroutine(self._restart(number))
 
     async def _restart(self, number):
         await self.processes[number].kill()
-        self.processes[number] = self.new()
+        self.processes[number] = self.new_process()
         await settle()
 
     @invariant()
@@ -172,31 +172,31 @@
     def silence_watch(self, number):
         self.processes[number].store.faults.silent_watches = True
 
-    def kill_all(self):
-        self.do(self._kill_all())
+    def kill_processes(self):
+        self.run_coroutine(self._kill_processes())
         self.runner.close()
 
-    async def _kill_all(self):
+    async def _kill_processes(self):
         for process in self.processes:
             await process.kill()
 
     def teardown(self):
-        self.do(self._finish())
+        self.run_coroutine(self._finish())
         self.runner.close()
         logger.enable("rhubarbferry")
 
     async def _finish(self):
         try:
-            await self._all_is_well_again()
+            await self._check_recovery()
         finally:
-            await self._kill_all()
+            await self._kill_processes()
 
-    async def _all_is_well_again(self):
+    async def _check_recovery(self):
         """Once the faults are over, each partition has an owner that holds."""
         for process in self.processes:
             process.paused = False
             process.store.faults = type(process.store.faults)()
-        await self.pass_time(CFG.ownership.refresh_s + 10.0)
+        await self.advance_clocks(CFG.ownership.refresh_s + 10.0)
         holding = [t for p in self.processes for t in p.tenures if t.holds()]
         assert len(holding) == 3
 
@@ -231,7 +231,7 @@
 def cut_while_a_reply_is_slow(machine: OwnershipMachine) -> None:
     machine.slow_replies(0, 1.7)
     machine.advance(1.0)
-    machine.cut_or_heal(0)
+    machine.toggle_store(0)
     machine.advance(2.5)
 
 
@@ -244,7 +244,7 @@
     machine.advance(2.5)
 
 
-@pytest.mark.parametrize("disabled", [False, True])
+@pytest.mark.parametrize("mechanism_disabled", [False, True])
 @pytest.mark.parametrize(
     ("scenario", "name", "mutant"),
     [
@@ -252,17 +252,17 @@
         (stopped_past_the_lease_with_a_silent_watch, "_renew", _renew_or_revive),
     ],
 )
-def test_mechanism_is_needed(monkeypatch, scenario, name, mutant, disabled):
+def test_lease_mechanism_is_needed(monkeypatch, scenario, name, mutant, mechanism_disabled):
     """A lease counted from a slow reply is believed for too long; a lease regained after a stop
     would bring back what another has taken over. Either lets two processes decide at once."""
-    if disabled:
+    if mechanism_disabled:
         monkeypatch.setattr(Membership, name, mutant)
     machine = OwnershipMachine()
     try:
-        if disabled:
+        if mechanism_disabled:
             with pytest.raises(AssertionError, match="two tenures hold"):
                 scenario(machine)
         else:
             scenario(machine)
     finally:
-        machine.kill_all()
+        machine.kill_processes()
