--- a/tests/coordination/cell_harness.py
+++ b/tests/coordination/cell_harness.py
@@ -1,4 +1,4 @@
-"""Nodes on one store in this process, for the tests of this directory."""
+"""Harness for tests that run several nodes on one in-memory store in one process."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class Cell:
-    """Nodes on one store in this process, each through a client of its own."""
+    """A cell of nodes in this process; each node has its own client of the shared store."""
 
     def __init__(self) -> None:
         self.clock = SystemClock()
--- a/tests/coordination/gated_store.py
+++ b/tests/coordination/gated_store.py
@@ -1,4 +1,4 @@
-"""A store whose calls take apply, and answer, only when a test says so."""
+"""A store in which the test decides when each call takes effect and when it returns."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Delivery(StrEnum):
-    """What becomes of a call."""
+    """How a pending call continues."""
 
     ANSWER = "answer"
     EFFECT_ONLY = "effect only"
@@ -24,12 +24,12 @@
 
 
 def run_without_waiting(coro: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine that waits for nothing."""
+    """Run a coroutine that is expected to finish without suspending."""
     try:
         coro.send(None)
     except StopIteration as stop:
         return stop.value
-    raise AssertionError("it waited")
+    raise AssertionError("the coroutine was suspended")
 
 
 @define(kw_only=True, eq=False)
@@ -47,7 +47,7 @@
 
 
 class GatedStore:
-    """Calls of one process; effects that are under way outlive the process."""
+    """Store of one process; requests in transit are still executed after the process has ended."""
 
     def __init__(self, *, memory: MemoryStore, in_transit: list[Callable[[], Any]]) -> None:
         self._memory = memory
@@ -55,7 +55,7 @@
         self.pending: list[PendingCall] = []
 
     def step(self, index: int, delivery: Delivery) -> None:
-        """Let one call go on."""
+        """Continue one pending call."""
         call = self.pending[index % len(self.pending)]
         if delivery is Delivery.EFFECT_ONLY:
             call.apply()
@@ -75,7 +75,7 @@
             call.fut.set_exception(StoreUnclear("lost"))
 
     def leave_in_transit(self) -> None:
-        """Let is_write that were sent take apply later, though nobody waits for them."""
+        """Keep sent writes in transit, so that they take effect later without a caller."""
         self._in_transit.extend(
             call.operation for call in self.pending if call.is_write and not call.applied
         )
--- a/tests/coordination/log_rig.py
+++ b/tests/coordination/log_rig.py
@@ -1,4 +1,4 @@
-"""Parts for tests of the log: entries, and a clock that goes on by itself."""
+"""Helpers for tests of the log: entries, logs, stores and a clock that advances itself."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AutoAdvancingClock:
-    """Each sleep is over at once and moves the time to its end."""
+    """A clock whose sleeps return immediately and advance the time to their end."""
 
     def __init__(self) -> None:
         self.now = 1000.0
--- a/tests/coordination/test_budget_shared.py
+++ b/tests/coordination/test_budget_shared.py
@@ -33,8 +33,10 @@
 
 
 async def test_renewals_never_wait_and_reads_have_their_own_share() -> None:
-    """Appends have used up the budget. A lease renewal must go out all the same, or the
-    process would lose its lease to its own traffic."""
+    """Lease renewals are not delayed after log appends have used up the write budget.
+
+    Otherwise a process could lose its lease because of its own traffic.
+    """
     clock = AutoAdvancingClock()
     budget = _budget(clock)
     for _ in range(300):
--- a/tests/coordination/test_configuration.py
+++ b/tests/coordination/test_configuration.py
@@ -45,8 +45,10 @@
 
 
 async def test_conflict_names_the_other_author(store):
-    """Two operators edit the same revision. The second is told who was first, and nothing of
-    that change is lost."""
+    """Two operators edit the same revision, and the second change is rejected.
+
+    The error names the author of the first change, and the first change is kept.
+    """
     await apply(store, author="ann")
     with pytest.raises(conf.ConfigRace, match="ann"):
         await apply(store, text=OTHER, author="bob")
@@ -54,7 +56,7 @@
 
 
 async def test_concurrent_changes(store):
-    """Both have read the store before either writes; one wins, the other is told so."""
+    """Concurrent changes all read the store before any is written; exactly one succeeds."""
     results = await asyncio.gather(
         *(apply(store, author=name) for name in ("ann", "bob", "eve")), return_exceptions=True
     )
@@ -65,8 +67,10 @@
 
 @pytest.mark.parametrize("lost", [1, 3])
 async def test_lost_reply_is_resolved_by_reading_back(store, lost):
-    """The store takes the change and its reply is lost. The operator is told that it stands,
-    and it was made once."""
+    """The store applies the change, but its reply is lost.
+
+    The operator receives a success, and the change is made only once.
+    """
     store.faults.lose_replies = lost
     assert (await apply(store)).revision == 1
     assert (await conf.read(store)).record.revision == 1
@@ -81,8 +85,10 @@
 
 
 async def test_store_lost_after_an_unclear_write(store, monkeypatch):
-    """The reply is lost and the store goes down, so nobody can say whether the change stands.
-    The operator is told just that."""
+    """The reply to the write is lost and the store becomes unavailable.
+
+    Whether the change was stored can't be determined, which the error must state.
+    """
 
     async def create(key, value, *, lease_id=0):
         store.faults.down = True
@@ -110,8 +116,11 @@
 
 
 async def test_change_is_rejected_while_the_store_is_behind(store):
-    """After an outage the store has an older revision than the processes. A change based on it
-    would bring the older one back, so it is refused until the later one is there again."""
+    """After an outage the store holds an older revision than the members use.
+
+    A change based on that revision would revert the configuration. It is rejected until the later
+    revision is restored.
+    """
     await apply(store)
     await store.create(MEMBERS + "a", encode(member("a", 5)))
     with pytest.raises(conf.ConfigBehind):
--- a/tests/coordination/test_guard_sets.py
+++ b/tests/coordination/test_guard_sets.py
@@ -25,7 +25,7 @@
 
 
 class FakeGuards:
-    """Guards that answer when they live; a promise may still be open."""
+    """Guards of which only live ones answer; a promise may still be open."""
 
     def __init__(self, alive: str, left_s: float = 0.0) -> None:
         self.alive = alive
@@ -38,7 +38,7 @@
 
 
 async def proposed_set(*, alive, left_s=0.0, seconds, extension_s=100.0, closing=False):
-    """Return the set that a planner proposes after some time, with ``bcd`` alive."""
+    """Return the guard set proposed after some time, with live frontends ``bcd``."""
     clock, mirror = FakeClock(), Mirror()
     table = Table(guards={"north": evolve(OLD, closing=closing)})
     members = {name: frontend(name) for name in "bcd"}
@@ -69,16 +69,21 @@
     ],
 )
 async def test_set_changes_only_when_it_is_safe(case, version, closing, names):
-    """One or two of the guards a, b, c die while d is new. The set changes once a majority of
-    it has closed the old version and its promises have run out, or after the longest wait."""
+    """One or two of the guards a, b and c die, and the frontend d is new.
+
+    The set is replaced once a majority of it has closed the old version and its promises have
+    expired, or after the longest extension.
+    """
     found = await proposed_set(**case)
     assert (found.version, found.closing) == (version, closing)
     assert "".join(guard.id for guard in found.guards) == names
 
 
 async def test_change_that_is_no_longer_wanted_opens_the_set_again():
-    """The guards have closed their set for a new frontend, which then died. Without a new
-    version they would refuse all promises for good."""
+    """The guards have closed their set for a new frontend, which then died.
+
+    Without a new version of the set they would refuse all promises permanently.
+    """
     clock, mirror = FakeClock(), Mirror()
     table = Table(guards={"north": OLD})
     members = {name: frontend(name) for name in "abcd"}
--- a/tests/coordination/test_log.py
+++ b/tests/coordination/test_log.py
@@ -1,4 +1,4 @@
-"""The sealed log: group commit, fencing, lost replies, snapshots and broken records."""
+"""The sealed log: group commit, fencing, lost replies, snapshots and corrupt records."""
 
 from __future__ import annotations
 
@@ -44,14 +44,14 @@
 
 
 class SteppedLog:
-    """A log whose store calls go on one by one."""
+    """A log whose store calls are continued one by one."""
 
     def __init__(self, memory: MemoryStore, epoch: int) -> None:
         self.store = GatedStore(memory=memory, in_transit=[])
         self.log = make_log(self.store, epoch=epoch, clock=memory.clock)
 
     async def step(self, delivery: Delivery = Delivery.ANSWER) -> None:
-        assert self.store.pending, "no call waits"
+        assert self.store.pending, "no store call is pending"
         self.store.step(0, delivery)
         await settle()
 
@@ -61,7 +61,7 @@
             if task.done():
                 return
             await self.step()
-        raise AssertionError("it does not end")
+        raise AssertionError("the task does not finish")
 
     async def open(self) -> list[str]:
         task = asyncio.ensure_future(self.log.open())
@@ -94,7 +94,7 @@
 
 
 async def test_a_full_queue_refuses_at_once() -> None:
-    """The store is slow and more appends come than may wait. The surplus is refused as not done."""
+    """With a slow store, appends beyond the queue limit are rejected and not written."""
     store = make_store()
     log = await opened(store, 1, max_queued_appends=3)
     results = await asyncio.gather(
@@ -105,7 +105,7 @@
 
 
 async def test_an_append_refused_in_an_outage_is_never_written() -> None:
-    """The store is down when an append comes. It is refused, and the next one goes through."""
+    """An append during an outage of the store is rejected; the next one succeeds."""
     store = make_store()
     log = await opened(store, 1)
     store.faults.down = True
@@ -117,7 +117,7 @@
 
 
 async def test_a_lost_reply_is_read_back_and_the_append_counts_once() -> None:
-    """A write takes effect and its reply is lost. The caller sees a plain success."""
+    """A write takes effect, but its reply is lost; the caller receives a success."""
     store = make_store()
     log = await opened(store, 1)
     store.faults.lose_replies = 1
@@ -127,8 +127,11 @@
 
 
 async def test_an_unclear_append_is_resolved_before_later_ones() -> None:
-    """A reply is lost and then the store goes down. The caller hears "unclear", later callers
-    are refused at once, and once the store is back the unclear entry stands before them."""
+    """The reply to a write is lost and the store becomes unavailable.
+
+    The caller receives LogUnclear and later appends are rejected. Once the store is available
+    again, the unclear entry is written before later ones.
+    """
     memory = make_store()
     stepped = SteppedLog(memory, 1)
     await stepped.open()
@@ -153,8 +156,10 @@
 
 
 async def test_a_paused_owner_finds_the_seal_and_appends_nothing() -> None:
-    """A process pauses, a successor takes over, and the process goes on where it was. Its
-    callers hear that the partition is lost, and the successor has read all there is."""
+    """An owner pauses, a successor takes over, and the first owner resumes.
+
+    Its callers receive LogFenced, and the successor has read all committed entries.
+    """
     store = make_store()
     old = await opened(store, 1)
     await old.append([entry("a")])
@@ -171,7 +176,7 @@
 
 
 async def test_an_old_epoch_cannot_open_a_log() -> None:
-    """A process learns late that it owned a partition once. It can't take the log back."""
+    """A process learns too late that it had become the owner; it must not take the log back."""
     store = make_store()
     await opened(store, 2)
     with pytest.raises(LogFenced):
@@ -179,8 +184,11 @@
 
 
 async def test_an_append_on_a_freed_number_is_not_acknowledged() -> None:
-    """An owner pauses right before a write, for long. Its successor compacts, which deletes
-    the seal, so the write succeeds where nobody reads. The caller must not hear "done"."""
+    """An owner pauses for a long time right before a write.
+
+    Its successor compacts the log and deletes the seal, so the write succeeds at a number that is
+    never read. The caller must not receive a success.
+    """
     memory = make_store()
     stepped = SteppedLog(memory, 1)
     await stepped.open()
@@ -199,8 +207,11 @@
 
 
 async def test_a_new_owner_keeps_its_seal_for_the_retention_period() -> None:
-    """A successor compacts right after its take-over, while the earlier owner is about to
-    write without another look at the head. The seal must still be there to stop it."""
+    """A successor compacts right after its takeover.
+
+    The previous owner is about to write without checking the head again. The seal must still exist
+    to reject this write.
+    """
     store = make_store()
     old = await opened(store, 1)
     new = await opened(store, 2)
@@ -211,8 +222,10 @@
 
 
 async def test_a_successor_that_compacts_during_our_open_fences_us() -> None:
-    """Two processes open the log; the later one seals and compacts while the earlier one is
-    between two reads. The earlier one must not find an empty log and go on with it."""
+    """Two processes open the log; the later one compacts it between two reads of the earlier one.
+
+    The earlier one must not find an empty log and continue with it.
+    """
     memory = make_store()
     first = await opened(memory, 1)
     await first.append([entry("a")])
@@ -231,8 +244,10 @@
 
 
 async def test_a_fenced_owner_cannot_bring_its_snapshot_into_force() -> None:
-    """An owner holds an entry that it never got recorded and pauses within a compaction. The
-    successor opens the log without the entry; afterwards it must not come back."""
+    """An owner whose state holds an entry that was never committed pauses during a compaction.
+
+    The successor opens the log without the entry, which must not appear later.
+    """
     memory = make_store()
     stepped = SteppedLog(memory, 1)
     await stepped.open()
@@ -247,8 +262,10 @@
 
 
 async def test_a_snapshot_does_not_cover_an_entry_that_is_not_applied() -> None:
-    """An entry gets on record while its caller has not yet applied it, and just then another
-    task compacts. The entry must outlive the compaction."""
+    """A task compacts the log after an entry is committed and before its caller applies it.
+
+    The entry must not be lost by the compaction.
+    """
     store = make_store()
     log = await opened(store, 1)
     state: list[str] = []
@@ -288,7 +305,7 @@
 
 @pytest.mark.parametrize("crash_after", range(0, 40, 3))
 async def test_a_crash_within_a_compaction_leaves_a_whole_log(crash_after: int) -> None:
-    """The process dies after some call of a compaction. The successor reads every entry."""
+    """A process dies after any call of a compaction; the successor reads all entries."""
     memory = make_store()
     stepped = SteppedLog(memory, 1)
     await stepped.open()
@@ -352,8 +369,11 @@
 async def test_the_error_for_a_corrupt_record_names_its_key(
     kind: str, change: Callable[[bytes], bytes]
 ) -> None:
-    """Someone edits a record by hand, or half of it is lost. The operator hears which key it
-    is, nothing is read past it, and another partition's log is not touched by it."""
+    """A record is edited manually or truncated.
+
+    The error names its key, nothing after it is read, and the logs of other partitions stay
+    available.
+    """
     store = make_store()
     log = await opened(store, 1)
     await log.append([entry("a")])
@@ -372,7 +392,7 @@
 
 @pytest.mark.parametrize("kind", ["segment", "chunk"])
 async def test_the_error_for_a_missing_record_names_its_key(kind: str) -> None:
-    """A record was deleted by hand. The log does not pass over the gap in silence."""
+    """A record is deleted manually; the gap must be reported instead of being skipped."""
     store = make_store()
     log = await opened(store, 1)
     await log.append([entry("a")])
@@ -387,7 +407,7 @@
 
 
 async def test_a_record_of_a_fenced_epoch_behind_a_later_one_is_corrupt() -> None:
-    """Only a fault of the store could let an old owner write behind a seal. It is not read."""
+    """Only a fault of the store lets a fenced owner write after a seal; the record is rejected."""
     store = make_store()
     await opened(store, 5)
     key = KEYS.segment(2)
@@ -399,7 +419,7 @@
 
 
 async def test_reads_from_a_lagging_store_are_rejected() -> None:
-    """After an outage the store answers reads out of the past. The log waits for it."""
+    """After an outage the store returns outdated reads; the log opens once it has caught up."""
     store = make_store()
     log = await opened(store, 1)
     for number in range(3):
--- a/tests/coordination/test_log_machine.py
+++ b/tests/coordination/test_log_machine.py
@@ -1,4 +1,4 @@
-"""Owners of one log, interleaved call by call, with crashes, pauses and losses anywhere."""
+"""State machine test of the log: several owners with crashes, pauses and lost calls."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @define(kw_only=True, eq=False)
 class Process:
-    """One owner; ``state`` is what it would rebuild or snapshot."""
+    """One owner of the log; ``state`` is the state that it rebuilds and snapshots."""
 
     epoch: int
     store: GatedStore
@@ -44,7 +44,7 @@
 
 
 class LogMachine(RuleBasedStateMachine):
-    """No acknowledged entry is lost, and none of a fenced owner appears after a seal."""
+    """No acknowledged entry is lost, and no entry of a fenced owner appears after a seal."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -110,13 +110,15 @@
 
     def check_replayed(self, process: Process) -> None:
         found = process.opened or []
-        assert not self.refused & set(found), "an entry stands that was told not to"
+        assert not self.refused & set(found), "an entry exists that was reported as not written"
         for epoch, name in self.acked:
             if epoch < process.epoch:
                 assert name in found, f"{name} was acknowledged and is lost"
         for epoch in {epoch for epoch, _ in self.acked}:
             order = [name for e, name in self.acked if e == epoch and name in found]
-            assert order == [name for name in found if name in set(order)], "order changed"
+            assert order == [
+                name for name in found if name in set(order)
+            ], "the order of entries changed"
         for other in self.all_processes:
             if other.opened is None or other is process:
                 continue
@@ -127,7 +129,7 @@
     def check_pair(self, first: Process, second: Process) -> None:
         early, late = first.opened or [], second.opened or []
         kept = [name for name in late if name in set(early)]
-        assert kept == early, "what the earlier owner read is gone or in another order"
+        assert kept == early, "entries read by the earlier owner are missing or reordered"
         added = set(late) - set(early)
         for name in added:
             assert self.epoch_of[name] >= first.epoch, f"{name} of a fenced owner has appeared"
@@ -140,13 +142,13 @@
         except (LogUnavailable, LogFenced):
             self.refused.update(submitted)
             for other in self.all_processes:
-                assert not set(submitted) & set(other.opened or []), "a refused entry stands"
+                assert not set(submitted) & set(other.opened or []), "a rejected entry was written"
         else:
             process.state.extend(submitted)
             self.acked.extend((process.epoch, name) for name in submitted)
             for other in self.all_processes:
                 if other.epoch > process.epoch and other.opened is not None:
-                    assert set(submitted) <= set(other.opened), "acknowledged behind a seal"
+                    assert set(submitted) <= set(other.opened), "entry acknowledged after a seal"
 
     async def _compact(self, process: Process) -> None:
         try:
@@ -169,7 +171,7 @@
     @precondition(lambda self: len(self.processes) < MAX_LIVE_PROCESSES)
     @rule(wait_retention=st.booleans(), compact_log=st.booleans())
     def take_over(self, wait_retention: bool, compact_log: bool) -> None:
-        """Let a new owner do all that it can while the others are paused."""
+        """Let a new owner finish all its calls while the others are paused."""
         self.start()
         process = self.processes[-1]
         self.run_until_idle(process)
--- a/tests/coordination/test_long_outage.py
+++ b/tests/coordination/test_long_outage.py
@@ -26,9 +26,12 @@
     ids=["all guards", "two of three", "one of three", "keys"],
 )
 def test_owner_during_an_outage_of_one_hour(name, answering, may_act) -> None:
-    """The store is down for an hour. Repeatable requests go on as long as a majority of the
-    frontends promises; what has to be recorded is refused for the whole hour, and nobody who
-    asks for a frontend's word meanwhile gets it."""
+    """The store is unavailable for an hour.
+
+    Requests that can be repeated safely continue while a majority of the frontends makes promises.
+    Key partitions, whose decisions must be recorded, stop for the whole hour. No frontend
+    acknowledges another owner in the meantime.
+    """
     clock = FakeClock()
     began = clock.monotonic()
     lease = Lease.granted(id=1, incarnation=1, asked_at=began, ttl_s=3.0, margin_s=MARGIN_S)
--- a/tests/coordination/test_node.py
+++ b/tests/coordination/test_node.py
@@ -38,10 +38,10 @@
 
 
 async def test_no_partition_is_released_while_the_store_is_down(cell):
-    """The store goes down just when an owner is about to give partitions to a new scheduler.
+    """The store becomes unavailable just before an owner moves partitions to a new scheduler.
 
-    Given up before the store is known to answer, they would have no owner until it is back,
-    though their owner was well and its guards would have let it go on.
+    If the owner released them before the store answers, they would have no owner until the store
+    is available again, although their owner is healthy and its guards would let it continue.
     """
     cfg = settings()
     cfg = evolve(cfg, ownership=evolve(cfg.ownership, lease_s=6.0))
@@ -58,8 +58,11 @@
 
 
 async def test_takeover_when_a_lease_lapses(cell):
-    """A process is cut off from the store, so its lease lapses there. The other one must have
-    all partitions soon after, and the first must have stopped before."""
+    """A process is cut off from the store, so its lease expires.
+
+    The other process must take over all partitions soon after, and the first one must have stopped
+    acting before that.
+    """
     first = await cell.join("a")
     await until(lambda: len(first.tenures) == 5)
     second = await cell.join("b")
@@ -102,9 +105,12 @@
 
 @pytest.mark.parametrize("lapsed", [False, True])
 async def test_store_outage_keeps_workers_and_stops_keys(cell, lapsed):
-    """The store goes down for longer than a lease. No key partition decides meanwhile, the
-    owner of a rack goes on while a majority of its workers answers it; afterwards all go on,
-    under new epochs only when the lease lapsed in the store."""
+    """The store is unavailable for longer than a lease lasts.
+
+    Key partitions make no decisions in the meantime. The owner of a rack continues while a
+    majority of its workers answers. Afterwards all partitions continue; their epochs change only
+    if the lease expired in the store.
+    """
     hosts = FixedHosts()
     runner = hosts.list[0]
     hosts.list = (runner, evolve(runner, id="w", kind=HostKind.WORKER, rack="r", service=""))
@@ -123,7 +129,8 @@
         rack.book.given(guard=worker, version=1, asked_at=now, duration_s=TIMEOUT_S)
         assert rack.holds() is answers_enough
     if lapsed:
-        # The holder's count ends before the store's, and a renewal between the two still succeeds.
+        # The holder considers the lease expired before the store does; a renewal in between
+        # succeeds.
         await until(lambda: cell.clock.monotonic() >= lease.ends)
     cell.clients[0].faults.down = False
     await until(lambda: len([t for t in node.tenures.values() if t.holds()]) == 6)
@@ -131,8 +138,10 @@
 
 
 async def test_configuration_reaches_all_members_and_never_reverts(cell):
-    """The store comes back from an outage with an older configuration. The processes keep the
-    later one, and a scheduler puts it back."""
+    """After an outage the store holds an older configuration.
+
+    The processes keep the later one, and a scheduler writes it back.
+    """
     node = await cell.join("a")
     frontend = await cell.join("f", role=Role.FRONTEND)
     await cell.apply(TEXT + "[service web]\n", based_on=1)
@@ -149,8 +158,11 @@
 
 
 async def test_process_started_in_an_outage_reads_the_configuration_from_peers(cell, monkeypatch):
-    """A process starts while the store is down. It takes the configuration from another
-    process, owns nothing, and joins when the store is back."""
+    """A process starts while the store is unavailable.
+
+    It reads the configuration from another process, owns nothing, and joins when the store is
+    available.
+    """
     monkeypatch.setattr("rhubarbferry.coordination.node.START_TIMEOUT_S", 0.2)
     monkeypatch.setattr("rhubarbferry.coordination.node.PEER_POLL_INTERVAL_S", 0.05)
 
@@ -167,7 +179,7 @@
 
 
 async def test_unreadable_table_is_not_overwritten(cell):
-    """The table was damaged. Nobody begins the epochs anew; the message names the key."""
+    """A corrupt table is not overwritten, because epochs must not start again at 1."""
     await cell.store.create(OWNERSHIP, b"{")
     node = await cell.join("a")
     await until(lambda: "a" in node.ownership.state.members)
@@ -177,8 +189,10 @@
 
 
 async def test_member_wrongly_seen_as_dead_keeps_its_partitions(cell):
-    """A process has wrongly taken another's record for deleted. It reads all records again
-    before it takes anything, and finds the other alive."""
+    """A process wrongly considers another member's record deleted.
+
+    It reads all records again before it takes over any partition, and finds the member alive.
+    """
     first = await cell.join("a")
     await until(lambda: len(first.tenures) == 5)
     second = await cell.join("b")
@@ -195,7 +209,7 @@
 async def test_idle_cell_only_renews_leases(cell):
     nodes = [await cell.join(name) for name in "abc"]
     await until(lambda: _is_balanced(nodes))
-    # The tables of the last moves may still be read when the last tenure has begun.
+    # Reads of the tables of the last moves may still follow after the last tenure has begun.
     await _renewals(cell, 5)
     before = [dict(client.counters.calls) for client in cell.clients]
     await _renewals(cell, 6)
--- a/tests/coordination/test_node_guards.py
+++ b/tests/coordination/test_node_guards.py
@@ -20,8 +20,7 @@
 
 
 async def test_guard_set_is_replaced_with_its_majority(cell):
-    """One of three frontends dies. The other two give their word, and a new one takes its
-    place in the guard set."""
+    """One of three frontends dies; the other two confirm, and a new one joins the guard set."""
     guards = FakeGuardPool()
     node = await cell.join("a", guards=guards)
     frontends = [await cell.join(f"f{number}", role=Role.FRONTEND) for number in range(3)]
@@ -36,8 +35,10 @@
 
 
 async def test_guard_set_without_its_majority_is_closed_first(cell, monkeypatch):
-    """Two of three frontends die at once, so no majority can give its word. The set is closed,
-    and replaced after the longest extension."""
+    """Two of three frontends die at the same time, so no majority can confirm.
+
+    The set is marked as closing and replaced after the longest extension.
+    """
     monkeypatch.setattr("rhubarbferry.coordination.guard_sets.CLOSE_DELAY_S", 0.2)
     monkeypatch.setattr("rhubarbferry.coordination.guard_sets.RETRY_INTERVAL_S", 0.1)
     cfg = settings()
@@ -54,8 +55,10 @@
 
 
 async def test_operator_can_release_dead_guards(cell):
-    """Two of three frontends are dead for sure, and the operator says so instead of waiting for
-    the longest extension. The one that lives is the guard set at once."""
+    """Two of three frontends are permanently lost, and the operator releases the guard set.
+
+    The remaining frontend forms the guard set immediately, not after the longest extension.
+    """
     guards = FakeGuardPool()
     node = await cell.join("a", guards=guards)
     frontends = [await cell.join(f"f{number}", role=Role.FRONTEND) for number in range(3)]
@@ -68,8 +71,11 @@
 
 
 async def test_an_owner_respects_the_promise_limit_of_its_guards(cell):
-    """The operators lengthen promises, and the schedulers restart before the frontends. These
-    refuse the longer ones; without shorter ones the owner would stop with the store."""
+    """The operators lengthen promises, and the schedulers restart before the frontends.
+
+    The frontends refuse the longer promises. The owner must request shorter ones, or it would stop
+    as soon as the store is unavailable.
+    """
     guards = FakeGuardPool(limit_ms=200)
     node = await cell.join("a", guards=guards)
     await cell.join("f0", role=Role.FRONTEND)
@@ -78,10 +84,10 @@
 
 
 async def test_a_handover_releases_promises(cell):
-    """A scheduler is replaced as planned while its guards have promised to follow nobody else.
+    """A scheduler is replaced as planned while its guards have promised not to follow another.
 
-    Did they wait for their promises to run out, callers would get no slot from its successor
-    for up to 3 s.
+    If the guards waited for their promises to expire, the successor could not grant slots for up
+    to 3 s.
     """
     cfg = settings()
     cfg = evolve(cfg, ownership=evolve(cfg.ownership, promise_s=6.0))
@@ -105,7 +111,7 @@
 
 
 class FakeGuardPool:
-    """Guards of one partition by address; the dead don't answer."""
+    """Fake guards, by address; dead guards do not answer."""
 
     def __init__(self, *, limit_ms: int = 60_000) -> None:
         self.limit_ms = limit_ms
@@ -146,7 +152,7 @@
                 )
 
     def left_s(self, name: str) -> float:
-        """Return how long the promise of a guard still runs."""
+        """Return the remaining time of a guard's promise in seconds."""
         return self.states[name].promise_left_s(time.monotonic()) if name in self.states else 0.0
 
     def _over_limit(self, duration_ms: int) -> bool:
--- a/tests/coordination/test_ownership_machine.py
+++ b/tests/coordination/test_ownership_machine.py
@@ -40,7 +40,7 @@
 
 
 class PolledStore(MemoryStore):
-    """Look for changes in steps of the test's own time."""
+    """A store whose watches poll for changes on the test's clock."""
 
     async def watch(self, prefix, *, from_revision):
         while True:
@@ -53,7 +53,7 @@
 
 
 class Process:
-    """One node on a clock of its own, which can be stopped."""
+    """One node with its own clock, which can be paused."""
 
     def __init__(self, number: int, engine, clock: FakeClock) -> None:
         self.clock = FakeClock(now=clock.monotonic())
@@ -79,7 +79,7 @@
                     self.tenures.append(tenure)
 
     async def kill(self) -> None:
-        # Cancelled where it stands: nothing is revoked or handed over.
+        # Cancelled without cleanup: no lease is revoked and no partition is handed over.
         for task in (self.main, self.node._main):
             task.cancel()
         await asyncio.gather(self.main, self.node._main, return_exceptions=True)
@@ -87,7 +87,7 @@
 
 
 class OwnershipMachine(RuleBasedStateMachine):
-    """Three schedulers that are paused, cut, slowed and restarted in any order."""
+    """Three schedulers that are paused, cut off, slowed down and restarted in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -160,7 +160,7 @@
         await settle()
 
     @invariant()
-    def epochs_never_fall(self):
+    def epochs_never_decrease(self):
         if not hasattr(self, "processes"):
             return
         for process in self.processes:
@@ -192,7 +192,7 @@
             await self._kill_processes()
 
     async def _check_recovery(self):
-        """Once the faults are over, each partition has an owner that holds."""
+        """Check that each partition has an active owner once the faults are over."""
         for process in self.processes:
             process.paused = False
             process.store.faults = type(process.store.faults)()
@@ -253,8 +253,11 @@
     ],
 )
 def test_lease_mechanism_is_needed(monkeypatch, scenario, name, mutant, mechanism_disabled):
-    """A lease counted from a slow reply is believed for too long; a lease regained after a stop
-    would bring back what another has taken over. Either lets two processes decide at once."""
+    """Without either mechanism two processes could act as owners at the same time.
+
+    A lease counted from a slow reply is considered valid for too long. A lease that is regained
+    after a pause would restore partitions that another process has taken over.
+    """
     if mechanism_disabled:
         monkeypatch.setattr(Membership, name, mutant)
     machine = OwnershipMachine()
