--- a/rhubarbferry/coordination/budget.py
+++ b/rhubarbferry/coordination/budget.py
@@ -11,12 +11,12 @@
 BURST_S = 0.5
 MAX_WAIT_S = 2.0
 
-WAITS = Counter(
+WAIT_SECONDS = Counter(
     "rhubarbferry_store_budget_wait_seconds_total",
     "Seconds that calls to the store were delayed by the rate limit",
     ["kind"],
 )
-REFUSALS = Counter(
+REJECTIONS = Counter(
     "rhubarbferry_store_budget_refusals_total",
     "Calls to the store rejected because the rate limit would delay them too long",
     ["kind"],
@@ -46,7 +46,7 @@
         max_wait_s: float = MAX_WAIT_S,
     ) -> None:
         self._clock = clock
-        self._per_s = {Spend.WRITE: writes_per_s, Spend.READ: reads_per_s}
+        self._limits_per_s = {Spend.WRITE: writes_per_s, Spend.READ: reads_per_s}
         self._max_wait_s = max_wait_s
         self._rates: dict[Spend, Rate] = {}
         self.set_members(members)
@@ -59,7 +59,7 @@
         """Set the number of members that share the cell's rate limits equally."""
         self._rates = {
             kind: share(per_s=per_s, members=count, burst_s=BURST_S)
-            for kind, per_s in self._per_s.items()
+            for kind, per_s in self._limits_per_s.items()
         }
 
     async def spend(self, spend: Spend) -> None:
@@ -73,7 +73,7 @@
             self._buckets[kind] = taken.bucket
             return
         if taken.wait_s > self._max_wait_s:
-            REFUSALS.labels(kind.value).inc()
+            REJECTIONS.labels(kind.value).inc()
             raise StoreRateLimited(
                 f"the call would wait {taken.wait_s:.1f} s for this process's share of the"
                 f" store's {kind.value} rate; send fewer, larger batches or raise"
@@ -81,5 +81,5 @@
             )
         self._buckets[kind] = taken.bucket
         if taken.wait_s > 0:
-            WAITS.labels(kind.value).inc(taken.wait_s)
+            WAIT_SECONDS.labels(kind.value).inc(taken.wait_s)
             await self._clock.sleep(taken.wait_s)
--- a/rhubarbferry/coordination/configuration.py
+++ b/rhubarbferry/coordination/configuration.py
@@ -26,10 +26,10 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.store import KeyValue, Store, StoreError, StoreUnclear
 
-IN_FORCE = Gauge(
+ACTIVE_REVISION = Gauge(
     "rhubarbferry_config_revision", "Revision of the configuration in force in this process"
 )
-REFUSED = Counter(
+REJECTIONS = Counter(
     "rhubarbferry_config_refused_total", "Configurations rejected by this process", ["reason"]
 )
 MAX_ATTEMPTS = 5
@@ -99,7 +99,7 @@
         self.record = NO_CONFIG
         self.changes = Signal()
         self._cell = Cell()
-        self._refused: ConfigRecord | None = None
+        self._rejected_record: ConfigRecord | None = None
 
     def current(self) -> Cell:
         """Return the active configuration."""
@@ -107,21 +107,25 @@
 
     def update(self, record: ConfigRecord | None) -> None:
         """Activate a configuration read from the store or from a peer, unless it is older."""
-        if newer(self.record, record) is self.record or record is None or record == self._refused:
+        if (
+            newer(self.record, record) is self.record
+            or record is None
+            or record == self._rejected_record
+        ):
             return
         match parse_cell(record.text, record.revision):
             case Success(cell):
                 self._cell = cell
                 self.record = record
-                IN_FORCE.set(record.revision)
+                ACTIVE_REVISION.set(record.revision)
                 logger.info("configuration {} by {} is in force", record.revision, record.author)
                 self.changes.notify()
             case Failure(problems):
                 # Only a newer version of this program writes a configuration that this version
                 # can't parse. The old revision stays active, and this member keeps reporting it,
                 # so that the operator can see which members have not activated the new one.
-                self._refused = record
-                REFUSED.labels("unreadable").inc()
+                self._rejected_record = record
+                REJECTIONS.labels("unreadable").inc()
                 logger.error("configuration {} can't be parsed: {}", record.revision, problems[0])
 
 
@@ -185,7 +189,7 @@
         no record.
     :returns: whether it was written; ``False`` when another write came first.
     """
-    REFUSED.labels("older").inc()
+    REJECTIONS.labels("older").inc()
     logger.warning("the store lost configuration {}; writing it back", in_force.revision)
     try:
         if based_on == 0:
--- a/rhubarbferry/coordination/log.py
+++ b/rhubarbferry/coordination/log.py
@@ -112,12 +112,12 @@
             retention=Retention(keep_s=retention_s),
             clock=clock,
             chunk_bytes=segment_bytes,
-            segment=self._new_segment,
+            new_segment=self._new_segment,
             create=self._create,
         )
         self._queue = AppendQueue(limit=max_queued_appends)
         self._coverage = Coverage(upto=0)
-        self._compacting = asyncio.Lock()
+        self._compaction_lock = asyncio.Lock()
         self._writer: asyncio.Task[None] | None = None
         self._in_flight: Batch | None = None
         self._unresolved: Batch | None = None
@@ -185,7 +185,7 @@
         self._check_open()
         snapshot_entries = tuple(entries)
         upto = self._coverage.advance()
-        async with self._compacting:
+        async with self._compaction_lock:
             if upto <= self._head.head.upto:
                 return
             try:
@@ -240,7 +240,7 @@
             found = decode_segment(key, outcome.kv.value)
             if judge(stamp_of(found), mine=stamp_of(segment)) is Verdict.FENCED:
                 raise LogFenced(f"{key} has the later epoch {found.epoch}; give up the partition")
-            replay.add(key, found, limit=self._epoch)
+            replay.add(key, found, own_epoch=self._epoch)
         raise LogUnavailable("a previous owner keeps writing during the seal; try again")
 
     async def _create_seal(self, key: str, value: bytes) -> Created | Conflict:
--- a/rhubarbferry/coordination/log_codec.py
+++ b/rhubarbferry/coordination/log_codec.py
@@ -33,27 +33,29 @@
     start = MAGIC_BYTES + DIGEST_BYTES
     payload = value[start:]
     if value[:MAGIC_BYTES] != magic:
-        raise _corrupt(key, f"it starts with {value[:MAGIC_BYTES]!r}, not {magic!r}")
+        raise _corrupt_record_error(key, f"it starts with {value[:MAGIC_BYTES]!r}, not {magic!r}")
     if value[MAGIC_BYTES:start] != _digest(key, payload):
-        raise _corrupt(key, "its checksum does not match")
+        raise _corrupt_record_error(key, "its checksum does not match")
     return payload
 
 
-def _corrupt(key: str, problem: str) -> LogCorrupt:
+def _corrupt_record_error(key: str, problem: str) -> LogCorrupt:
     return LogCorrupt(
         f"the record at key {key!r} can't be read: {problem}. Restore it from a backup; until then"
         " its partition stays unavailable; other partitions are not affected"
     )
 
 
-def missing_record(key: str) -> LogCorrupt:
+def missing_record_error(key: str) -> LogCorrupt:
     """Return the error for a record that should exist but does not."""
-    return _corrupt(key, "it is missing, though later ones or the head need it")
+    return _corrupt_record_error(key, "it is missing, though later ones or the head need it")
 
 
-def decreasing_epoch(key: str, *, epoch: int, before: int) -> LogCorrupt:
+def decreasing_epoch_error(key: str, *, epoch: int, previous_epoch: int) -> LogCorrupt:
     """Return the error for a record whose epoch is lower than that of the preceding record."""
-    return _corrupt(key, f"its epoch {epoch} is lower than {before} of the record before it")
+    return _corrupt_record_error(
+        key, f"its epoch {epoch} is lower than {previous_epoch} of the record before it"
+    )
 
 
 def entry_bytes(entry: LogEntry) -> int:
@@ -81,7 +83,7 @@
         segment.read(TBinaryProtocolAccelerated(TMemoryBuffer(payload)))
         check_required(segment)
     except Exception as exc:
-        raise _corrupt(key, f"it is not a segment ({exc!r})") from exc
+        raise _corrupt_record_error(key, f"it is not a segment ({exc!r})") from exc
     return segment
 
 
@@ -109,4 +111,4 @@
     try:
         return Head(**json.loads(payload))
     except (ValueError, TypeError) as exc:
-        raise _corrupt(key, f"it is not a head ({exc!r})") from exc
+        raise _corrupt_record_error(key, f"it is not a head ({exc!r})") from exc
--- a/rhubarbferry/coordination/log_compaction.py
+++ b/rhubarbferry/coordination/log_compaction.py
@@ -43,7 +43,7 @@
 
     :param head: the head, claimed by this owner.
     :param chunk_bytes: size of one chunk of a snapshot in bytes.
-    :param segment: creates a segment with the given entries.
+    :param new_segment: creates a segment with the given entries.
     :param create: creates a key.
     """
 
@@ -56,7 +56,7 @@
         retention: Retention,
         clock: Clock,
         chunk_bytes: int,
-        segment: MakeSegment,
+        new_segment: MakeSegment,
         create: CreateOnce,
     ) -> None:
         self._store = store
@@ -65,7 +65,7 @@
         self._retention = retention
         self._clock = clock
         self._chunk_bytes = chunk_bytes
-        self._segment = segment
+        self._new_segment = new_segment
         self._create = create
         self._attempts = count(1)
 
@@ -87,7 +87,7 @@
         await self._delete_covered(upto, snapshot, sealed_at)
 
     async def _write_chunk(self, key: str, entries: Sequence[LogEntry]) -> None:
-        value = encode_segment(key, self._segment(entries))
+        value = encode_segment(key, self._new_segment(entries))
         try:
             outcome = await self._create(key, value)
         except StoreError as exc:
--- a/rhubarbferry/coordination/log_reader.py
+++ b/rhubarbferry/coordination/log_reader.py
@@ -4,7 +4,11 @@
 
 from attrs import define, field
 
-from rhubarbferry.coordination.log_codec import decode_segment, decreasing_epoch, missing_record
+from rhubarbferry.coordination.log_codec import (
+    decode_segment,
+    decreasing_epoch_error,
+    missing_record_error,
+)
 from rhubarbferry.core.log import PAGE, Head, LogKeys
 from rhubarbferry.ports.log import LogFenced, LogUnavailable
 from rhubarbferry.ports.store import KeyValue, Store, StoreError
@@ -24,17 +28,17 @@
     next_number: int = 1
     epoch: int = 0
 
-    def add(self, key: str, segment: LogSegment, *, limit: int) -> None:
+    def add(self, key: str, segment: LogSegment, *, own_epoch: int) -> None:
         """Append the segment with the next number.
 
-        :param limit: the epoch of this owner; a segment with a higher epoch fences it.
+        :param own_epoch: the epoch of this owner; a segment with a higher epoch fences it.
         :raises LogFenced: when a later owner wrote the segment.
         :raises LogCorrupt: when the segment was written by an owner that was already fenced.
         """
-        if segment.epoch > limit:
+        if segment.epoch > own_epoch:
             raise LogFenced(f"{key} has the later epoch {segment.epoch}; give up the partition")
         if segment.epoch < self.epoch:
-            raise decreasing_epoch(key, epoch=segment.epoch, before=self.epoch)
+            raise decreasing_epoch_error(key, epoch=segment.epoch, previous_epoch=self.epoch)
         self.entries.extend(segment.entries)
         self.epoch = segment.epoch
         self.next_number += 1
@@ -74,12 +78,12 @@
                 replay.entries.extend(self._decode(key, found).entries)
 
     async def _read_segments(self, replay: Replay) -> None:
-        full = True
-        while full:
+        page_full = True
+        while page_full:
             number = replay.next_number
             found = await self._page(self._keys.segment_page(number))
             last = number - number % PAGE + PAGE - 1
-            full = self._add_page(replay, found, last=last)
+            page_full = self._add_page(replay, found, last=last)
 
     def _add_page(self, replay: Replay, found: dict[str, KeyValue], *, last: int) -> bool:
         while replay.next_number <= last:
@@ -87,17 +91,17 @@
             if key not in found:
                 self._check_end(key, found)
                 return False
-            replay.add(key, self._decode(key, found), limit=self._epoch)
+            replay.add(key, self._decode(key, found), own_epoch=self._epoch)
         return True
 
     def _check_end(self, key: str, found: dict[str, KeyValue]) -> None:
         # Segment numbers are consecutive, so a segment after a gap shows that a record was lost.
         if any(other > key for other in found):
-            raise missing_record(key)
+            raise missing_record_error(key)
 
     def _decode(self, key: str, found: dict[str, KeyValue]) -> LogSegment:
         if key not in found:
-            raise missing_record(key)
+            raise missing_record_error(key)
         return decode_segment(key, found[key].value)
 
     async def _page(self, prefix: str) -> dict[str, KeyValue]:
--- a/rhubarbferry/coordination/mirror.py
+++ b/rhubarbferry/coordination/mirror.py
@@ -19,7 +19,9 @@
 from rhubarbferry.ports.ownership import Guard, Member, Owner, Role
 from rhubarbferry.ports.store import KeyDeleted, KeyPut, KeyValue, Listing, WatchEvent
 
-CORRUPT = Counter("rhubarbferry_corrupt_records_total", "Records of the cell that can't be decoded")
+CORRUPT_RECORDS = Counter(
+    "rhubarbferry_corrupt_records_total", "Records of the cell that can't be decoded"
+)
 ROLLBACKS = Counter(
     "rhubarbferry_store_went_back_total",
     "Full reads that returned an older revision of the store than earlier reads",
@@ -93,7 +95,7 @@
     try:
         return decode(kv.key, kv.value, kind)
     except RecordCorrupt as exc:
-        CORRUPT.inc()
+        CORRUPT_RECORDS.inc()
         logger.error("{}", exc)
         return None
 
--- a/rhubarbferry/coordination/node.py
+++ b/rhubarbferry/coordination/node.py
@@ -119,7 +119,9 @@
             jitter=jitter,
         )
         peers = [part.strip() for part in cfg.process.peers.split(",") if part.strip()]
-        self._fetch = fetch_from_peers or PeerConfiguration(pool=self._pools[1], addresses=peers)
+        self._fetch_configuration = fetch_from_peers or PeerConfiguration(
+            pool=self._pools[1], addresses=peers
+        )
         self._main: asyncio.Task[None] | None = None
 
     @property
@@ -236,7 +238,7 @@
         while True:
             await self._clock.sleep(PEER_POLL_INTERVAL_S)
             if not self._watcher.connected:
-                self.cell.update(await self._fetch())
+                self.cell.update(await self._fetch_configuration())
 
     async def _restore_config(self) -> None:
         while True:
--- a/rhubarbferry/coordination/planner.py
+++ b/rhubarbferry/coordination/planner.py
@@ -145,8 +145,8 @@
         return None if table == state.table else table
 
     def _misplaced(self, member: Member) -> frozenset[PartitionId]:
-        wrong = misplaced(self._mirror.state.table, self._target_table(), member)
-        return wrong & self._tenures.current.keys()
+        misplaced_partitions = misplaced(self._mirror.state.table, self._target_table(), member)
+        return misplaced_partitions & self._tenures.current.keys()
 
     def _moves_due(self, member: Member) -> bool:
         """Return whether partitions of this member have been misplaced for long enough to move.
--- a/rhubarbferry/coordination/promises.py
+++ b/rhubarbferry/coordination/promises.py
@@ -24,7 +24,7 @@
     PromiseRequest,
 )
 
-PROMISES = Counter(
+PROMISE_REQUESTS = Counter(
     "rhubarbferry_promises_asked_total", "Promises requested from guards", ["result"]
 )
 RENEWALS_PER_PROMISE = 4
@@ -93,12 +93,12 @@
         self._tenures = tenures
         self._client = client
         self._limits_ms: dict[str, int] = {}
-        self._promised: set[HeldTenure] = set()
+        self._promised_tenures: set[HeldTenure] = set()
 
     async def run(self) -> None:
         """Request and renew promises until cancelled."""
         while self._cfg.longest_extension_s > 0:
-            version = self._tenures.end_signal.version
+            version = self._tenures.end_notifier.version
             await self._release_ended()
             runners = [
                 tenure
@@ -106,10 +106,10 @@
                 if partition.kind is PartitionKind.RUNNER and not tenure.ended
             ]
             self._prune_limits(runners)
-            self._promised.update(runners)
+            self._promised_tenures.update(runners)
             await asyncio.gather(*(self._renew(tenure) for tenure in runners))
             pause_s = self._cfg.promise_s / RENEWALS_PER_PROMISE
-            await wait_at_most(self._clock, pause_s, self._tenures.end_signal.changed(version))
+            await wait_at_most(self._clock, pause_s, self._tenures.end_notifier.changed(version))
 
     async def _release_ended(self) -> None:
         """Release the promises of tenures that have ended.
@@ -118,8 +118,8 @@
         acknowledges the successor, and callers could wait up to the duration of a promise for a
         slot. If a release is lost, the promise simply expires.
         """
-        ended = [tenure for tenure in self._promised if tenure.ended]
-        self._promised.difference_update(ended)
+        ended = [tenure for tenure in self._promised_tenures if tenure.ended]
+        self._promised_tenures.difference_update(ended)
         await asyncio.gather(*(self._release(tenure) for tenure in ended))
 
     async def _release(self, tenure: HeldTenure) -> None:
@@ -133,7 +133,7 @@
         guards = self._mirror.guards(tenure.partition.region)
         replies = await asyncio.gather(*(self._client.promise(guard, req) for guard in guards))
         released = sum(1 for reply in replies if reply is not None and reply.given)
-        PROMISES.labels("given up").inc(released)
+        PROMISE_REQUESTS.labels("given up").inc(released)
 
     def _prune_limits(self, tenures: Iterable[HeldTenure]) -> None:
         regions = {tenure.partition.region for tenure in tenures}
@@ -158,7 +158,7 @@
             guard_version=version,
         )
         reply = await self._client.promise(guard, req)
-        PROMISES.labels("given" if reply is not None and reply.given else "none").inc()
+        PROMISE_REQUESTS.labels("given" if reply is not None and reply.given else "none").inc()
         if reply is None:
             return
         tenure.seen(reply.highest_epoch)
--- a/rhubarbferry/coordination/tenure.py
+++ b/rhubarbferry/coordination/tenure.py
@@ -18,15 +18,15 @@
 from rhubarbferry.core.promise import PromiseBook
 from rhubarbferry.ports.clock import Clock
 
-WON = Counter(
+TENURES_WON = Counter(
     "rhubarbferry_partitions_won_total", "Tenures of partitions that this process has won", ["kind"]
 )
-LOST = Counter(
+TENURES_LOST = Counter(
     "rhubarbferry_partitions_lost_total",
     "Tenures of partitions that this process has lost",
     ["kind"],
 )
-OWNED = Gauge("rhubarbferry_partitions_owned", "Partitions that this process owns")
+PARTITIONS_OWNED = Gauge("rhubarbferry_partitions_owned", "Partitions that this process owns")
 
 MAX_EVENTS = 100_000
 
@@ -95,7 +95,7 @@
 
     :ivar events: :class:`Won` and :class:`Lost`, in order.
     :ivar current: the active tenures by partition.
-    :ivar end_signal: notified whenever a tenure ends.
+    :ivar end_notifier: notified whenever a tenure ends.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         self._used_epochs: dict[PartitionId, int] = {}
         self.events: asyncio.Queue[Won | Lost] = asyncio.Queue(MAX_EVENTS)
         self.current: dict[PartitionId, HeldTenure] = {}
-        self.end_signal = Signal()
+        self.end_notifier = Signal()
 
     def sync(self) -> None:
         """End tenures that are no longer valid and begin those that the table assigns."""
@@ -135,11 +135,11 @@
             return
         tenure.ended = True
         self._used_epochs[partition] = max(tenure.epoch, tenure.highest_seen_epoch)
-        LOST.labels(partition.kind.value).inc()
-        OWNED.set(len(self.current))
+        TENURES_LOST.labels(partition.kind.value).inc()
+        PARTITIONS_OWNED.set(len(self.current))
         logger.info("{} lost at epoch {}", partition, tenure.epoch)
         self.events.put_nowait(Lost(partition=partition, epoch=tenure.epoch))
-        self.end_signal.notify()
+        self.end_notifier.notify()
 
     def end_all(self, partitions: Iterable[PartitionId] | None = None) -> None:
         """End the tenures of ``partitions``, or all tenures when omitted."""
@@ -173,8 +173,8 @@
         )
         self.current[partition] = tenure
         self._used_epochs[partition] = entry.epoch
-        WON.labels(partition.kind.value).inc()
-        OWNED.set(len(self.current))
+        TENURES_WON.labels(partition.kind.value).inc()
+        PARTITIONS_OWNED.set(len(self.current))
         logger.info("{} won at epoch {}", partition, entry.epoch)
         self.events.put_nowait(Won(tenure=tenure))
 
--- a/rhubarbferry/coordination/watcher.py
+++ b/rhubarbferry/coordination/watcher.py
@@ -13,7 +13,7 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.store import Store, StoreError
 
-RESTARTS = Counter("rhubarbferry_watch_restarts_total", "Started watches of the cell's records")
+WATCH_STARTS = Counter("rhubarbferry_watch_restarts_total", "Started watches of the cell's records")
 RETRY_INTERVAL_S = 0.5
 
 
@@ -59,7 +59,7 @@
     async def _watch(self) -> None:
         # Changes made while no watch was running are not delivered later. So each watch starts
         # with a full read; otherwise the deletion of a member or a new table could be missed.
-        RESTARTS.inc()
+        WATCH_STARTS.inc()
         await self.refresh()
         self._set_connected(connected=True, reason="")
         self._watching = True
--- a/tests/coordination/test_log.py
+++ b/tests/coordination/test_log.py
@@ -81,7 +81,7 @@
     assert await replayed(store, 2) == [str(number) for number in range(100)]
 
 
-async def test_a_large_batch_is_split_and_one_large_append_is_refused() -> None:
+async def test_a_large_batch_is_split_and_one_large_append_is_rejected() -> None:
     store = make_store()
     log = await opened(store, 1, segment_bytes=SEGMENT_BYTES)
     await asyncio.gather(*(log.append([entry("x" * 100)]) for _ in range(20)))
@@ -93,7 +93,7 @@
     await log.append([entry("small")])
 
 
-async def test_a_full_queue_refuses_at_once() -> None:
+async def test_a_full_queue_rejects_appends_immediately() -> None:
     """With a slow store, appends beyond the queue limit are rejected and not written."""
     store = make_store()
     log = await opened(store, 1, max_queued_appends=3)
@@ -304,7 +304,7 @@
 
 
 @pytest.mark.parametrize("crash_after", range(0, 40, 3))
-async def test_a_crash_within_a_compaction_leaves_a_whole_log(crash_after: int) -> None:
+async def test_a_crash_within_a_compaction_leaves_a_consistent_log(crash_after: int) -> None:
     """A process dies after any call of a compaction; the successor reads all entries."""
     memory = make_store()
     stepped = SteppedLog(memory, 1)
@@ -442,7 +442,7 @@
     assert clock.now - started_at == pytest.approx(3.0)
 
 
-async def test_a_closed_log_refuses() -> None:
+async def test_a_closed_log_rejects_appends() -> None:
     store = make_store()
     log = await opened(store, 1)
     await log.close()
--- a/tests/coordination/test_log_machine.py
+++ b/tests/coordination/test_log_machine.py
@@ -55,7 +55,7 @@
         self.processes: list[Process] = []
         self.all_processes: list[Process] = []
         self.acked: list[tuple[int, str]] = []
-        self.refused: set[str] = set()
+        self.rejected: set[str] = set()
         self.epoch_of: dict[str, int] = {}
 
     def teardown(self) -> None:
@@ -110,7 +110,7 @@
 
     def check_replayed(self, process: Process) -> None:
         found = process.opened or []
-        assert not self.refused & set(found), "an entry exists that was reported as not written"
+        assert not self.rejected & set(found), "an entry exists that was reported as not written"
         for epoch, name in self.acked:
             if epoch < process.epoch:
                 assert name in found, f"{name} was acknowledged and is lost"
@@ -122,7 +122,7 @@
         for other in self.all_processes:
             if other.opened is None or other is process:
                 continue
-            first, second = sorted((other, process), key=lambda one: one.epoch)
+            first, second = sorted((other, process), key=lambda candidate: candidate.epoch)
             assert first.opened is not None and second.opened is not None
             self.check_pair(first, second)
 
@@ -140,7 +140,7 @@
         except LogUnclear:
             process.state.extend(submitted)
         except (LogUnavailable, LogFenced):
-            self.refused.update(submitted)
+            self.rejected.update(submitted)
             for other in self.all_processes:
                 assert not set(submitted) & set(other.opened or []), "a rejected entry was written"
         else:
@@ -188,7 +188,9 @@
             self.answer_next_call(process)
 
     def pick(self, index: int, *, opened: bool) -> Process | None:
-        found = [one for one in self.processes if not opened or one.opened is not None]
+        found = [
+            candidate for candidate in self.processes if not opened or candidate.opened is not None
+        ]
         return found[index % len(found)] if found else None
 
     @rule(
