--- a/rhubarbferry/coordination/configuration.py
+++ b/rhubarbferry/coordination/configuration.py
@@ -267,7 +267,7 @@
         # this call determined the outcome. Reporting "not made" could then be wrong, and the
         # operator would make the same change twice.
         raise ConfigUnclear(
-            f"{stored.record.author!r} has stored revision {stored.record.revision} meanwhile; "
+            f"{stored.record.author!r} has since stored revision {stored.record.revision}; "
             f"it is unknown whether revision {record.revision} was this change"
         )
     if stored.record.write_id != record.write_id:
--- a/rhubarbferry/coordination/tenure.py
+++ b/rhubarbferry/coordination/tenure.py
@@ -38,7 +38,7 @@
     :param lease_holds: returns whether the lease under which the tenure was won is still valid.
     :param extension_until: returns the monotonic time up to which promises may replace the lease.
     :param book: the promises of the guards, or the replies of a rack's workers.
-    :param ended: whether the tenure has ended for good.
+    :param ended: whether the tenure has ended permanently.
     :param highest_seen_epoch: the highest epoch that a worker or guard has reported.
     """
 
