--- a/rhubarbferry/conf/__init__.py
+++ b/rhubarbferry/conf/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of a process, their defaults and their checks."""
+"""Settings of a process, their defaults and their validation."""
 
 from rhubarbferry.conf.loader import load_settings, parse_settings, require_settings
 from rhubarbferry.conf.problems import Problem, SettingsError
--- a/rhubarbferry/conf/cell.py
+++ b/rhubarbferry/conf/cell.py
@@ -1,4 +1,4 @@
-"""Read the operators' configuration of the cell: INI, with all problems told at once."""
+"""Parse the operators' INI configuration of the cell and report all problems at once."""
 
 from __future__ import annotations
 
@@ -14,101 +14,107 @@
 from rhubarbferry.conf.problems import Problem
 from rhubarbferry.core.cell import Account, Cell, Limits, Objective, PriorityClass, Service, Size
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,62}")
-SUFFIXES = {"": 1, "k": 2**10, "m": 2**20, "g": 2**30, "t": 2**40}
-BYTES = re.compile(r"(\d+)\s*([kmgt]?)i?b?", re.IGNORECASE)
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,62}")
+BYTE_FACTORS = {"": 1, "k": 2**10, "m": 2**20, "g": 2**30, "t": 2**40}
+BYTES_PATTERN = re.compile(r"(\d+)\s*([kmgt]?)i?b?", re.IGNORECASE)
 MAX_REGIONS = 64
 MAX_KEY_PARTITIONS = 64
 
 
 class _Invalid(Exception):
-    """A value that can't be read; ``hint`` says what would do."""
+    """An invalid value; ``hint`` describes valid values."""
 
     def __init__(self, message: str, hint: str) -> None:
         super().__init__(message)
         self.hint = hint
 
 
-Reader = Callable[[str], Any]
+Converter = Callable[[str], Any]
 
 
-def _integer(low: int, high: int = 2**53) -> Reader:
-    def read(text: str) -> int:
+def _integer_converter(low: int, high: int = 2**53) -> Converter:
+    def convert(text: str) -> int:
         if not re.fullmatch(r"-?\d+", text) or not low <= int(text) <= high:
-            raise _Invalid(f"{text!r} is no whole number in range", f"Write one in {low}..{high}.")
+            raise _Invalid(f"{text!r} is not an integer in range", f"Write one in {low}..{high}.")
         return int(text)
 
-    return read
+    return convert
 
 
-def _number(low: float, high: float, *, above: bool = False) -> Reader:
-    def read(text: str) -> float:
+def _number_converter(low: float, high: float, *, exclusive_low: bool = False) -> Converter:
+    def convert(text: str) -> float:
         try:
             value = float(text)
         except ValueError:
             value = float("nan")
-        if not low <= value <= high or (above and value == low):
-            limits = f"{'above' if above else 'at least'} {low:g} and at most {high:g}"
-            raise _Invalid(f"{text!r} is no number in range", f"Write a number {limits}.")
+        if not low <= value <= high or (exclusive_low and value == low):
+            limits = f"{'above' if exclusive_low else 'at least'} {low:g} and at most {high:g}"
+            raise _Invalid(f"{text!r} is not a number in range", f"Write a number {limits}.")
         return value
 
-    return read
+    return convert
 
 
-def _bytes(text: str) -> int:
-    match = BYTES.fullmatch(text)
+def _convert_bytes(text: str) -> int:
+    match = BYTES_PATTERN.fullmatch(text)
     if match is None:
-        raise _Invalid(f"{text!r} is no number of bytes", "Write bytes, or as in 512Mi or 4Gi.")
-    return int(match[1]) * SUFFIXES[match[2].lower()]
+        raise _Invalid(
+            f"{text!r} is not a number of bytes", "Write a number of bytes, 512Mi or 4Gi."
+        )
+    return int(match[1]) * BYTE_FACTORS[match[2].lower()]
 
 
-def _priority(text: str) -> PriorityClass:
+def _convert_priority(text: str) -> PriorityClass:
     try:
         return PriorityClass[text.upper()]
     except KeyError:
         names = ", ".join(c.name.lower() for c in PriorityClass)
-        raise _Invalid(f"{text!r} is no priority", f"Write one of {names}.") from None
+        raise _Invalid(f"{text!r} is not a priority", f"Write one of {names}.") from None
 
 
-def _names(text: str) -> tuple[str, ...]:
+def _convert_names(text: str) -> tuple[str, ...]:
     names = tuple(part.strip() for part in text.split(",") if part.strip())
     if not names or len(set(names)) != len(names) or len(names) > MAX_REGIONS:
-        raise _Invalid("empty, too long, or a name stands twice", "Write each name once: a, b, c.")
+        raise _Invalid(
+            "the list is empty, too long or has a duplicate", "Write each name once: a, b, c."
+        )
     for name in names:
-        if not NAME.fullmatch(name):
-            raise _Invalid(f"{name!r} is no name", "Use letters, digits, '.', '_' and '-'.")
+        if not NAME_PATTERN.fullmatch(name):
+            raise _Invalid(
+                f"{name!r} is not a valid name", "Use letters, digits, '.', '_' and '-'."
+            )
     return names
 
 
-CELL_KEYS: Mapping[str, Reader] = {
-    "regions": _names,
-    "key_partitions_per_region": _integer(1, MAX_KEY_PARTITIONS),
+CELL_KEYS: Mapping[str, Converter] = {
+    "regions": _convert_names,
+    "key_partitions_per_region": _integer_converter(1, MAX_KEY_PARTITIONS),
 }
-SERVICE_KEYS: Mapping[str, Reader] = {
-    "slots": _integer(1, 10_000),
-    "connections": _integer(1, 100_000),
+SERVICE_KEYS: Mapping[str, Converter] = {
+    "slots": _integer_converter(1, 10_000),
+    "connections": _integer_converter(1, 100_000),
 }
-ACCOUNT_KEYS: Mapping[str, Reader] = {
-    "share": _number(0, 1e6, above=True),
-    "priority": _priority,
-    "max_concurrency": _integer(0),
-    "rate_per_s": _number(0, 1e9),
-    "max_waiting": _integer(0, 1_000_000),
-    "quota_millicores": _integer(0),
-    "quota_memory": _bytes,
-    "quota_accelerators": _integer(0, 2**31 - 1),
-    "objective_wait_ms": _integer(1),
-    "objective_target": _number(0, 1, above=True),
+ACCOUNT_KEYS: Mapping[str, Converter] = {
+    "share": _number_converter(0, 1e6, exclusive_low=True),
+    "priority": _convert_priority,
+    "max_concurrency": _integer_converter(0),
+    "rate_per_s": _number_converter(0, 1e9),
+    "max_waiting": _integer_converter(0, 1_000_000),
+    "quota_millicores": _integer_converter(0),
+    "quota_memory": _convert_bytes,
+    "quota_accelerators": _integer_converter(0, 2**31 - 1),
+    "objective_wait_ms": _integer_converter(1),
+    "objective_target": _number_converter(0, 1, exclusive_low=True),
 }
 
 
 def parse_cell(text: str, revision: int) -> Result[Cell, tuple[Problem, ...]]:
-    """Read a configuration.
+    """Parse a configuration.
 
-    :param text: INI with ``[cell]``, ``[template NAME]``, ``[account NAME]`` and
+    :param text: INI with the sections ``[cell]``, ``[template NAME]``, ``[account NAME]`` and
         ``[service NAME]``.
-    :param revision: given to the result.
-    :returns: the cell, or all problems in the order of the text.
+    :param revision: revision of the returned cell.
+    :returns: the cell, or all problems found.
     """
     parser = configparser.ConfigParser(interpolation=None, default_section="")
     parser.optionxform = str  # type: ignore[assignment, method-assign]
@@ -116,76 +122,85 @@
         parser.read_string(text)
     except configparser.Error as exc:
         message = str(exc).replace("\n", " ")
-        problem = Problem(section="", key="", message=message, hint="Mend the INI syntax.")
+        problem = Problem(section="", key="", message=message, hint="Fix the INI syntax.")
         return Failure((problem,))
-    reading = _Reading(parser=parser)
-    cell = reading.cell(revision)
-    if reading.problems:
-        return Failure(tuple(reading.problems))
+    cell_parser = _CellParser(parser=parser)
+    cell = cell_parser.cell(revision)
+    if cell_parser.problems:
+        return Failure(tuple(cell_parser.problems))
     return Success(cell)
 
 
 @define(kw_only=True)
-class _Reading:
+class _CellParser:
+    """Parse the sections of a configuration and collect all problems."""
+
     parser: configparser.ConfigParser
     problems: list[Problem] = field(factory=list)
 
     def cell(self, revision: int) -> Cell:
-        named = self._sections()
-        top = self._cell_section()
+        named = self._group_sections()
+        cell_values = self._cell_section()
         templates = {
-            name: self._values(section, ACCOUNT_KEYS) for name, section in named["template"].items()
+            name: self._convert_section(section, ACCOUNT_KEYS)
+            for name, section in named["template"].items()
         }
         accounts = {
             name: self._account(name, section, templates)
             for name, section in named["account"].items()
         }
         services = {
-            name: Service(name=name, **self._values(section, SERVICE_KEYS))
+            name: Service(name=name, **self._convert_section(section, SERVICE_KEYS))
             for name, section in named["service"].items()
         }
-        return Cell(revision=revision, accounts=accounts, services=services, **top)
+        return Cell(revision=revision, accounts=accounts, services=services, **cell_values)
 
     def _cell_section(self) -> dict[str, Any]:
         if not self.parser.has_section("cell"):
-            self._problem("cell", "", "the section is missing", "Add [cell] with regions = a, b.")
+            self._add_problem(
+                "cell", "", "the section is missing", "Add [cell] with regions = a, b."
+            )
             return {}
         if not self.parser.has_option("cell", "regions"):
-            self._problem("cell", "regions", "the key is missing", "Write regions = a, b, c.")
-        return self._values("cell", CELL_KEYS)
+            self._add_problem("cell", "regions", "the key is missing", "Write regions = a, b, c.")
+        return self._convert_section("cell", CELL_KEYS)
 
-    def _sections(self) -> dict[str, dict[str, str]]:
+    def _group_sections(self) -> dict[str, dict[str, str]]:
         named: dict[str, dict[str, str]] = {"template": {}, "account": {}, "service": {}}
         for section in self.parser.sections():
             kind, _, name = section.partition(" ")
             if section == "cell":
                 continue
             if kind not in named:
-                self._problem(section, "", "unknown section", _near(kind, ["cell", *named]))
-            elif not NAME.fullmatch(name.strip()):
+                self._add_problem(
+                    section, "", "unknown section", _suggestion(kind, ["cell", *named])
+                )
+            elif not NAME_PATTERN.fullmatch(name.strip()):
                 hint = "Use letters, digits, '.', '_' and '-', at most 63."
-                self._problem(section, "", f"{name!r} is no name", hint)
+                self._add_problem(section, "", f"{name!r} is not a valid name", hint)
             elif name.strip() in named[kind]:
-                self._problem(section, "", "the name stands twice", "Keep one of them.")
+                self._add_problem(section, "", "duplicate section name", "Keep one of them.")
             else:
                 named[kind][name.strip()] = section
         return named
 
-    def _values(
-        self, section: str, readers: Mapping[str, Reader], passed: Iterable[str] = ()
+    def _convert_section(
+        self, section: str, converters: Mapping[str, Converter], ignored: Iterable[str] = ()
     ) -> dict[str, Any]:
         values: dict[str, Any] = {}
         for key, text in self.parser.items(section):
-            if key in passed:
+            if key in ignored:
                 continue
-            reader = readers.get(key)
-            if reader is None:
-                self._problem(section, key, "unknown key", _near(key, [*readers, *passed]))
+            converter = converters.get(key)
+            if converter is None:
+                self._add_problem(
+                    section, key, "unknown key", _suggestion(key, [*converters, *ignored])
+                )
                 continue
             try:
-                values[key] = reader(text.strip())
+                values[key] = converter(text.strip())
             except _Invalid as exc:
-                self._problem(section, key, str(exc), exc.hint)
+                self._add_problem(section, key, str(exc), exc.hint)
         return values
 
     def _account(
@@ -193,12 +208,12 @@
     ) -> Account:
         template = self.parser.get(section, "template", fallback="").strip()
         if template and template not in templates:
-            hint = _near(template, templates) if templates else "Add its [template] section."
-            self._problem(section, "template", f"no template {template!r}", hint)
-        own = self._values(section, ACCOUNT_KEYS, passed=("template",))
+            hint = _suggestion(template, templates) if templates else "Add its [template] section."
+            self._add_problem(section, "template", f"no template {template!r}", hint)
+        own = self._convert_section(section, ACCOUNT_KEYS, ignored=("template",))
         return _account(name, template, {**templates.get(template, {}), **own})
 
-    def _problem(self, section: str, key: str, message: str, hint: str) -> None:
+    def _add_problem(self, section: str, key: str, message: str, hint: str) -> None:
         self.problems.append(Problem(section=section, key=key, message=message, hint=hint))
 
 
@@ -208,25 +223,25 @@
         memory_bytes=values.get("quota_memory", 0),
         accelerators=values.get("quota_accelerators", 0),
     )
-    limits = Limits(quota=quota, **_picked(values, "max_concurrency", "rate_per_s", "max_waiting"))
-    renamed = {key.removeprefix("objective_"): value for key, value in values.items()}
-    objective = Objective(**_picked(renamed, "wait_ms", "target"))
+    limits = Limits(quota=quota, **_select(values, "max_concurrency", "rate_per_s", "max_waiting"))
+    objective_values = {key.removeprefix("objective_"): value for key, value in values.items()}
+    objective = Objective(**_select(objective_values, "wait_ms", "target"))
     return Account(
         name=name,
         template=template,
         limits=limits,
         objective=objective,
-        **_picked(values, "share", "priority"),
+        **_select(values, "share", "priority"),
     )
 
 
-def _picked(values: Mapping[str, Any], *keys: str) -> dict[str, Any]:
+def _select(values: Mapping[str, Any], *keys: str) -> dict[str, Any]:
     return {key: values[key] for key in keys if key in values}
 
 
-def _near(word: str, known: Iterable[str]) -> str:
-    words = sorted(known)
-    close = difflib.get_close_matches(word, words, n=1)
+def _suggestion(name: str, known: Iterable[str]) -> str:
+    known_names = sorted(known)
+    close = difflib.get_close_matches(name, known_names, n=1)
     if close:
         return f"Did you mean {close[0]!r}?"
-    return f"Known are {', '.join(words)}."
+    return f"Known names: {', '.join(known_names)}."
--- a/rhubarbferry/conf/checks.py
+++ b/rhubarbferry/conf/checks.py
@@ -1,4 +1,4 @@
-"""Checks of settings before a process starts: each finds what it can, none stops at the first."""
+"""Validation of settings before a process starts; every check reports all its problems."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 CHECKS: list[Check] = []
 MAX_PORT = 65535
-# These do without what they measure when they are 0.
-OFF_AT_ZERO = frozenset({"longest_extension_s", "spill_margin_s"})
+# Settings for which 0 is valid and disables the feature.
+ZERO_DISABLES = frozenset({"longest_extension_s", "spill_margin_s"})
 
 
 def register(check: Check) -> Check:
-    """Add a check to those that run before a process starts."""
+    """Register a check that runs before a process starts."""
     CHECKS.append(check)
     return check
 
 
 def run_checks(cfg: Settings) -> tuple[Problem, ...]:
-    """Return the problems that all checks find."""
+    """Run all checks and return the problems found."""
     return tuple(problem for check in CHECKS for problem in check(cfg))
 
 
 @register
-def check_place(cfg: Settings) -> Iterator[Problem]:
-    """Require the place of the process and an address that others can reach."""
+def check_location(cfg: Settings) -> Iterator[Problem]:
+    """Require the location of the process, a valid IP address and valid ports."""
     for key in ("region", "failure_domain", "member"):
         if not getattr(cfg.process, key):
             yield Problem(
@@ -47,8 +47,8 @@
         yield Problem(
             section="process",
             key="listen_ip",
-            message=f"{cfg.process.listen_ip!r} is no IP number",
-            hint="Write the IP that other hosts reach this one at",
+            message=f"{cfg.process.listen_ip!r} is not an IP address",
+            hint="Write the IP at which other hosts reach this host",
         )
     for key in ("rpc_port", "http_port"):
         port = getattr(cfg.process, key)
@@ -56,22 +56,22 @@
             yield Problem(
                 section="process",
                 key=key,
-                message=f"{port} is no port",
-                hint=f"Write 0 for a free one, or 1 to {MAX_PORT}",
+                message=f"{port} is not a valid port",
+                hint=f"Write 0 for any free port, or a port from 1 to {MAX_PORT}",
             )
 
 
 @register
 def check_advertised(cfg: Settings) -> Iterator[Problem]:
-    """Require that an advertised address is an IP number and a port."""
+    """Require that each advertised address is an IP address and a port."""
     for key in ("advertise_rpc", "advertise_http"):
         address = getattr(cfg.process, key)
         if address and not _is_address(address):
             yield Problem(
                 section="process",
                 key=key,
-                message=f"{address!r} is no ip:port",
-                hint="Write an ip:port like 10.0.0.1:7000, or leave it out to tell what is bound",
+                message=f"{address!r} is not an ip:port address",
+                hint="Write an ip:port like 10.0.0.1:7000, or omit it to use the bound address",
             )
 
 
@@ -86,14 +86,14 @@
 
 @register
 def check_urls(cfg: Settings) -> Iterator[Problem]:
-    """Require http(s) addresses for what is outside."""
+    """Require HTTP(S) URLs for the external services."""
     for section, url in (("store", cfg.store.url), ("hosts", cfg.hosts.url)):
         parts = urlsplit(url)
         if parts.scheme not in ("http", "https") or not parts.netloc:
             yield Problem(
                 section=section,
                 key="url",
-                message=f"{url!r} is no http address",
+                message=f"{url!r} is not an HTTP URL",
                 hint="Write it like http://10.0.0.1:2379",
             )
 
@@ -105,7 +105,7 @@
         group = getattr(cfg, section.name)
         for field in attrs.fields(type(group)):
             value = getattr(group, field.name)
-            if value == 0 and field.name in OFF_AT_ZERO:
+            if value == 0 and field.name in ZERO_DISABLES:
                 continue
             if field.name.endswith(("_s", "_per_s", "_bytes")) and value <= 0:
                 yield Problem(
@@ -118,10 +118,10 @@
 
 @register
 def check_lease(cfg: Settings) -> Iterator[Problem]:
-    """Require room for two renewals within a lease.
+    """Require that a lease can be renewed twice before it expires.
 
-    With less, one lost renewal lets the lease lapse: the process would lose its partitions
-    again and again although nothing has failed.
+    Otherwise a single lost renewal lets the lease expire, and the process repeatedly loses its
+    partitions although nothing has failed.
     """
     own = cfg.ownership
     usable = own.lease_s - own.clock_margin_s
@@ -129,17 +129,17 @@
         yield Problem(
             section="ownership",
             key="renew_s",
-            message=f"{own.renew_s} leaves no room for a lost renewal in a lease of {own.lease_s}",
+            message=f"{own.renew_s} allows no lost renewal within a lease of {own.lease_s} s",
             hint=f"Write at most {usable / 2:.2f}",
         )
 
 
 @register
 def check_task_lease(cfg: Settings) -> Iterator[Problem]:
-    """Require that tasks outlive a takeover.
+    """Require that a task lease is longer than a takeover.
 
-    A worker stops its tasks when their lease lapses. If that is shorter than a takeover, each
-    death of a scheduler would stop every task of its racks.
+    A worker stops its tasks when their lease expires. With a shorter task lease, each failure of a
+    scheduler would stop all tasks of its racks.
     """
     takeover = cfg.ownership.lease_s + 2 * cfg.jobs.renew_s
     if cfg.jobs.task_lease_s < takeover:
@@ -153,11 +153,11 @@
 
 @register
 def check_log(cfg: Settings) -> Iterator[Problem]:
-    """Require a known format of log lines."""
+    """Require a known log format."""
     if cfg.log.format not in ("text", "json"):
         yield Problem(
             section="log",
             key="format",
-            message=f"{cfg.log.format!r} is no format",
+            message=f"{cfg.log.format!r} is not a log format",
             hint="Write text or json",
         )
--- a/rhubarbferry/conf/loader.py
+++ b/rhubarbferry/conf/loader.py
@@ -1,4 +1,4 @@
-"""Read the settings of a process from an INI file, and find all that is wrong at once."""
+"""Read the settings of a process from an INI file and report all problems at once."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 def load_settings(path: Path) -> Result[Settings, tuple[Problem, ...]]:
-    """Read and check the file at ``path``; no key is left out of the answer for another's fault."""
+    """Read and validate the settings file at ``path``.
+
+    :returns: the settings, or all problems found.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -30,7 +33,7 @@
 
 
 def require_settings(path: Path) -> Settings:
-    """Return the settings.
+    """Return the validated settings of the file at ``path``.
 
     :raises SettingsError: with all problems, when there are any.
     """
@@ -44,7 +47,10 @@
 
 
 def parse_settings(text: str) -> Result[Settings, tuple[Problem, ...]]:
-    """Read settings from the text of an INI file and check them."""
+    """Parse and validate settings from the text of an INI file.
+
+    :returns: the settings, or all problems found.
+    """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
@@ -82,7 +88,7 @@
                 Problem(
                     section=name,
                     key=key,
-                    message=f"{text!r} is no {fields[key].type}",
+                    message=f"{text!r} is not a valid {fields[key].type}",
                     hint=f"Write it like {fields[key].default!r}",
                 )
             )
--- a/rhubarbferry/conf/logs.py
+++ b/rhubarbferry/conf/logs.py
@@ -1,4 +1,4 @@
-"""Set up log lines: one for each change of state, as text or JSON, on standard error."""
+"""Logging setup: one line for each state change, as text or JSON, on standard error."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def set_up_logs(cfg: LogSettings, *, member: str) -> None:
-    """Send lines of ``cfg.level`` and above to standard error; each names ``member``."""
+    """Log lines of ``cfg.level`` and above to standard error.
+
+    :param member: id of this process, added to each line.
+    """
     logger.remove()
     logger.configure(extra={"member": member})
     logger.add(
--- a/rhubarbferry/conf/problems.py
+++ b/rhubarbferry/conf/problems.py
@@ -1,4 +1,4 @@
-"""Problems found in a file of settings or configuration, each with its remedy."""
+"""Problems found in a settings or configuration file, each with a remedy."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @frozen(kw_only=True, slots=True)
 class Problem:
-    """One thing that is wrong.
+    """One problem in a file.
 
     :param section: section of the file; empty for the file as a whole.
     :param key: key within the section; empty for the section as a whole.
-    :param message: what is wrong.
-    :param hint: what to write instead.
+    :param message: description of the problem.
+    :param hint: description of valid content.
     """
 
     section: str
@@ -28,7 +28,7 @@
 
 
 class SettingsError(Exception):
-    """The settings can't be used; ``problems`` says why and what to write instead."""
+    """The settings are invalid; ``problems`` lists each problem with its remedy."""
 
     def __init__(self, problems: Iterable[Problem]) -> None:
         self.problems = tuple(problems)
--- a/rhubarbferry/conf/settings.py
+++ b/rhubarbferry/conf/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process and their defaults, all in one place."""
+"""All settings of a process and their defaults."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 @frozen(kw_only=True, slots=True)
 class ProcessSettings:
-    """Section ``[process]``: where this process is.
+    """Section ``[process]``: identity, location and addresses of the process.
 
-    :param member: name stem of the member id; the start of the process is added to it.
+    :param member: prefix of the member id, which is unique for each start of the process.
     :param region: region of this host, as in the host list.
-    :param failure_domain: its failure domain, as in the host list.
-    :param listen_ip: the IP that its servers bind and that others reach it at.
-    :param rpc_port: port of the RPC server, 0 for a free one.
-    :param http_port: port of the HTTP server, 0 for a free one.
-    :param advertise_rpc: ``ip:port`` that others reach the RPC server at, when it differs from
-        what is bound, as behind a translation of addresses.
+    :param failure_domain: failure domain of this host, as in the host list.
+    :param listen_ip: IP that the servers bind and at which other processes reach this one.
+    :param rpc_port: port of the RPC server, 0 for any free port.
+    :param http_port: port of the HTTP server, 0 for any free port.
+    :param advertise_rpc: ``ip:port`` at which other processes reach the RPC server, when it differs
+        from the bound address, for example behind network address translation.
     :param advertise_http: the same for the HTTP server.
-    :param drain_s: longest time for requests in progress after SIGTERM.
-    :param peers: RPC addresses of other processes, with commas between; a process that starts
-        while the store is down takes the configuration from them.
+    :param drain_s: seconds that requests in progress may take to complete after SIGTERM.
+    :param peers: comma-separated RPC addresses of other processes; a process that starts while the
+        store is unavailable reads the configuration from them.
     """
 
     member: str = "member"
@@ -39,11 +39,11 @@
 class StoreSettings:
     """Section ``[store]``: the platform's key-value service.
 
-    :param url: base of its HTTP/JSON interface.
+    :param url: base URL of its HTTP/JSON interface.
     :param prefix: prefix of all keys of this cell.
-    :param timeout_s: for one call.
-    :param writes_per_s: write calls allowed to the whole cell.
-    :param reads_per_s: read calls allowed to the whole cell.
+    :param timeout_s: timeout of one call.
+    :param writes_per_s: limit of write calls per second for the whole cell.
+    :param reads_per_s: limit of read calls per second for the whole cell.
     """
 
     url: str = "http://127.0.0.1:2379"
@@ -57,7 +57,7 @@
 class HostListSettings:
     """Section ``[hosts]``: the platform's list of hosts.
 
-    :param url: address of the list.
+    :param url: URL of the list.
     :param poll_s: seconds between two reads.
     """
 
@@ -67,18 +67,20 @@
 
 @frozen(kw_only=True, slots=True)
 class OwnershipSettings:
-    """Section ``[ownership]``: leases of members and what follows from them.
-
-    :param lease_s: lease of a member in the store.
-    :param renew_s: seconds between two renewals.
-    :param clock_margin_s: taken off a lease for differing clock rates.
-    :param promise_s: how long a guard's promise holds.
-    :param longest_request_s: longest a request may run; a successor waits it out for
-        guards it has not heard from.
-    :param longest_extension_s: longest that promises let an owner act past its lease;
-        0 does without promises, so that runner partitions stop with the store.
-    :param rebalance_s: how long a better plan must stand before a live owner hands over.
-    :param refresh_s: seconds between two reads of all records, beside the watch.
+    """Section ``[ownership]``: leases of members and ownership of partitions.
+
+    :param lease_s: duration of a member's lease in the store.
+    :param renew_s: seconds between two renewals of the lease.
+    :param clock_margin_s: seconds subtracted from a lease to allow for differing clock rates.
+    :param promise_s: seconds for which a guard's promise is valid.
+    :param longest_request_s: longest time that a request may run; a successor waits this long for
+        requests of guards that have not responded.
+    :param longest_extension_s: longest time for which promises allow an owner to act after its
+        lease has expired; 0 disables promises, so that runner partitions stop when the store is
+        unavailable.
+    :param rebalance_s: seconds for which a better assignment must remain unchanged before a live
+        owner hands over a partition.
+    :param refresh_s: seconds between two complete reads of all records, in addition to the watch.
     """
 
     lease_s: float = 3.0
@@ -95,27 +97,29 @@
 class RequestSettings:
     """Section ``[requests]``: requests to runners.
 
-    :param default_timeout_s: deadline of a request that names none.
-    :param max_timeout_s: longest deadline a caller may ask for.
-    :param grant_usable_s: how long a grant may wait to be used.
-    :param probe_s: seconds between two looks at a runner with requests in progress.
-    :param silence_s: silence after which a connection is given up.
-    :param max_body_bytes: largest body of a request.
-    :param kept_answer_bytes: largest answer kept for duplicates of a key.
-    :param max_waiting: requests in progress in one frontend; more are refused at once.
-    :param retry_ratio: retries allowed for each request begun, per account.
-    :param region_latency_s: one way between two regions.
-    :param spill_margin_s: how much sooner a request must start in another region than in its
-        own, latency counted, to be sent there; 0 never sends one.
-    :param wait_poll_s: seconds between two questions to a runner partition for its expected
-        wait, asked only while requests wait here.
-    :param runner_connections: connections of one frontend to one runner; times the frontends of
-        a region, and with a few for probes, it must not be over what a runner takes.
-    :param record_wait_s: how long an answer waits for its record to be on file, so that a
-        duplicate sent right after it is answered from the record.
-    :param buffered_bytes: request bodies held in memory, in all.
-    :param intent_retention_s: how long the outcome of a key answers duplicates.
-    :param intents_per_account: finished keys kept for one account in one key partition.
+    :param default_timeout_s: timeout of a request that does not set one.
+    :param max_timeout_s: longest timeout that a client may set.
+    :param grant_usable_s: seconds after which an unused grant expires.
+    :param probe_s: seconds between two probes of a runner with requests in progress.
+    :param silence_s: seconds without data after which a connection is closed.
+    :param max_body_bytes: largest allowed request body.
+    :param kept_answer_bytes: largest response that is stored for duplicates of an idempotency key.
+    :param max_waiting: limit of requests in progress in one frontend; further ones are refused.
+    :param retry_ratio: limit of retries as a share of the requests of an account.
+    :param region_latency_s: one-way network latency between two regions.
+    :param spill_margin_s: a request is sent to another region only when it is expected to start
+        there earlier by at least this number of seconds, including latency; 0 disables sending.
+    :param wait_poll_s: seconds between two requests to a runner partition for its expected waiting
+        time, sent only while requests are waiting in this frontend.
+    :param runner_connections: connections of one frontend to one runner; the sum over all frontends
+        of a region, plus a few connections for probes, must not exceed the limit of a runner.
+    :param record_wait_s: seconds for which a response waits until its outcome is recorded, so that
+        a duplicate sent right after it receives the recorded response.
+    :param buffered_bytes: limit of the total size of request bodies held in memory.
+    :param intent_retention_s: seconds for which duplicates receive the recorded outcome of an
+        idempotency key.
+    :param intents_per_account: limit of the finished idempotency keys that one key partition stores
+        for one account.
     """
 
     default_timeout_s: float = 30.0
@@ -141,15 +145,16 @@
 class JobSettings:
     """Section ``[jobs]``: jobs on workers.
 
-    :param task_lease_s: how long a worker runs a task without word from its owner.
+    :param task_lease_s: seconds after which a worker stops a task whose lease its owner has not
+        renewed.
     :param renew_s: seconds between two heartbeats to a worker.
-    :param claim_batch_s: how long claims are gathered before a decision.
-    :param reserve_s: how long a gang's reservation holds.
-    :param half_life_s: half-life of decayed usage.
-    :param max_tasks_per_job: tasks that one submission may ask for.
-    :param max_waiting_tasks: tasks that may wait in one home; more are refused at once.
-    :param max_attempts: attempts of an idempotent task that fails.
-    :param patience_s: how long a task waits before a worker is kept free for it.
+    :param claim_batch_s: seconds for which claims are collected before they are decided together.
+    :param reserve_s: seconds for which a gang's reservation is valid.
+    :param half_life_s: half-life of the decaying resource usage of an account.
+    :param max_tasks_per_job: limit of the tasks of one submitted job.
+    :param max_waiting_tasks: limit of the waiting tasks in one home; further ones are refused.
+    :param max_attempts: limit of the attempts of an idempotent task.
+    :param patience_s: seconds that a task waits before a worker is kept free for it.
     """
 
     task_lease_s: float = 6.0
@@ -165,9 +170,9 @@
 
 @frozen(kw_only=True, slots=True)
 class LogSettings:
-    """Section ``[log]``: lines about changes of state; the rest is counted.
+    """Section ``[log]``: log lines about state changes; other events appear only in metrics.
 
-    :param level: lowest level of lines that are written.
+    :param level: minimum level of log lines.
     :param format: ``text`` or ``json``.
     """
 
--- a/rhubarbferry/platform/__init__.py
+++ b/rhubarbferry/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's interfaces: its words are spoken and understood here and nowhere else."""
+"""Adapters for the platform's interfaces; only this package uses the platform's wire names."""
--- a/rhubarbferry/platform/__main__.py
+++ b/rhubarbferry/platform/__main__.py
@@ -3,20 +3,20 @@
 import os
 import signal
 
-# All calls of a process are plain HTTP within the platform, but the HTTP client's library loads the
-# trusted certificates twice as it is imported, 0.06 s of processor time each: a start takes longer
-# by that, and while all processes start nobody decides.
+# A process sends only plain HTTP requests within the platform, but the HTTP client library loads
+# the trusted certificates twice on import, which takes 0.06 s of CPU time each. That delays each
+# start, and no scheduling decisions are made while all processes are starting.
 os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
-# SIGHUP and SIGTERM end a process that has not said otherwise, and the imports below take a third
-# of a second. A signal in that time is remembered instead.
-_early: list[int] = []
+# By default SIGHUP and SIGTERM terminate a process. The imports below take a third of a second;
+# signals received during that time are recorded and handled later.
+_early_signals: list[int] = []
 for _signal in (signal.SIGHUP, signal.SIGTERM):
-    signal.signal(_signal, lambda number, _frame: _early.append(number))
+    signal.signal(_signal, lambda number, _frame: _early_signals.append(number))
 
 
 def main() -> int:
-    """Read the settings, then run until SIGTERM."""
+    """Read the settings and run the process until it receives SIGTERM."""
     import asyncio
 
     from rhubarbferry.cell.logs import set_up
@@ -25,21 +25,21 @@
 
     log = set_up(member="starting")
     try:
-        file = read_settings()
+        settings = read_settings()
     except SettingsFileError as exc:
         log.emit("process.not_started", reason=str(exc))
         return 2
-    log.member = file.cell.member
+    log.member = settings.cell.member
 
     async def run() -> None:
         signals = Signals()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, signals.stop.set)
         loop.add_signal_handler(signal.SIGHUP, signals.reload.set)
-        if signal.SIGTERM in _early:
+        if signal.SIGTERM in _early_signals:
             signals.stop.set()
-        log.emit("process.started", addresses=str(file.addresses))
-        await Process(file=file, log=log, signals=signals).run()
+        log.emit("process.started", addresses=str(settings.addresses))
+        await Process(settings=settings, log=log, signals=signals).run()
 
     try:
         asyncio.run(run())
--- a/rhubarbferry/platform/client_api.py
+++ b/rhubarbferry/platform/client_api.py
@@ -1,4 +1,4 @@
-"""The interface for clients: submit, look up and cancel jobs, and count those that wait."""
+"""HTTP API for clients: submit, query and cancel jobs, and count pending jobs."""
 
 from __future__ import annotations
 
@@ -14,31 +14,30 @@
 from rhubarbferry.cell.routes import DEFAULT_BODY_BYTES, Route, RouteTable
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.dispatch.record import JobRecord
-from rhubarbferry.platform.job_forms import ID, JobFormError, parse_job
+from rhubarbferry.platform.job_forms import JOB_ID_PATTERN, JobFormError, parse_job
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.serving.connections import ABORT
 
-ANSWERS = Counter(
-    "rhubarbferry_client_answers_total", "Answers to clients", ["queue", "call", "status"]
+RESPONSES = Counter(
+    "rhubarbferry_client_answers_total", "Responses to clients", ["queue", "call", "status"]
 )
-ANSWER_SECONDS = Histogram(
+RESPONSE_SECONDS = Histogram(
     "rhubarbferry_client_answer_seconds",
-    "From a client's whole request to its answer",
+    "Time from a client's complete request to its response",
     ["call"],
     buckets=(0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5),
 )
 
-# When a client that was turned away should come back, in seconds: at least, at most, and as a
-# share of its job's objective. Outages of the store last some seconds, and clients try about four
-# times more.
-RETRY_AFTER_S = 1
-LONGEST_RETRY_AFTER_S = 3
-RETRY_SHARE = 0.2
+# The Retry-After value of a rejected request is a share of the objective of its job, between these
+# two limits. Store outages last a few seconds, and clients retry about four times.
+MIN_RETRY_AFTER_S = 1
+MAX_RETRY_AFTER_S = 3
+RETRY_OBJECTIVE_SHARE = 0.2
 DEADLINE_HEADER = b"rhubarbferry-deadline-ms"
-# Where a client does not say how long it waits.
+# Response deadline of a request without the deadline header.
 DEFAULT_DEADLINE_S = 3.0
 
-WORDS = {
+CLIENT_STATES = {
     JobPhase.QUEUED: "queued",
     JobPhase.RUNNING: "running",
     JobPhase.COMPLETE: "complete",
@@ -50,8 +49,8 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Reply:
-    """An answer to a client."""
+class ClientResponse:
+    """The HTTP response to a client."""
 
     status: int
     body: bytes = b"{}"
@@ -59,10 +58,10 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Call:
-    """A client's request, read whole.
+class ClientRequest:
+    """A client's HTTP request with its complete body.
 
-    :param deadline: monotonic time by which the client must have its answer.
+    :param deadline: monotonic time by which the client must have the response.
     """
 
     method: str
@@ -73,38 +72,42 @@
 
 
 class _TooLarge(Exception):
-    """The body is over the limit."""
+    """The request body exceeds the size limit."""
 
 
 class _ClientGone(Exception):
-    """The client closed its connection before its request was whole."""
+    """The client closed the connection before it had sent the complete request."""
 
 
-def _problem(status: int, text: str, *, retry_s: int | None = None) -> Reply:
+def _error_response(status: int, text: str, *, retry_after_s: int | None = None) -> ClientResponse:
     body = json.dumps({"error": text}).encode()
-    return Reply(status=status, body=body, retry_after_s=retry_s)
+    return ClientResponse(status=status, body=body, retry_after_s=retry_after_s)
 
 
-def _come_back_after(record: JobRecord) -> int:
-    """Return after how many seconds a job that was turned away is best handed in again.
+def _retry_after_s(record: JobRecord) -> int:
+    """Return the Retry-After value, in seconds, for a job that was not accepted.
 
-    Clients try a few times only. A job with much time until its objective gains from tries that
-    are further apart, since more outages are over by then; one with little time is worth most
-    when it comes back soon.
+    Clients retry only a few times. For a job whose objective leaves much time, a longer interval
+    makes it more likely that an outage is over before the last retry. A job with little time
+    should be retried soon.
     """
     chain_s = sum(step.estimate_s for step in record.req.steps)
     objective_s = record.queue.slack_factor * chain_s + record.queue.objective_s
-    return round(min(max(objective_s * RETRY_SHARE, RETRY_AFTER_S), LONGEST_RETRY_AFTER_S))
+    return round(
+        min(max(objective_s * RETRY_OBJECTIVE_SHARE, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
+    )
 
 
 @define(kw_only=True, eq=False)
 class ClientApi:
-    """An ASGI application.
-
-    :param routes: returns the configuration in force, ``None`` before the first.
-    :param count_pending: returns the jobs of a queue that wait, ``None`` when not known now.
-    :ivar closing: set when the process is about to end: connections are closed after their
-        present request, so that clients go elsewhere.
+    """The client API as an ASGI application.
+
+    :param routes: returns the current configuration, or ``None`` until one has been read.
+    :param count_pending: returns the number of pending jobs of a queue, or ``None`` when it is
+        currently unknown.
+    :ivar closing: set before the process exits: each connection is closed after its current
+        request, so that clients connect to another process.
+    :ivar in_progress: number of requests in progress.
     """
 
     clock: Clock
@@ -119,132 +122,140 @@
         """Serve one request."""
         if scope["type"] != "http":
             return
-        begun = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         self.in_progress += 1
         try:
             try:
-                call = await self._read(scope, receive, begun)
-                reply: Reply | None = await self._answer(call)
+                request = await self._read_request(scope, receive, started_at)
+                response: ClientResponse | None = await self._respond(request)
             except _TooLarge:
-                reply = _problem(413, "the body is too large")
+                response = _error_response(413, "the body is too large")
             except _ClientGone:
                 return
-            if reply is None:
+            if response is None:
                 scope[ABORT]()
                 return
-            await self._send(send, reply)
+            await self._send_response(send, response)
         finally:
             self.in_progress -= 1
-            ANSWER_SECONDS.labels(scope["method"]).observe(self.clock.monotonic() - begun)
+            RESPONSE_SECONDS.labels(scope["method"]).observe(self.clock.monotonic() - started_at)
 
-    async def _read(self, scope: Any, receive: Any, begun: float) -> Call:
+    async def _read_request(self, scope: Any, receive: Any, started_at: float) -> ClientRequest:
         headers = dict(scope["headers"])
         try:
-            wait_s = float(headers.get(DEADLINE_HEADER, b"")) / 1000
+            timeout_s = float(headers.get(DEADLINE_HEADER, b"")) / 1000
         except ValueError:
-            wait_s = DEFAULT_DEADLINE_S
+            timeout_s = DEFAULT_DEADLINE_S
         routes = self.routes()
-        limit = routes.limits.body_bytes if routes is not None else DEFAULT_BODY_BYTES
-        parts = []
+        max_bytes = routes.limits.body_bytes if routes is not None else DEFAULT_BODY_BYTES
+        chunks = []
         size = 0
-        more = True
-        while more:
+        has_more = True
+        while has_more:
             message = await receive()
             if message["type"] == "http.disconnect":
                 raise _ClientGone
-            part = message.get("body", b"")
-            size += len(part)
-            if size > limit:
+            chunk = message.get("body", b"")
+            size += len(chunk)
+            if size > max_bytes:
                 raise _TooLarge
-            parts.append(part)
-            more = message.get("more_body", False)
-        return Call(
+            chunks.append(chunk)
+            has_more = message.get("more_body", False)
+        return ClientRequest(
             method=scope["method"],
             host=headers.get(b"host", b"").decode("latin-1"),
             path=scope["path"],
-            body=b"".join(parts),
-            deadline=begun + wait_s,
+            body=b"".join(chunks),
+            deadline=started_at + timeout_s,
         )
 
-    async def _send(self, send: Any, reply: Reply) -> None:
+    async def _send_response(self, send: Any, response: ClientResponse) -> None:
         headers = [
             (b"content-type", b"application/json"),
-            (b"content-length", str(len(reply.body)).encode()),
+            (b"content-length", str(len(response.body)).encode()),
         ]
-        if reply.retry_after_s is not None:
-            headers.append((b"retry-after", str(reply.retry_after_s).encode()))
+        if response.retry_after_s is not None:
+            headers.append((b"retry-after", str(response.retry_after_s).encode()))
         if self.closing:
             headers.append((b"connection", b"close"))
-        await send({"type": "http.response.start", "status": reply.status, "headers": headers})
-        await send({"type": "http.response.body", "body": reply.body})
+        await send({"type": "http.response.start", "status": response.status, "headers": headers})
+        await send({"type": "http.response.body", "body": response.body})
 
-    async def _answer(self, call: Call) -> Reply | None:
-        """Return the answer; ``None`` when nothing true can be said."""
+    async def _respond(self, request: ClientRequest) -> ClientResponse | None:
+        """Return the response, or ``None`` when the outcome of the request is unknown."""
         routes = self.routes()
         if routes is None:
-            return _problem(503, "no configuration has been read yet", retry_s=RETRY_AFTER_S)
-        route = routes.match(call.host, call.path)
+            return _error_response(
+                503, "no configuration has been read yet", retry_after_s=MIN_RETRY_AFTER_S
+            )
+        route = routes.match(request.host, request.path)
         if route is None:
-            ANSWERS.labels("", call.method, 404).inc()
-            return _problem(404, "no such queue")
-        reply = await self._serve(call, route)
-        status = reply.status if reply is not None else "none"
-        ANSWERS.labels(route.queue.name, call.method, status).inc()
-        return reply
-
-    async def _serve(self, call: Call, route: Route) -> Reply | None:
-        id = call.path[len(route.prefix) :]
-        if not id and call.method == "GET":
-            return await self._pending(route)
-        if not ID.fullmatch(id):
-            return _problem(404, "no job of that name")
-        match call.method:
+            RESPONSES.labels("", request.method, 404).inc()
+            return _error_response(404, "no such queue")
+        response = await self._route_request(request, route)
+        status = response.status if response is not None else "none"
+        RESPONSES.labels(route.queue.name, request.method, status).inc()
+        return response
+
+    async def _route_request(self, request: ClientRequest, route: Route) -> ClientResponse | None:
+        id = request.path[len(route.prefix) :]
+        if not id and request.method == "GET":
+            return await self._get_pending_count(route)
+        if not JOB_ID_PATTERN.fullmatch(id):
+            return _error_response(404, "no job of that name")
+        match request.method:
             case "POST":
-                return await self._submit(call, route, id)
+                return await self._submit(request, route, id)
             case "GET":
-                return await self._state(id)
+                return await self._get_state(id)
             case "DELETE":
-                return await self._cancel(call, id)
-        return _problem(405, "POST, GET or DELETE is needed")
+                return await self._cancel(request, id)
+        return _error_response(405, "POST, GET or DELETE is needed")
 
-    async def _submit(self, call: Call, route: Route, id: str) -> Reply | None:
+    async def _submit(self, request: ClientRequest, route: Route, id: str) -> ClientResponse | None:
         try:
-            req = parse_job(id, route.queue.name, call.body)
+            req = parse_job(id, route.queue.name, request.body)
         except JobFormError as exc:
             self.log.emit("job.not_accepted", job=id, reason=str(exc), outcome="malformed")
-            return _problem(400, str(exc))
+            return _error_response(400, str(exc))
         accepted_at_s = round(self.clock.wall(), 2)
         record = JobRecord(req=req, queue=route.queue, accepted_at_s=accepted_at_s)
-        match await self.jobs.submit(record, deadline=call.deadline):
+        match await self.jobs.submit(record, deadline=request.deadline):
             case Accepted.YES:
-                return Reply(status=200)
+                return ClientResponse(status=200)
             case Accepted.NO:
-                after_s = _come_back_after(record)
-                return _problem(503, "not accepted; the job will not run", retry_s=after_s)
-        # The write may yet take effect, so nothing may be said that denies it. A client whose
-        # connection breaks hands the same job in again, and gets its answer then.
+                retry_after_s = _retry_after_s(record)
+                return _error_response(
+                    503, "not accepted; the job will not run", retry_after_s=retry_after_s
+                )
+        # The write may still take effect, so a response must not deny it. The connection is aborted
+        # instead: the client then submits the same job again and receives the outcome.
         return None
 
-    async def _state(self, id: str) -> Reply:
+    async def _get_state(self, id: str) -> ClientResponse:
         try:
             phase = await self.jobs.phase(id)
         except PhaseUnknown as exc:
             self.log.emit("job.not_read", job=id, reason=str(exc)[:200])
-            return _problem(503, "the state can't be read now", retry_s=RETRY_AFTER_S)
+            return _error_response(
+                503, "the state can't be read now", retry_after_s=MIN_RETRY_AFTER_S
+            )
         if phase is None:
-            return _problem(410, "no such job")
-        return Reply(status=200, body=json.dumps({"state": WORDS[phase]}).encode())
+            return _error_response(410, "no such job")
+        return ClientResponse(status=200, body=json.dumps({"state": CLIENT_STATES[phase]}).encode())
 
-    async def _cancel(self, call: Call, id: str) -> Reply:
-        match await self.jobs.cancel(id, deadline=call.deadline):
+    async def _cancel(self, request: ClientRequest, id: str) -> ClientResponse:
+        match await self.jobs.cancel(id, deadline=request.deadline):
             case Cancelled.YES:
-                return Reply(status=200)
+                return ClientResponse(status=200)
             case Cancelled.UNKNOWN_JOB:
-                return _problem(410, "no such job")
-        return _problem(503, "not cancelled", retry_s=RETRY_AFTER_S)
+                return _error_response(410, "no such job")
+        return _error_response(503, "not cancelled", retry_after_s=MIN_RETRY_AFTER_S)
 
-    async def _pending(self, route: Route) -> Reply:
+    async def _get_pending_count(self, route: Route) -> ClientResponse:
         count = await self.count_pending(route.queue.name)
         if count is None:
-            return _problem(503, "the count is not known now", retry_s=RETRY_AFTER_S)
-        return Reply(status=200, body=json.dumps({"pending": count}).encode())
+            return _error_response(
+                503, "the count is not known now", retry_after_s=MIN_RETRY_AFTER_S
+            )
+        return ClientResponse(status=200, body=json.dumps({"pending": count}).encode())
--- a/rhubarbferry/platform/configuration.py
+++ b/rhubarbferry/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, decoded once for each revision."""
+"""Decoding of the operator's configuration, done once for each revision."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class ConfigurationError(Exception):
-    """The value is no configuration. The one before stays in force."""
+    """The value is not a valid configuration; the previous one remains in effect."""
 
 
 def decode_configuration(value: bytes, *, revision: int) -> RouteTable:
-    """Translate a configuration; a route that is not understood is left out with a log line.
+    """Decode a configuration; log and skip each invalid route.
 
-    :raises ConfigurationError: when the value as a whole is not understood.
+    :raises ConfigurationError: when the value is not a valid configuration as a whole.
     """
     try:
         body = json.loads(value)
@@ -29,8 +29,8 @@
         limits = body.get("limits") or {}
         body_bytes = int(limits.get("maxBodyBytes", DEFAULT_BODY_BYTES))
     except (ValueError, TypeError, KeyError, AttributeError) as exc:
-        raise ConfigurationError(f"no configuration: {exc!r}") from exc
-    routes = [route for entry in entries if (route := _route_or_none(entry)) is not None]
+        raise ConfigurationError(f"not a valid configuration: {exc!r}") from exc
+    routes = [route for entry in entries if (route := _decode_route_or_none(entry)) is not None]
     return RouteTable(
         version=version,
         revision=revision,
@@ -39,16 +39,17 @@
     )
 
 
-def _route_or_none(entry: Any) -> Route | None:
+def _decode_route_or_none(entry: Any) -> Route | None:
     try:
-        return _route(entry)
+        return _decode_route(entry)
     except (ValueError, TypeError, KeyError, AttributeError) as exc:
-        logger.warning("a route is not understood and left out: {!r}", exc)
+        logger.warning("skipping an invalid route: {!r}", exc)
         return None
 
 
-def _route(entry: Any) -> Route:
-    # The platform calls the policy's cost "advisor"; the policy's address is in the settings.
+def _decode_route(entry: Any) -> Route:
+    # The platform's field "advisor" holds the cost of a call to the policy service; the address of
+    # that service is in the settings.
     cost = entry.get("advisor")
     advice = None
     if cost:
--- a/rhubarbferry/platform/directory.py
+++ b/rhubarbferry/platform/directory.py
@@ -1,4 +1,4 @@
-"""The hosts that register themselves in the platform's store."""
+"""The directory of hosts, which register themselves in the platform's store."""
 
 from __future__ import annotations
 
@@ -14,67 +14,70 @@
 
 
 class PlatformDirectory:
-    """Reads the registrations; invalid entries are skipped and logged once each."""
+    """Read the registrations of hosts; skip each invalid entry and log it once."""
 
     def __init__(self, *, store: TxnStore) -> None:
         self._store = store
-        self._logged: set[str] = set()
+        self._logged_ids: set[str] = set()
 
     async def hosts(self) -> tuple[HostEntry, ...]:
-        """Return the hosts that are registered now."""
+        """Return the hosts that are currently registered."""
         listing = await self._store.list(PREFIX)
-        entries = [self._entry(item) for item in listing.items]
+        entries = [self._decode_item(item) for item in listing.items]
         return tuple(entry for entry in entries if entry is not None)
 
-    def _entry(self, item: KeyValue) -> HostEntry | None:
+    def _decode_item(self, item: KeyValue) -> HostEntry | None:
         id = item.key.removeprefix(PREFIX)
         try:
             return decode_entry(id, json.loads(item.value))
         except (ValueError, TypeError, KeyError, AttributeError) as exc:
-            if id not in self._logged:
-                self._logged.add(id)
-                logger.warning("host entry {} is not understood and skipped: {!r}", id, exc)
+            if id not in self._logged_ids:
+                self._logged_ids.add(id)
+                logger.warning("skipping the invalid host entry {}: {!r}", id, exc)
             return None
 
 
 def decode_entry(id: str, body: Any) -> HostEntry:
-    """Translate one registration.
+    """Decode one registration.
 
-    :raises ValueError: when a field is missing or of another type, among others.
+    :raises ValueError: when a field has an invalid type or value.
+    :raises KeyError: when a required field is missing.
+    :raises TypeError: when an object was expected and another type was found.
+    :raises AttributeError: when the registration is not an object.
     """
     capacity = body["capacity"]
-    remaining = body.get("remainingMs")
+    remaining_ms = body.get("remainingMs")
     return HostEntry(
         id=id,
-        incarnation=_integer(body.get("born", 0)),
-        service=_text(body["service"]),
-        address=_address(body["addr"]),
-        failure_domain=_text(body["zone"]),
-        phase=HostPhase(_text(body["state"])),
+        incarnation=_parse_integer(body.get("born", 0)),
+        service=_parse_string(body["service"]),
+        address=_parse_address(body["addr"]),
+        failure_domain=_parse_string(body["zone"]),
+        phase=HostPhase(_parse_string(body["state"])),
         capacity=Sizes(
-            millicores=_integer(capacity["cpu"]),
-            memory_mb=_integer(capacity["memMb"]),
-            accelerators=_integer(capacity.get("gpu", 0)),
+            millicores=_parse_integer(capacity["cpu"]),
+            memory_mb=_parse_integer(capacity["memMb"]),
+            accelerators=_parse_integer(capacity.get("gpu", 0)),
         ),
-        labels=tuple(_text(label) for label in body.get("labels", [])),
-        remaining_s=None if remaining is None else float(remaining) / 1000,
+        labels=tuple(_parse_string(label) for label in body.get("labels", [])),
+        remaining_s=None if remaining_ms is None else float(remaining_ms) / 1000,
     )
 
 
-def _text(value: Any) -> str:
+def _parse_string(value: Any) -> str:
     if not isinstance(value, str):
-        raise ValueError(f"no text: {value!r}")
+        raise ValueError(f"not a string: {value!r}")
     return value
 
 
-def _integer(value: Any) -> int:
+def _parse_integer(value: Any) -> int:
     if not isinstance(value, (int, float)) or isinstance(value, bool) or value != int(value):
-        raise ValueError(f"no whole number: {value!r}")
+        raise ValueError(f"not an integer: {value!r}")
     return int(value)
 
 
-def _address(value: Any) -> str:
-    host, _, port = _text(value).rpartition(":")
+def _parse_address(value: Any) -> str:
+    host, _, port = _parse_string(value).rpartition(":")
     if not host or not port.isdigit():
-        raise ValueError(f"no address: {value!r}")
+        raise ValueError(f"not an ip:port address: {value!r}")
     return value
--- a/rhubarbferry/platform/health_api.py
+++ b/rhubarbferry/platform/health_api.py
@@ -1,4 +1,4 @@
-"""What the balancer and the operators ask a process: whether it is ready, and its metrics."""
+"""HTTP endpoints for the load balancer and operators: readiness and metrics."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 from starlette.routing import Route
 
 
-def build_app(*, ready: Callable[[], str]) -> Starlette:
-    """Return the application.
+def build_app(*, not_ready_reason: Callable[[], str]) -> Starlette:
+    """Return the ASGI application.
 
-    :param ready: returns why the process takes no connections, or an empty string.
+    :param not_ready_reason: returns why the process must not receive connections, or an empty
+        string when it is ready.
     """
 
     async def readyz(request: Request) -> Response:
-        reason = ready()
+        reason = not_ready_reason()
         if not reason:
             return PlainTextResponse("ready\n")
         return PlainTextResponse(f"not ready: {reason}\n", status_code=503)
--- a/rhubarbferry/platform/http.py
+++ b/rhubarbferry/platform/http.py
@@ -1,4 +1,4 @@
-"""JSON over HTTP/1.1 to the platform's services, with a time limit on each call."""
+"""Client for the platform's JSON services over HTTP/1.1, with a timeout on each call."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 import aiohttp
 from attrs import define, frozen
 
-# Connections stay open between calls, since a new one is paid for and takes a round trip more.
-KEEP_OPEN_S = 30.0
-# A round trip between regions, and time for a busy host.
-CONNECT_S = 0.3
-# Connections to one address at a time.
-CONNECTIONS_PER_ADDRESS = 32
+# Connections are kept open between calls: a new one is billed and takes one more round trip.
+KEEP_ALIVE_TIMEOUT_S = 30.0
+# Allows for one round trip between regions and for a busy host.
+CONNECT_TIMEOUT_S = 0.3
+# Concurrent connections to one address.
+MAX_CONNECTIONS_PER_ADDRESS = 32
 
 
 class NotSent(Exception):
-    """No connection was made, so the call has had no effect."""
+    """No connection was established, so the call has had no effect."""
 
 
 class NoAnswer(Exception):
-    """The call went out and no whole answer came: it may have had effect, or may yet.
+    """No complete response to a sent call was received; the call may have taken or may take effect.
 
-    :param received_bytes: how much of the answer's body had come.
+    :param received_bytes: number of bytes of the response body that were received.
     """
 
     def __init__(self, message: str, *, received_bytes: int = 0) -> None:
@@ -35,11 +35,11 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Answer:
-    """An answer that came whole.
+class Response:
+    """A complete response.
 
-    :param body: the decoded JSON body; ``None`` when it is empty or no JSON.
-    :param transfer_s: seconds between the arrival of its headers and that of its last byte.
+    :param body: the decoded JSON body; ``None`` when it is empty or not valid JSON.
+    :param transfer_s: seconds from the arrival of the headers to the arrival of the last byte.
     """
 
     status: int
@@ -50,10 +50,10 @@
 
 @frozen(kw_only=True, slots=True)
 class TransferLimit:
-    """How long the body of an answer may take, once its headers have come.
+    """Timeouts for receiving the body of a response, counted from the arrival of its headers.
 
-    :param idle_s: longest time without any of it.
-    :param total_s: longest time for all of it.
+    :param idle_s: longest time without receiving any bytes.
+    :param total_s: longest time for the complete body.
     """
 
     idle_s: float
@@ -61,64 +61,66 @@
 
 
 @define(kw_only=True, slots=True)
-class _Progress:
-    """How far a call has come.
+class _CallProgress:
+    """Progress of one call.
 
-    :param timeout: ends the call.
-    :param transfer: what applies in its place to the body of the answer.
+    :param timeout: cancels the call when it expires.
+    :param transfer: timeouts that replace it while the response body is received.
     """
 
     timeout: asyncio.Timeout
     transfer: TransferLimit | None
     connected: bool = False
     received_bytes: int = 0
-    _ends_at: float = float("inf")
+    _transfer_deadline: float = float("inf")
 
-    def begin_transfer(self, now: float) -> None:
-        """Note that the headers of the answer have come."""
+    def start_transfer(self, now: float) -> None:
+        """Apply the transfer timeouts once the response headers have arrived."""
         if self.transfer is not None:
-            self._ends_at = now + self.transfer.total_s
-            self._extend(now, self.transfer)
+            self._transfer_deadline = now + self.transfer.total_s
+            self._restart_idle_timeout(now, self.transfer)
 
-    def received(self, part: bytes, now: float) -> None:
-        """Note a part of the answer's body."""
-        self.received_bytes += len(part)
+    def add_received(self, chunk: bytes, now: float) -> None:
+        """Count a chunk of the response body and restart the idle timeout."""
+        self.received_bytes += len(chunk)
         if self.transfer is not None:
-            self._extend(now, self.transfer)
+            self._restart_idle_timeout(now, self.transfer)
 
-    def _extend(self, now: float, transfer: TransferLimit) -> None:
-        self.timeout.reschedule(min(now + transfer.idle_s, self._ends_at))
+    def _restart_idle_timeout(self, now: float, transfer: TransferLimit) -> None:
+        self.timeout.reschedule(min(now + transfer.idle_s, self._transfer_deadline))
 
 
-async def _note_connected(
+async def _mark_connected(
     _session: aiohttp.ClientSession, ctx: SimpleNamespace, _params: object
 ) -> None:
-    if isinstance(ctx.trace_request_ctx, _Progress):
+    if isinstance(ctx.trace_request_ctx, _CallProgress):
         ctx.trace_request_ctx.connected = True
 
 
-def _trace() -> aiohttp.TraceConfig:
+def _connection_trace() -> aiohttp.TraceConfig:
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_end.append(_note_connected)
-    trace.on_connection_reuseconn.append(_note_connected)
+    trace.on_connection_create_end.append(_mark_connected)
+    trace.on_connection_reuseconn.append(_mark_connected)
     return trace
 
 
 class JsonClient:
     """Calls of one process to one kind of service.
 
-    :param extra_s: returns by how many seconds to extend time limits, as this process is behind.
-    :param connections: to one address at a time; calls beyond that wait, within their time limits.
+    :param extra_timeout_s: returns the seconds to add to each timeout, to allow for delays of this
+        process's event loop.
+    :param max_connections: limit of concurrent connections to one address; further calls wait,
+        which counts towards their timeouts.
     """
 
     def __init__(
         self,
         *,
-        extra_s: Callable[[], float] = lambda: 0.0,
-        connections: int = CONNECTIONS_PER_ADDRESS,
+        extra_timeout_s: Callable[[], float] = lambda: 0.0,
+        max_connections: int = MAX_CONNECTIONS_PER_ADDRESS,
     ) -> None:
-        self._extra_s = extra_s
-        self._connections = connections
+        self._extra_timeout_s = extra_timeout_s
+        self._max_connections = max_connections
         self._session: aiohttp.ClientSession | None = None
 
     async def call(
@@ -131,76 +133,84 @@
         body: Any = None,
         query: dict[str, str] | None = None,
         headers: dict[str, str] | None = None,
-    ) -> Answer:
-        """Send one request and return its answer.
+    ) -> Response:
+        """Send one request and return its response.
 
-        A connection may go silent for good without a reset. The time limit ends such a call,
-        and its connection is dropped with it, so the next call opens a new one.
+        A connection may stop carrying data without being reset. The timeout ends the call and
+        closes such a connection, so that the next call opens a new one.
 
-        :param timeout_s: for the whole call; with ``transfer`` until the headers of the answer.
-        :param transfer: for the body of the answer, so that a large one may take its time on a
-            slow link while it makes progress.
+        :param timeout_s: timeout for the complete call; with ``transfer``, until the response
+            headers arrive.
+        :param transfer: timeouts for the response body, which allow a large body on a slow link
+            as long as it makes progress.
 
-        :raises NotSent: when no connection could be made in time.
-        :raises NoAnswer: when anything went wrong after that.
+        :raises NotSent: when no connection could be established in time.
+        :raises NoAnswer: when the call failed after a connection was established.
         """
         data = None if body is None else json.dumps(body, separators=(",", ":")).encode()
         sent_headers = dict(headers or {})
         if data is not None:
             sent_headers["Content-Type"] = "application/json"
-        timeout = asyncio.timeout(timeout_s + self._extra_s())
-        progress = _Progress(timeout=timeout, transfer=transfer)
-        begun = asyncio.get_running_loop().time()
+        timeout = asyncio.timeout(timeout_s + self._extra_timeout_s())
+        progress = _CallProgress(timeout=timeout, transfer=transfer)
+        started_at = asyncio.get_running_loop().time()
         try:
             async with timeout:
-                return await self._connect_and_send(
+                return await self._send_with_reconnect(
                     method, url, progress, data=data, params=query, headers=sent_headers
                 )
         except (TimeoutError, aiohttp.ClientError, OSError, RuntimeError) as exc:
-            took_s = asyncio.get_running_loop().time() - begun
-            failure = f"{method} {url}: {exc!r} after {took_s:.2f} s"
+            elapsed_s = asyncio.get_running_loop().time() - started_at
+            failure = f"{method} {url}: {exc!r} after {elapsed_s:.2f} s"
             if progress.connected:
-                received = progress.received_bytes
+                received_bytes = progress.received_bytes
                 raise NoAnswer(
-                    f"{failure}, {received} bytes of the body read", received_bytes=received
+                    f"{failure}, {received_bytes} bytes of the body read",
+                    received_bytes=received_bytes,
                 ) from exc
             raise NotSent(failure) from exc
 
-    async def _connect_and_send(
-        self, method: str, url: str, progress: _Progress, **options: Any
-    ) -> Answer:
+    async def _send_with_reconnect(
+        self, method: str, url: str, progress: _CallProgress, **options: Any
+    ) -> Response:
         while True:
             try:
                 return await self._send(method, url, progress, **options)
             except aiohttp.ConnectionTimeoutError:
-                # The opening packet was lost, and nothing was sent. The system sends it again only
-                # after a second; another connection is there sooner.
+                # The SYN packet was lost, and no data was sent. The kernel retransmits it only
+                # after a second; opening another connection is faster.
                 continue
 
-    async def _send(self, method: str, url: str, progress: _Progress, **options: Any) -> Answer:
+    async def _send(
+        self, method: str, url: str, progress: _CallProgress, **options: Any
+    ) -> Response:
         loop = asyncio.get_running_loop()
-        connect = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S + self._extra_s())
-        request = self._opened().request(
-            method, url, trace_request_ctx=progress, timeout=connect, **options
+        connect_timeout = aiohttp.ClientTimeout(
+            total=None, sock_connect=CONNECT_TIMEOUT_S + self._extra_timeout_s()
+        )
+        request = self._get_session().request(
+            method, url, trace_request_ctx=progress, timeout=connect_timeout, **options
         )
         async with request as resp:
-            begun = loop.time()
-            progress.begin_transfer(begun)
+            started_at = loop.time()
+            progress.start_transfer(started_at)
             payload = await _read_body(resp, progress)
-            return Answer(
+            return Response(
                 status=resp.status,
-                body=_decoded(payload),
+                body=_decode_json(payload),
                 headers=resp.headers,
-                transfer_s=loop.time() - begun,
+                transfer_s=loop.time() - started_at,
             )
 
-    def _opened(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(
-                    limit=0, limit_per_host=self._connections, keepalive_timeout=KEEP_OPEN_S
+                    limit=0,
+                    limit_per_host=self._max_connections,
+                    keepalive_timeout=KEEP_ALIVE_TIMEOUT_S,
                 ),
-                trace_configs=[_trace()],
+                trace_configs=[_connection_trace()],
                 auto_decompress=False,
                 skip_auto_headers=("User-Agent", "Accept-Encoding", "Accept"),
             )
@@ -212,16 +222,16 @@
             await self._session.close()
 
 
-async def _read_body(resp: aiohttp.ClientResponse, progress: _Progress) -> bytes:
+async def _read_body(resp: aiohttp.ClientResponse, progress: _CallProgress) -> bytes:
     loop = asyncio.get_running_loop()
-    parts = []
-    async for part in resp.content.iter_any():
-        progress.received(part, loop.time())
-        parts.append(part)
-    return b"".join(parts)
+    chunks = []
+    async for chunk in resp.content.iter_any():
+        progress.add_received(chunk, loop.time())
+        chunks.append(chunk)
+    return b"".join(chunks)
 
 
-def _decoded(payload: bytes) -> Any:
+def _decode_json(payload: bytes) -> Any:
     if not payload:
         return None
     try:
--- a/rhubarbferry/platform/job_forms.py
+++ b/rhubarbferry/platform/job_forms.py
@@ -1,4 +1,4 @@
-"""Jobs as the platform's clients submit them, checked and translated."""
+"""Validation and decoding of the jobs that the platform's clients submit."""
 
 from __future__ import annotations
 
@@ -8,108 +8,110 @@
 
 from rhubarbferry.dispatch.messages import JobRequest, Sizes, StepRequest
 
-ID = re.compile(r"[0-9a-fA-F]{16}")
-# The platform allows specs of 4,000 bytes.
+JOB_ID_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
+# The platform limits specs to 4,000 bytes.
 MAX_PAYLOAD_BYTES = 4000
-# Bounds against bodies that would fill the memory of the owner; far above what clients send.
+# Protect the memory of the owner against oversized jobs; clients send far smaller ones.
 MAX_STEPS = 256
 MAX_TASKS = 20_000
 
 
 class JobFormError(Exception):
-    """The body is no job; the message names the field."""
+    """The body is not a valid job; the message names the invalid field."""
 
 
 def parse_job(id: str, queue: str, body: bytes) -> JobRequest:
-    """Read a submission.
+    """Decode the body of a job submission.
 
-    :raises JobFormError: when it is none.
+    :param id: id of the job, from the URL.
+    :param queue: name of the queue that receives the job.
+    :raises JobFormError: when the body is not a valid job.
     """
     try:
         form = json.loads(body)
     except ValueError as exc:
-        raise JobFormError("the body is no JSON") from exc
+        raise JobFormError("the body is not valid JSON") from exc
     if not isinstance(form, dict):
-        raise JobFormError("the body is no object")
+        raise JobFormError("the body is not a JSON object")
     payload = form.get("spec", "")
     if not isinstance(payload, str) or len(payload.encode()) > MAX_PAYLOAD_BYTES:
-        raise JobFormError(f"spec: a text of at most {MAX_PAYLOAD_BYTES} bytes is needed")
+        raise JobFormError(f"spec: must be a string of at most {MAX_PAYLOAD_BYTES} bytes")
     rows = form.get("phases")
     if not isinstance(rows, list) or not 1 <= len(rows) <= MAX_STEPS:
-        raise JobFormError(f"phases: a list of 1 to {MAX_STEPS} steps is needed")
-    steps = tuple(_step(index, row) for index, row in enumerate(rows))
+        raise JobFormError(f"phases: must be a list of 1 to {MAX_STEPS} steps")
+    steps = tuple(_parse_step(index, row) for index, row in enumerate(rows))
     if sum(step.count for step in steps) > MAX_TASKS:
-        raise JobFormError(f"phases: more than {MAX_TASKS} tasks")
+        raise JobFormError(f"phases: must not contain more than {MAX_TASKS} tasks")
     return JobRequest(
         id=id,
         queue=queue,
         payload=payload,
         steps=steps,
-        times=_integer(form, "times"),
-        start_at_s=_number(form, "startAtMs") / 1000,
-        interval_s=_number(form, "intervalMs") / 1000,
+        times=_parse_integer(form, "times"),
+        start_at_s=_parse_number(form, "startAtMs") / 1000,
+        interval_s=_parse_number(form, "intervalMs") / 1000,
     )
 
 
-def _step(index: int, row: Any) -> StepRequest:
+def _parse_step(index: int, row: Any) -> StepRequest:
     if not isinstance(row, dict):
-        raise JobFormError(f"phases[{index}]: no object")
+        raise JobFormError(f"phases[{index}]: must be an object")
     after = row.get("after", [])
     if not isinstance(after, list) or not all(
         isinstance(step, int) and 0 <= step < index for step in after
     ):
-        raise JobFormError(f"phases[{index}].after: only earlier steps may be named")
-    count = _integer(row, "count")
+        raise JobFormError(f"phases[{index}].after: must list only indexes of earlier steps")
+    count = _parse_integer(row, "count")
     if count < 1:
-        raise JobFormError(f"phases[{index}].count: at least 1 is needed")
+        raise JobFormError(f"phases[{index}].count: must be at least 1")
     return StepRequest(
         count=count,
         sizes=Sizes(
-            millicores=_integer(row, "cpu"),
-            memory_mb=_integer(row, "memMb"),
-            accelerators=_integer(row, "gpu"),
+            millicores=_parse_integer(row, "cpu"),
+            memory_mb=_parse_integer(row, "memMb"),
+            accelerators=_parse_integer(row, "gpu"),
         ),
-        estimate_s=_number(row, "estimateMs") / 1000,
+        estimate_s=_parse_number(row, "estimateMs") / 1000,
         after=tuple(after),
-        gang=_flag(row, "gang"),
-        one_rack=_flag(row, "colocated"),
-        checkpointable=_flag(row, "checkpointable"),
-        required_label=_text(row, "requiredLabel"),
-        near_rack=_text(row, "affinity"),
-        max_per_host=_integer(row, "maxPerServer"),
-        copies_allowed=_flag(row, "speculative"),
-        lasting=_flag(row, "longRunning"),
-        image=_text(row, "image"),
-        goal_s=_number(row, "goalMs") / 1000,
-        # Despite its name this is a flag: the step's processor is not counted against room.
+        gang=_parse_boolean(row, "gang"),
+        one_rack=_parse_boolean(row, "colocated"),
+        checkpointable=_parse_boolean(row, "checkpointable"),
+        required_label=_parse_string(row, "requiredLabel"),
+        near_rack=_parse_string(row, "affinity"),
+        max_per_host=_parse_integer(row, "maxPerServer"),
+        copies_allowed=_parse_boolean(row, "speculative"),
+        lasting=_parse_boolean(row, "longRunning"),
+        image=_parse_string(row, "image"),
+        goal_s=_parse_number(row, "goalMs") / 1000,
+        # A flag, despite its name: the step's CPU is not deducted from a host's capacity.
         filling=bool(row.get("fillCount", False)),
-        may_miss=_integer(row, "disruptionBudget") if "disruptionBudget" in row else None,
+        may_miss=_parse_integer(row, "disruptionBudget") if "disruptionBudget" in row else None,
     )
 
 
-def _integer(row: dict[str, Any], name: str) -> int:
-    value = _number(row, name)
+def _parse_integer(row: dict[str, Any], name: str) -> int:
+    value = _parse_number(row, name)
     if value != int(value):
-        raise JobFormError(f"{name}: a whole number is needed")
+        raise JobFormError(f"{name}: must be an integer")
     return int(value)
 
 
-def _number(row: dict[str, Any], name: str) -> float:
+def _parse_number(row: dict[str, Any], name: str) -> float:
     value = row.get(name, 0)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value < 0:
-        raise JobFormError(f"{name}: a number of 0 or more is needed")
+        raise JobFormError(f"{name}: must be a number of at least 0")
     return value
 
 
-def _flag(row: dict[str, Any], name: str) -> bool:
+def _parse_boolean(row: dict[str, Any], name: str) -> bool:
     value = row.get(name, False)
     if not isinstance(value, bool):
-        raise JobFormError(f"{name}: true or false is needed")
+        raise JobFormError(f"{name}: must be true or false")
     return value
 
 
-def _text(row: dict[str, Any], name: str) -> str:
+def _parse_string(row: dict[str, Any], name: str) -> str:
     value = row.get(name, "")
     if not isinstance(value, str):
-        raise JobFormError(f"{name}: a text is needed")
+        raise JobFormError(f"{name}: must be a string")
     return value
--- a/rhubarbferry/platform/policy.py
+++ b/rhubarbferry/platform/policy.py
@@ -1,4 +1,4 @@
-"""Questions to the platform's policy service."""
+"""Client for the platform's policy service."""
 
 from __future__ import annotations
 
@@ -11,36 +11,37 @@
 
 
 class PlatformPolicy:
-    """The policy service.
+    """Client for the platform's policy service.
 
-    :param address: ``ip:port``; may be changed between calls.
-    :param extra_s: returns by how many seconds to extend time limits, as this process is behind.
+    :param address: ``ip:port`` of the service; may be changed between calls.
+    :param extra_timeout_s: returns the seconds to add to each timeout, to allow for delays of this
+        process's event loop.
     """
 
-    def __init__(self, *, address: str, extra_s: Callable[[], float] = lambda: 0.0) -> None:
+    def __init__(self, *, address: str, extra_timeout_s: Callable[[], float] = lambda: 0.0) -> None:
         self.address = address
-        self._http = JsonClient(extra_s=extra_s)
+        self._http = JsonClient(extra_timeout_s=extra_timeout_s)
 
     async def ask(self, step: StepId, hosts: tuple[str, ...], *, timeout_s: float) -> Approvals:
-        """Return the approvals among ``hosts``."""
+        """Request approval to run ``step`` on each of ``hosts``; return the approvals granted."""
         body = {"stepId": step_name(step), "workers": list(hosts)}
         try:
             url = f"http://{self.address}/api/advise"
-            answer = await self._http.call("POST", url, timeout_s=timeout_s, body=body)
+            response = await self._http.call("POST", url, timeout_s=timeout_s, body=body)
         except (NotSent, NoAnswer) as exc:
             raise WorkerSilent(str(exc)) from exc
-        if answer.status == 429:
-            raise PolicyBusy("the policy service has too many questions waiting")
-        if answer.status != 200 or not isinstance(answer.body, dict):
-            raise WorkerSilent(f"status {answer.status}: {answer.body}")
+        if response.status == 429:
+            raise PolicyBusy("the policy service has too many pending requests")
+        if response.status != 200 or not isinstance(response.body, dict):
+            raise WorkerSilent(f"status {response.status}: {response.body}")
         return Approvals(
             approvals=tuple(
                 Approval(host=str(row[0]), ticket=str(row[1]))
-                for row in answer.body.get("approved", [])
+                for row in response.body.get("approved", [])
             ),
-            valid_s=float(answer.body.get("validMs", 0)) / 1000,
+            valid_s=float(response.body.get("validMs", 0)) / 1000,
         )
 
     async def close(self) -> None:
-        """Give up connections."""
+        """Close all connections."""
         await self._http.close()
--- a/rhubarbferry/platform/process.py
+++ b/rhubarbferry/platform/process.py
@@ -1,4 +1,4 @@
-"""One process of a cell on the platform: wire the parts together and run them."""
+"""One process of a cell on the platform: create its components and run them."""
 
 from __future__ import annotations
 
@@ -31,27 +31,33 @@
 from rhubarbferry.platform.directory import PlatformDirectory
 from rhubarbferry.platform.health_api import build_app
 from rhubarbferry.platform.policy import PlatformPolicy
-from rhubarbferry.platform.serving import listen, serve
-from rhubarbferry.platform.settings import SETTINGS_VARIABLE, ProcessFile, SettingsFileError, load
+from rhubarbferry.platform.serving import create_server, listen
+from rhubarbferry.platform.settings import (
+    SETTINGS_VARIABLE,
+    SettingsFile,
+    SettingsFileError,
+    load,
+)
 from rhubarbferry.platform.store import PlatformStore
 from rhubarbferry.platform.workers import PlatformWorkers
 from rhubarbferry.ports.clock import SystemClock
 
-# Without an answer of the store for this long a process can serve nobody; others may be able to.
-STORE_SILENCE_S = 2.0
-# After SIGTERM the balancer needs two of its checks, a second apart, to send clients elsewhere.
-LEAVE_ROTATION_S = 2.6
-# Left of the grace time for the process to end by itself.
-EXIT_RESERVE_S = 1.0
-# How long a connection to this process may be idle.
-IDLE_S = 75
-# Between two looks at the settings file, which may change without a signal.
-SETTINGS_LOOK_S = 2.0
+# A process without a response from the store for this long can't serve clients and reports that it
+# is not ready; other processes may still reach the store.
+STORE_RESPONSE_TIMEOUT_S = 2.0
+# The load balancer needs two failed readiness checks, one second apart, to remove a process.
+BALANCER_REMOVAL_S = 2.6
+# Part of the grace period that is reserved for closing servers and connections before SIGKILL.
+SHUTDOWN_RESERVE_S = 1.0
+# Idle connections to this process are closed after this time.
+IDLE_TIMEOUT_S = 75
+# Interval between checks of the settings file, which may change without a signal.
+SETTINGS_POLL_INTERVAL_S = 2.0
 
 
 @define(kw_only=True, eq=False)
 class Signals:
-    """Signals that came in, from the moment the process could take any."""
+    """Signals received since the start of the process."""
 
     stop: asyncio.Event = field(factory=asyncio.Event)
     reload: asyncio.Event = field(factory=asyncio.Event)
@@ -59,18 +65,21 @@
 
 @define(kw_only=True, eq=False, slots=False)
 class Process:
-    """The parts of one process."""
+    """One process of a cell and its components.
 
-    file: ProcessFile
+    :ivar draining: set when the process has begun to shut down.
+    """
+
+    settings: SettingsFile
     log: EventLog
     signals: Signals
     clock: SystemClock = field(factory=SystemClock)
     view: CellView = field(factory=CellView)
-    leaving: bool = False
+    draining: bool = False
 
     def __attrs_post_init__(self) -> None:
-        cfg = self.file.cell
-        addresses = self.file.addresses
+        cfg = self.settings.cell
+        addresses = self.settings.addresses
         own = Member(
             name=cfg.member,
             address=addresses.peers,
@@ -80,18 +89,20 @@
             link_mbps=cfg.link_mbps,
         )
         self.loop_lag = LoopLag(log=self.log)
-        self.store = PlatformStore(address=addresses.store, extra_s=self.loop_lag.per_call_s)
+        self.store = PlatformStore(
+            address=addresses.store, extra_timeout_s=self.loop_lag.per_call_s
+        )
         self.feed = ConfigurationFeed(
             clock=self.clock,
             store=self.store,
             log=self.log,
             key=CONFIGURATION_KEY,
-            decode=self._decode,
+            decode=self._decode_configuration,
             history_s=cfg.bounds.history_s,
         )
-        self.workers = PlatformWorkers(extra_s=self.loop_lag.per_call_s)
+        self.workers = PlatformWorkers(extra_timeout_s=self.loop_lag.per_call_s)
         self.policy = (
-            PlatformPolicy(address=addresses.policy, extra_s=self.loop_lag.per_call_s)
+            PlatformPolicy(address=addresses.policy, extra_timeout_s=self.loop_lag.per_call_s)
             if addresses.policy
             else None
         )
@@ -162,44 +173,48 @@
         )
 
     async def run(self) -> None:
-        """Serve until asked to stop, then hand over and end within the grace time.
+        """Serve until SIGTERM, then hand over owned work and shut down within the grace period.
 
-        :raises OSError: when an address can't be listened on.
+        :raises OSError: when an address is not available.
         """
-        addresses = self.file.addresses
+        addresses = self.settings.addresses
         health_socket = listen(addresses.health)
         client_socket = listen(addresses.clients)
         await self.peer_server.start(addresses.peers)
-        health = build_app(ready=self._not_ready)
-        tasks = [
+        health = build_app(not_ready_reason=self._not_ready_reason)
+        background_tasks = [
             asyncio.create_task(self.loop_lag.run()),
             asyncio.create_task(self.feed.run()),
             asyncio.create_task(self.keeper.run()),
             asyncio.create_task(self.candidate.run()),
             asyncio.create_task(self.owner_watch.run()),
-            asyncio.create_task(self._follow_settings()),
+            asyncio.create_task(self._watch_settings()),
         ]
         sockets = [(health, health_socket), (self.api, client_socket)]
-        metrics_socket = self._metrics_socket()
+        metrics_socket = self._listen_for_metrics()
         if metrics_socket is not None:
             sockets.append((health, metrics_socket))
         servers = []
-        serving = []
+        server_tasks = []
         for app, sock in sockets:
-            server = serve(app, idle_s=IDLE_S)
+            server = create_server(app, idle_timeout_s=IDLE_TIMEOUT_S)
             servers.append(server)
-            serving.append(asyncio.create_task(server.serve(sockets=[sock])))
-        stopping = asyncio.create_task(self.signals.stop.wait())
-        await asyncio.wait([*tasks, *serving, stopping], return_when=asyncio.FIRST_COMPLETED)
-        for task in tasks + serving:
+            server_tasks.append(asyncio.create_task(server.serve(sockets=[sock])))
+        stop_signal = asyncio.create_task(self.signals.stop.wait())
+        await asyncio.wait(
+            [*background_tasks, *server_tasks, stop_signal], return_when=asyncio.FIRST_COMPLETED
+        )
+        for task in background_tasks + server_tasks:
             if task.done():
-                logger.opt(exception=task.exception()).error("a part of the process has ended")
-        await self._leave()
+                logger.opt(exception=task.exception()).error(
+                    "a component of the process has stopped unexpectedly"
+                )
+        await self._drain()
         for server in servers:
             server.stop()
-        for task in tasks:
+        for task in background_tasks:
             task.cancel()
-        await asyncio.gather(*tasks, *serving, return_exceptions=True)
+        await asyncio.gather(*background_tasks, *server_tasks, return_exceptions=True)
         await self.peer_server.close()
         await self.peers.close()
         await self.workers.close()
@@ -207,76 +222,80 @@
             await self.policy.close()
         await self.store.close()
 
-    def _metrics_socket(self) -> socket.socket | None:
-        """Listen on the port that does not change; without it the process serves all the same."""
+    def _listen_for_metrics(self) -> socket.socket | None:
+        """Listen on the fixed metrics port; return ``None`` when the port is not available."""
         try:
-            return listen(self.file.addresses.metrics)
+            return listen(self.settings.addresses.metrics)
         except OSError as exc:
             self.log.emit(
-                "metrics.not_served", address=self.file.addresses.metrics, reason=str(exc)
+                "metrics.not_served", address=self.settings.addresses.metrics, reason=str(exc)
             )
             return None
 
-    async def _leave(self) -> None:
-        grace_s = self.file.cell.bounds.grace_s
-        self.leaving = True
+    async def _drain(self) -> None:
+        grace_s = self.settings.cell.bounds.grace_s
+        self.draining = True
         self.log.emit("process.stopping", grace_s=grace_s)
-        begun = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         await self.candidate.leave()
-        # Clients keep using open connections, and the balancer sends new ones for two of its
-        # checks. A process that ended at once would cut both off.
-        await asyncio.sleep(max(0.0, LEAVE_ROTATION_S - (self.clock.monotonic() - begun)))
+        # Clients keep using open connections, and the load balancer sends new ones until two of
+        # its checks have failed. Exiting at once would break both.
+        await asyncio.sleep(max(0.0, BALANCER_REMOVAL_S - (self.clock.monotonic() - started_at)))
         self.api.closing = True
-        end = begun + grace_s - EXIT_RESERVE_S
-        await asyncio.sleep(max(0.0, end - self.clock.monotonic()))
+        drain_deadline = started_at + grace_s - SHUTDOWN_RESERVE_S
+        await asyncio.sleep(max(0.0, drain_deadline - self.clock.monotonic()))
         self.log.emit("process.stopped", in_progress=self.api.in_progress)
 
-    async def _follow_settings(self) -> None:
-        """Apply changes of the settings file, with or without a signal."""
+    async def _watch_settings(self) -> None:
+        """Apply changes of the settings file, on SIGHUP and at regular intervals."""
         while True:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.signals.reload.wait(), SETTINGS_LOOK_S)
+                await asyncio.wait_for(self.signals.reload.wait(), SETTINGS_POLL_INTERVAL_S)
             self.signals.reload.clear()
             try:
-                file = read_settings()
+                settings = read_settings()
             except SettingsFileError as exc:
                 self.log.emit("settings.refused", reason=str(exc), outcome="the last ones stay")
                 continue
-            if file != self.file:
-                self._apply(file)
+            if settings != self.settings:
+                self._apply(settings)
 
-    def _apply(self, file: ProcessFile) -> None:
-        """Follow the addresses of the services; what this process listens on stays."""
-        self.store.address = file.addresses.store
-        if self.policy is not None and file.addresses.policy:
-            self.policy.address = file.addresses.policy
-        self.file = file
-        self.log.emit("settings.applied", addresses=str(file.addresses))
+    def _apply(self, settings: SettingsFile) -> None:
+        """Update the addresses of the called services; listening addresses remain unchanged."""
+        self.store.address = settings.addresses.store
+        if self.policy is not None and settings.addresses.policy:
+            self.policy.address = settings.addresses.policy
+        self.settings = settings
+        self.log.emit("settings.applied", addresses=str(settings.addresses))
 
-    def _not_ready(self) -> str:
-        if self.leaving:
+    def _not_ready_reason(self) -> str:
+        if self.draining:
             return "the process is stopping"
         if self.feed.routes is None:
             return "no configuration has been read yet"
-        silent_s = self.clock.monotonic() - self.keeper.answered_at
-        if silent_s > STORE_SILENCE_S:
-            return f"the store has not answered for {silent_s:.1f} s"
+        unanswered_s = self.clock.monotonic() - self.keeper.answered_at
+        if unanswered_s > STORE_RESPONSE_TIMEOUT_S:
+            return f"the store has not answered for {unanswered_s:.1f} s"
         return ""
 
-    def _decode(self, value: bytes, revision: int) -> RouteTable | None:
+    def _decode_configuration(self, value: bytes, revision: int) -> RouteTable | None:
         try:
             return decode_configuration(value, revision=revision)
         except ConfigurationError as exc:
-            logger.error("the configuration is not understood; the last one stays: {}", exc)
+            logger.error(
+                "the configuration is invalid; the previous one remains in effect: {}", exc
+            )
             return None
 
 
-def read_settings() -> ProcessFile:
-    """Read the settings file that the environment names.
+def read_settings() -> SettingsFile:
+    """Read the settings file that the environment variable names.
 
-    :raises SettingsFileError: when it can't be used.
+    :raises SettingsFileError: when the file is not usable.
     """
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        raise SettingsFileError(f"{SETTINGS_VARIABLE}: not set; name the settings file there")
+        raise SettingsFileError(
+            f"{SETTINGS_VARIABLE}: not set; set it to the path of the settings file"
+        )
     return load(Path(path))
--- a/rhubarbferry/platform/serving.py
+++ b/rhubarbferry/platform/serving.py
@@ -1,4 +1,4 @@
-"""The HTTP servers of a process and their sockets."""
+"""HTTP servers of a process and their listening sockets."""
 
 from __future__ import annotations
 
@@ -10,38 +10,40 @@
 from rhubarbferry.serving.connections import BoundedHttpProtocol
 from rhubarbferry.serving.server import HttpServer
 
-# Connections that wait to be accepted. When the queue is full the opening packet is dropped and
-# sent again after a second, which a client sees as a slow answer.
-BACKLOG = 1024
-# How long requests in progress may take once the server is asked to end.
-GRACE_S = 1
+# Length of the queue of connections that wait to be accepted. When the queue is full, the kernel
+# drops SYN packets; the client retransmits them after a second and sees a slow response.
+ACCEPT_BACKLOG = 1024
+# Time for requests in progress to complete once the server is stopped.
+SHUTDOWN_GRACE_S = 1
 
 
 def listen(address: str) -> socket.socket:
     """Return a socket that listens on ``ip:port``.
 
-    Two processes that start together may both bind the same address, as it may be used again
-    right after a crash; only to listen there is refused to the second. Were that left to the
-    server, the process would end instead.
+    The socket sets ``SO_REUSEADDR``, so that a process can bind its address right after a crash.
+    Two processes that start at the same time may therefore both bind the address, and only the
+    second call of ``listen()`` fails. It is called here because uvicorn exits the process when it
+    fails there.
 
-    :raises OSError: when that is not possible, as when another process has the port.
+    :raises OSError: when the address is not available, e.g. because another process uses it.
     """
     ip, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((ip, int(port)))
-        sock.listen(BACKLOG)
+        sock.listen(ACCEPT_BACKLOG)
     except OSError:
         sock.close()
         raise
     return sock
 
 
-def serve(app: Any, *, idle_s: int) -> HttpServer:
-    """Return a server for an ASGI application.
+def create_server(app: Any, *, idle_timeout_s: int) -> HttpServer:
+    """Return an HTTP server for an ASGI application.
 
-    :param idle_s: how long a connection may be idle.
+    :param app: the ASGI application.
+    :param idle_timeout_s: seconds after which an idle connection is closed.
     """
     config = uvicorn.Config(
         app,
@@ -54,8 +56,8 @@
         log_level="critical",
         server_header=False,
         date_header=False,
-        timeout_keep_alive=idle_s,
-        timeout_graceful_shutdown=GRACE_S,
-        backlog=BACKLOG,
+        timeout_keep_alive=idle_timeout_s,
+        timeout_graceful_shutdown=SHUTDOWN_GRACE_S,
+        backlog=ACCEPT_BACKLOG,
     )
     return HttpServer(config)
--- a/rhubarbferry/platform/settings.py
+++ b/rhubarbferry/platform/settings.py
@@ -12,26 +12,26 @@
 from rhubarbferry.cell.settings import Bounds, CellSettings
 
 SETTINGS_VARIABLE = "RHUBARBFERRY_SETTINGS"
-# The peers' calls use the first of the ports that the platform leaves to this system.
+# Calls between the processes of a cell use the first port that the platform allocates to a process.
 PEER_PORT_INDEX = 0
-# As `metrics` in deploy/system.toml names it, where only a fixed port can stand.
+# Must match `metrics` in deploy/system.toml, which supports only a fixed port.
 METRICS_PORT = 9464
 
 
 class SettingsFileError(Exception):
-    """The settings file can't be used; the message names the field and the remedy."""
+    """The settings file is not usable; the message names the field and the remedy."""
 
 
 @frozen(kw_only=True, slots=True)
 class Addresses:
-    """Where the process listens and whom it calls, each ``ip:port``.
-
-    :param clients: where clients' connections arrive.
-    :param health: where the balancer asks whether this process takes connections.
-    :param peers: where other processes of the cell call.
-    :param metrics: where the metrics are served besides, on a port that does not change.
-    :param store: the platform's key-value service.
-    :param policy: the policy service; empty where there is none.
+    """Addresses that the process listens on or calls, each as ``ip:port``.
+
+    :param clients: listens for requests of clients.
+    :param health: listens for the readiness checks of the load balancer.
+    :param peers: listens for calls from other processes of the cell.
+    :param metrics: also serves the metrics, on a fixed port.
+    :param store: the platform's key-value service, called by the process.
+    :param policy: the policy service, called by the process; empty when there is none.
     """
 
     clients: str
@@ -43,33 +43,36 @@
 
 
 @frozen(kw_only=True, slots=True)
-class ProcessFile:
-    """The settings of one process: the cell's part in its own words, and the addresses."""
+class SettingsFile:
+    """The decoded settings file of one process: the cell's settings and the addresses."""
 
     cell: CellSettings
     addresses: Addresses
 
 
-def load(path: Path) -> ProcessFile:
-    """Read and check a settings file; fields that are not known are left alone.
+def load(path: Path) -> SettingsFile:
+    """Read and validate a settings file; ignore unknown fields.
 
-    :raises SettingsFileError: when it can't be used.
+    :raises SettingsFileError: when the file is not usable.
     """
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as exc:
         raise SettingsFileError(f"{path}: {exc.strerror}; check {SETTINGS_VARIABLE}") from exc
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
-        raise SettingsFileError(f"{path}: no TOML ({exc}); write it anew") from exc
+        raise SettingsFileError(f"{path}: not valid TOML ({exc}); rewrite the file") from exc
     return decode(data)
 
 
-def decode(data: Mapping[str, Any]) -> ProcessFile:
-    """Translate the fields of a settings file."""
-    reader = _Reader(data=data)
+def decode(data: Mapping[str, Any]) -> SettingsFile:
+    """Decode the fields of a settings file.
+
+    :raises SettingsFileError: when a required field is missing or a field has the wrong type.
+    """
+    reader = _FieldReader(data=data)
     ports = reader.value("portRange", list)
     if not ports or not isinstance(ports[0], int):
-        raise SettingsFileError("portRange: no ports; name the first and the last free one")
+        raise SettingsFileError("portRange: no ports; list the first and the last available port")
     ip = reader.value("ip", str)
     bounds = Bounds(
         grace_s=float(reader.value("bounds.graceS", (int, float), 6)),
@@ -80,14 +83,14 @@
     cell = CellSettings(
         member=reader.value("nodeName", str),
         region=reader.value("region", str),
-        # The platform's zone is what this project calls a failure domain.
+        # The platform's term for a failure domain is "zone".
         failure_domain=reader.value("zone", str),
-        # The share is one of a core that is `cores` times as fast as the reference.
+        # `cpuShare` is a share of a core that is `cores` times as fast as the reference core.
         cores=reader.number("limits.cpuShare") * reader.number("limits.cores"),
         link_mbps=reader.number("limits.linkMbps"),
         bounds=bounds,
     )
-    return ProcessFile(
+    return SettingsFile(
         cell=cell,
         addresses=Addresses(
             clients=reader.value("listen.front", str),
@@ -104,12 +107,15 @@
 
 
 @frozen(kw_only=True, slots=True)
-class _Reader:
-    """Look fields up by dotted path and check their type."""
+class _FieldReader:
+    """Look up fields by dotted path and check their types."""
 
     data: Mapping[str, Any]
 
-    def value(self, path: str, kind: type | tuple[type, ...], default: Any = _MISSING) -> Any:
+    def value(
+        self, path: str, expected_type: type | tuple[type, ...], default: Any = _MISSING
+    ) -> Any:
+        """Return a field; raise ``SettingsFileError`` when it is missing without a default."""
         found: Any = self.data
         for part in path.split("."):
             found = found.get(part, _MISSING) if isinstance(found, Mapping) else _MISSING
@@ -117,13 +123,16 @@
             if default is _MISSING:
                 raise SettingsFileError(f"{path}: missing; the platform must set it")
             return default
-        if not isinstance(found, kind) or isinstance(found, bool):
-            raise SettingsFileError(f"{path}: {found!r} is of the wrong type; expected {kind}")
+        if not isinstance(found, expected_type) or isinstance(found, bool):
+            raise SettingsFileError(
+                f"{path}: {found!r} is of the wrong type; expected {expected_type}"
+            )
         return found
 
     def number(self, path: str) -> float:
-        """Return a number, 0 where it is missing."""
+        """Return a number, or 0 when the field is missing."""
         return float(self.value(path, (int, float), 0.0))
 
     def seconds(self, path: str, default_ms: float) -> float:
+        """Return a field given in milliseconds as seconds."""
         return self.value(path, (int, float), default_ms) / 1000
--- a/rhubarbferry/platform/workers.py
+++ b/rhubarbferry/platform/workers.py
@@ -1,4 +1,4 @@
-"""Orders to the hosts that run tasks, in the platform's form."""
+"""Client for the platform's task interface of hosts: leases, starts, stops and speeds."""
 
 from __future__ import annotations
 
@@ -22,30 +22,30 @@
     StopOrder,
     Unanswered,
 )
-from rhubarbferry.platform.http import Answer, JsonClient, NoAnswer, NotSent, TransferLimit
+from rhubarbferry.platform.http import JsonClient, NoAnswer, NotSent, Response, TransferLimit
 from rhubarbferry.platform.names import parse_task, task_name
 from rhubarbferry.ports.workers import FenceStale, HoldRequest, WorkerGone, WorkerSilent
 
-# A round trip between regions, one packet sent again, and time for a busy host. What takes longer
-# is treated as unanswered.
-ORDER_S = 0.4
-# A report lists up to 500 ends, which take a slow link longer than an order's answer may.
-REPORT_LIMIT = TransferLimit(idle_s=0.3, total_s=1.5)
-# Open connections for orders to one host. They stay open between orders, and the owner has some to
-# each host, so that at many hosts its descriptors would run out.
-ORDER_CONNECTIONS = 8
-EXPECT_HEADER = "Rhubarbferry-Expect-Instance"
-
-ENDS = {
+# Allows for a round trip between regions, one retransmitted packet and a busy host. A call that
+# takes longer is treated as unanswered.
+ORDER_TIMEOUT_S = 0.4
+# A host report lists up to 500 ended tasks, which takes longer than ORDER_TIMEOUT_S on a slow link.
+REPORT_TRANSFER_LIMIT = TransferLimit(idle_s=0.3, total_s=1.5)
+# Connections are kept open between orders, and the owner has some to each host. Without a limit it
+# would run out of file descriptors in a cell with many hosts.
+MAX_ORDER_CONNECTIONS_PER_HOST = 8
+EXPECTED_HOST_HEADER = "Rhubarbferry-Expect-Instance"
+
+END_KINDS = {
     "done": EndKind.DONE,
     "failed": EndKind.FAILED,
     "stopped": EndKind.STOPPED,
     "lapsed": EndKind.LAPSED,
     "broken": EndKind.GANG_BROKEN,
-    # It waited in vain for the other members of its gang.
+    # The task timed out waiting for the other members of its gang.
     "alone": EndKind.GANG_TIMEOUT,
 }
-REFUSALS = {
+REFUSAL_REASONS = {
     "fence": Refusal.STALE_FENCE,
     "old": Refusal.OLD_ATTEMPT,
     "late": Refusal.LATE,
@@ -55,18 +55,22 @@
 
 
 class PlatformWorkers:
-    """Calls to the task interface of hosts.
+    """Client for the task interface of hosts.
 
-    :param extra_s: returns by how many seconds to extend time limits, as this process is behind.
+    :param extra_timeout_s: returns the seconds to add to each timeout, to allow for delays of this
+        process's event loop.
     """
 
-    def __init__(self, *, extra_s: Callable[[], float] = lambda: 0.0) -> None:
-        self._http = JsonClient(extra_s=extra_s, connections=ORDER_CONNECTIONS)
-        # Looks wait for seconds each; on their own connections they never hold up an order.
-        self._looks = JsonClient(extra_s=extra_s)
+    def __init__(self, *, extra_timeout_s: Callable[[], float] = lambda: 0.0) -> None:
+        self._order_client = JsonClient(
+            extra_timeout_s=extra_timeout_s, max_connections=MAX_ORDER_CONNECTIONS_PER_HOST
+        )
+        # Requests for reports wait for seconds each. They have their own connections, so that they
+        # never delay an order.
+        self._report_client = JsonClient(extra_timeout_s=extra_timeout_s)
 
     async def hold(self, host: HostEntry, req: HoldRequest) -> HostReport:
-        """Extend task leases and return what runs and what has ended."""
+        """Extend the task leases of a host; return its running and ended tasks."""
         body: dict[str, Any] = {
             "fence": req.fence,
             "ackIndex": req.forget_to,
@@ -75,12 +79,17 @@
         if req.deadline_s is not None:
             body["deadlineMs"] = int(req.deadline_s * 1000)
         timeout_s = req.wait_s + req.patience_s
-        answer = await self._call(
-            self._looks, host, "hold", body, timeout_s=timeout_s, transfer=REPORT_LIMIT
+        response = await self._call(
+            self._report_client,
+            host,
+            "hold",
+            body,
+            timeout_s=timeout_s,
+            transfer=REPORT_TRANSFER_LIMIT,
         )
-        if answer.status != 200 or not isinstance(answer.body, dict):
-            raise _error(answer)
-        return _report(answer.body, host)
+        if response.status != 200 or not isinstance(response.body, dict):
+            raise _error_for(response)
+        return _decode_report(response.body, host)
 
     async def start(self, host: HostEntry, order: StartOrder, *, fence: int) -> OrderResult:
         """Start a task."""
@@ -96,87 +105,93 @@
         if order.ticket:
             body["ticket"] = order.ticket
         try:
-            answer = await self._send(
-                self._http, host, "run-start", body, timeout_s=order.timeout_s
+            response = await self._send(
+                self._order_client, host, "run-start", body, timeout_s=order.timeout_s
             )
         except NotSent:
-            # No byte went out, so the host can't have started it.
+            # No data was sent, so the host can't have started the task.
             return Refused(reason=Refusal.NOT_SENT)
         except NoAnswer as exc:
             return Unanswered(detail=str(exc))
-        return _start_result(answer)
+        return _decode_start_result(response)
 
     async def stop(self, host: HostEntry, order: StopOrder, *, fence: int) -> float:
-        """Stop a task; return the host's clock."""
+        """Stop a task; return the time on the host's clock."""
         body = {"task": task_name(order.task), "attempt": order.attempt, "fence": fence}
-        answer = await self._call(self._http, host, "run-stop", body, timeout_s=ORDER_S)
-        if answer.status != 200 or not isinstance(answer.body, dict):
-            raise _error(answer)
-        return float(answer.body["clockMs"]) / 1000
+        response = await self._call(
+            self._order_client, host, "run-stop", body, timeout_s=ORDER_TIMEOUT_S
+        )
+        if response.status != 200 or not isinstance(response.body, dict):
+            raise _error_for(response)
+        return float(response.body["clockMs"]) / 1000
 
     async def pace(self, host: HostEntry, order: PaceOrder, *, fence: int) -> None:
-        """Let a task work at a share of its speed."""
+        """Limit a task to a percentage of its full speed."""
         body = {
             "task": task_name(order.task),
             "attempt": order.attempt,
             "percent": order.percent,
             "fence": fence,
         }
-        answer = await self._call(self._http, host, "pace", body, timeout_s=ORDER_S)
-        if answer.status != 200:
-            raise _error(answer)
+        response = await self._call(
+            self._order_client, host, "pace", body, timeout_s=ORDER_TIMEOUT_S
+        )
+        if response.status != 200:
+            raise _error_for(response)
 
     async def close(self) -> None:
-        """Give up connections."""
-        await self._http.close()
-        await self._looks.close()
+        """Close all connections."""
+        await self._order_client.close()
+        await self._report_client.close()
 
     async def _call(
         self,
-        http: JsonClient,
+        client: JsonClient,
         host: HostEntry,
         path: str,
         body: Any,
         *,
         timeout_s: float,
         transfer: TransferLimit | None = None,
-    ) -> Answer:
+    ) -> Response:
         try:
-            return await self._send(http, host, path, body, timeout_s=timeout_s, transfer=transfer)
+            return await self._send(
+                client, host, path, body, timeout_s=timeout_s, transfer=transfer
+            )
         except (NotSent, NoAnswer) as exc:
             raise WorkerSilent(str(exc)) from exc
 
     async def _send(
         self,
-        http: JsonClient,
+        client: JsonClient,
         host: HostEntry,
         path: str,
         body: Any,
         *,
         timeout_s: float,
         transfer: TransferLimit | None = None,
-    ) -> Answer:
-        return await http.call(
+    ) -> Response:
+        return await client.call(
             "POST",
             f"http://{host.address}/api/{path}",
             timeout_s=timeout_s,
             transfer=transfer,
             body=body,
-            headers={EXPECT_HEADER: host.id},
+            headers={EXPECTED_HOST_HEADER: host.id},
         )
 
 
-def _start_result(answer: Answer) -> OrderResult:
-    body = answer.body if isinstance(answer.body, dict) else {}
-    match answer.status:
+def _decode_start_result(response: Response) -> OrderResult:
+    body = response.body if isinstance(response.body, dict) else {}
+    match response.status:
         case 200:
             if "clockMs" not in body:
-                return Unanswered(detail="a success that can't be read")
+                return Unanswered(detail="the host reported success without its clock")
             return Started(clock_s=float(body["clockMs"]) / 1000)
         case 409:
-            reason = REFUSALS.get(str(body.get("reason")))
+            reason = REFUSAL_REASONS.get(str(body.get("reason")))
             if reason is None:
-                logger.warning("a start was refused for an unknown reason: {}", body)
+                logger.warning("a host refused a start order for an unknown reason: {}", body)
                 reason = Refusal.INVALID
             return Refused(reason=reason)
         case 421:
@@ -184,27 +199,27 @@
         case 429 | 503:
             return Refused(reason=Refusal.UNHEALTHY)
         case 400:
-            logger.error("a host could not read a start: {}", answer.body)
+            logger.error("a host could not decode a start order: {}", response.body)
             return Refused(reason=Refusal.INVALID)
-    return Unanswered(detail=f"status {answer.status}")
+    return Unanswered(detail=f"status {response.status}")
 
 
-def _error(answer: Answer) -> Exception:
-    body = answer.body if isinstance(answer.body, dict) else {}
-    if answer.status == 421:
-        return WorkerGone("another host answers at its address")
-    if answer.status == 409 and body.get("reason") == "fence":
+def _error_for(response: Response) -> Exception:
+    body = response.body if isinstance(response.body, dict) else {}
+    if response.status == 421:
+        return WorkerGone("another host uses its address")
+    if response.status == 409 and body.get("reason") == "fence":
         return FenceStale("the host has seen a higher fence number")
-    return WorkerSilent(f"status {answer.status}: {answer.body}")
+    return WorkerSilent(f"status {response.status}: {response.body}")
 
 
-def _last_half_second(row: list[Any]) -> float:
-    # For a task that serves it is a tail latency in milliseconds. For any other it is the
-    # processor in use, of which the dispatcher has no use.
+def _tail_latency_ms(row: list[Any]) -> float:
+    # For a long-running task, which serves requests, the field is the tail latency of the last half
+    # second in milliseconds. For any other task it is the CPU usage, which the dispatcher ignores.
     return float(row[4]) if len(row) > 4 else 0.0
 
 
-def _report(body: dict[str, Any], host: HostEntry) -> HostReport:
+def _decode_report(body: dict[str, Any], host: HostEntry) -> HostReport:
     try:
         return HostReport(
             clock_s=float(body["clockMs"]) / 1000,
@@ -215,7 +230,7 @@
                     attempt=int(row[1]),
                     checkpoint=str(row[2] or ""),
                     percent=float(row[3]),
-                    tail_s=_last_half_second(row) / 1000,
+                    tail_s=_tail_latency_ms(row) / 1000,
                 )
                 for row in body.get("active", [])
             ),
@@ -224,11 +239,11 @@
                     number=int(row[0]),
                     task=parse_task(row[1]),
                     attempt=int(row[2]),
-                    how=ENDS[row[3]],
+                    how=END_KINDS[row[3]],
                     checkpoint=str(row[4] or ""),
                 )
                 for row in body.get("finished", [])
             ),
         )
     except (KeyError, IndexError, TypeError, ValueError) as exc:
-        raise WorkerSilent(f"a report that can't be read: {exc!r}") from exc
+        raise WorkerSilent(f"invalid host report: {exc!r}") from exc
--- a/rhubarbferry/ports/__init__.py
+++ b/rhubarbferry/ports/__init__.py
@@ -1,1 +1,1 @@
-"""What the decisions need from outside: protocols and their messages."""
+"""Protocols and messages through which the decision logic uses external services."""
--- a/rhubarbferry/ports/clock.py
+++ b/rhubarbferry/ports/clock.py
@@ -1,4 +1,4 @@
-"""Time as the library sees it, so that tests can bring their own."""
+"""Clock protocol, so that tests can replace the clock of the system."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 
 class Clock(Protocol):
-    """Give time to code that must not read it by itself."""
+    """Source of time for code that must not read the system clock directly."""
 
     def monotonic(self) -> float:
-        """Return seconds on a clock of this process that never goes back."""
+        """Return the seconds of a clock of this process that never goes back."""
         ...
 
     def wall(self) -> float:
-        """Return seconds since the Unix epoch; for records only, never for leases."""
+        """Return the seconds since the Unix epoch; use them in records, never for leases."""
         ...
 
     async def sleep(self, seconds: float) -> None:
-        """Return after ``seconds`` on the monotonic clock."""
+        """Sleep for ``seconds`` on the monotonic clock."""
         ...
 
 
 class SystemClock:
     """The clock of the operating system.
 
-    ``CLOCK_BOOTTIME`` goes on while a process is stopped and while its machine is suspended, so
-    a process that is paused past its lease sees on its first look at the clock that the lease
-    is over. ``CLOCK_MONOTONIC`` stands still in a suspended machine.
+    ``CLOCK_BOOTTIME`` advances while a process is stopped and while its host is suspended. A
+    process that is paused for longer than its lease therefore finds the lease expired as soon as
+    it resumes. ``CLOCK_MONOTONIC`` doesn't advance while a host is suspended.
     """
 
     def monotonic(self) -> float:
-        """Return seconds on the clock that also counts suspended time."""
+        """Return the seconds of ``CLOCK_BOOTTIME``, which includes suspended time."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
-        """Return seconds since the Unix epoch."""
+        """Return the seconds since the Unix epoch."""
         return time.time()
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep on the event loop."""
+        """Sleep for ``seconds`` on the event loop."""
         await asyncio.sleep(seconds)
--- a/rhubarbferry/ports/hosts.py
+++ b/rhubarbferry/ports/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving hosts. It lags behind reality."""
+"""The platform's list of live and leaving hosts, which may be out of date."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class HostKind(StrEnum):
-    """What a host of the list does."""
+    """The kind of work that a host in the list does."""
 
     WORKER = "worker"
     RUNNER = "runner"
@@ -17,16 +17,16 @@
 
 @frozen(kw_only=True, slots=True)
 class Host:
-    """One host of the list.
+    """One host in the list.
 
-    :param id: its name, unique in the cell.
-    :param address: ``ip:port`` of its agent (worker) or server (runner).
+    :param id: name of the host, unique in the cell.
+    :param address: ``ip:port`` of the host's agent (worker) or server (runner).
     :param kind: worker or runner.
-    :param region: its region.
-    :param failure_domain: its failure domain within the region.
-    :param rack: its rack; empty for runners.
-    :param service: the service a runner serves; empty for workers.
-    :param leaving: whether the platform is about to take it away.
+    :param region: region of the host.
+    :param failure_domain: failure domain of the host within the region.
+    :param rack: rack of the host; empty for runners.
+    :param service: service that a runner belongs to; empty for workers.
+    :param leaving: whether the platform is about to remove the host.
     """
 
     id: str
@@ -40,12 +40,12 @@
 
 
 class HostList(Protocol):
-    """The last list that was read."""
+    """The list of hosts, as it was last read."""
 
     def hosts(self) -> tuple[Host, ...]:
-        """Return the hosts of the last list that was read, also while it can't be read."""
+        """Return the hosts of the last successful read, also while the list is unavailable."""
         ...
 
     async def changed(self) -> None:
-        """Return when the list has changed since the last call."""
+        """Wait until the list has changed since the last call."""
         ...
--- a/rhubarbferry/ports/log.py
+++ b/rhubarbferry/ports/log.py
@@ -1,4 +1,4 @@
-"""The durable log of one key partition, as the partition's state needs it."""
+"""Protocol of the durable log of one partition, from which its state is rebuilt."""
 
 from __future__ import annotations
 
@@ -9,73 +9,73 @@
 
 
 class LogError(Exception):
-    """Base of the errors of the log."""
+    """Base class of the errors of the log."""
 
 
 class LogFenced(LogError):
-    """A successor has sealed the log: nothing of this append stands. Give up the partition."""
+    """A successor sealed the log; no entry of this append was written. Release the partition."""
 
 
 class LogUnavailable(LogError):
-    """The store can't be written now: nothing of this append stands or ever will. Come back."""
+    """The store is not writable; no entry of this append is or will be written. Retry later."""
 
 
 class LogUnclear(LogError):
-    """The append may stand and it is not known yet.
+    """It is not yet known whether the entries of the append were written.
 
-    Apply it to the state as if it stood: the log writes it before anything else, unless a
-    successor seals the log first. Say "unknown" to whoever asked for it.
+    Apply them to the state as if they were: the log writes them before any later entry, unless a
+    successor seals the log first. Report the outcome "unknown" to the caller.
     """
 
 
 class LogCorrupt(LogError):
-    """A record can't be read; the message names its key. Restore it from a backup."""
+    """A record can't be decoded; the message names its key. Restore it from a backup."""
 
 
 class LogTooLarge(LogError):
-    """The entries of one append are too large for one record. Split them; nothing stands."""
+    """The entries of one append exceed the size of one record; none was written. Split them."""
 
 
 class EntryLog(Protocol):
-    """Entries in order, each on record before anything is done on its strength."""
+    """An ordered log; an entry must be written before any action that depends on it."""
 
     async def open(self) -> Sequence[LogEntry]:
-        """Seal the log against earlier owners; return all entries that stand, oldest first.
+        """Seal the log against earlier owners; return all written entries, oldest first.
 
-        :raises LogFenced: when a later owner has sealed it already.
-        :raises LogCorrupt: when a record can't be read.
+        :raises LogFenced: when a later owner has already sealed the log.
+        :raises LogCorrupt: when a record can't be decoded.
         """
         ...
 
     async def append(self, entries: Sequence[LogEntry]) -> None:
-        """Return once ``entries`` are on record; those of callers at one time go in one write.
+        """Write ``entries`` and return when they are durable; batch concurrent calls in one write.
 
-        Apply them to the state before this call, or in the same step in which it returns or
-        raises :class:`LogUnclear`; :meth:`compact` relies on it.
+        Apply the entries to the state before this call, or right after it returns or raises
+        :class:`LogUnclear`, without an ``await`` in between; :meth:`compact` relies on this.
 
-        :raises LogFenced: when a successor has sealed the log; nothing stands.
-        :raises LogUnavailable: when the store can't be written now; nothing stands.
-        :raises LogUnclear: when the entries may stand.
-        :raises LogTooLarge: when they don't fit into one record; nothing stands.
+        :raises LogFenced: when a successor has sealed the log; nothing was written.
+        :raises LogUnavailable: when the store is not writable; nothing was written.
+        :raises LogUnclear: when the entries may have been written.
+        :raises LogTooLarge: when they don't fit into one record; nothing was written.
         """
         ...
 
     async def compact(self, entries: Iterable[LogEntry]) -> None:
-        """Replace all that is on record by ``entries``, which rebuild the same state.
+        """Replace the log by a snapshot: ``entries`` that rebuild the same state.
 
-        They are taken in at once, before the first await. Entries of appends still in
-        progress may be among them and are replayed again then: replay must be idempotent.
+        The iterable is consumed before the first ``await``. It may include entries of appends in
+        progress, which are then replayed twice, so replay must be idempotent.
 
-        :raises LogFenced: when a later owner has claimed the log.
-        :raises LogUnavailable: when the store can't be written now; the log is as it was.
-        :raises LogUnclear: when it may have been done; either way the log is whole.
+        :raises LogFenced: when a later owner has sealed the log.
+        :raises LogUnavailable: when the store is not writable; the log is unchanged.
+        :raises LogUnclear: when the snapshot may have been written; the log is complete either way.
         """
         ...
 
     def size(self) -> int:
-        """Return how many segments stand since the last snapshot."""
+        """Return the number of segments written since the last snapshot."""
         ...
 
     async def close(self) -> None:
-        """Stop writing; appends in progress fail, those that may stand as unclear."""
+        """Stop writing; appends in progress fail, with ``LogUnclear`` if they may be written."""
         ...
--- a/rhubarbferry/ports/ownership.py
+++ b/rhubarbferry/ports/ownership.py
@@ -1,4 +1,4 @@
-"""Who owns which partition, as one process last saw it."""
+"""Ownership of partitions, as last observed by one process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Role(StrEnum):
-    """What a member process does."""
+    """The role of a member process."""
 
     FRONTEND = "frontend"
     SCHEDULER = "scheduler"
@@ -22,14 +22,15 @@
 
 @frozen(kw_only=True, slots=True)
 class Member:
-    """One live process, as its record under ``members/`` says.
+    """One live process, as described by its record under ``members/``.
 
-    :param id: unique for each start of a process, never used again.
-    :param incarnation: counts the leases that this process has had; what was won under an
-        earlier one is lost.
+    :param id: unique for each start of a process; never reused.
+    :param incarnation: number of the lease that this process holds, counted from its start;
+        partitions that it owned under an earlier lease are lost.
     :param address: ``ip:port`` of its RPC server.
     :param http_address: ``ip:port`` of its HTTP server.
-    :param config_revision: the configuration that is in force there.
+    :param config_revision: revision of the configuration that the process uses.
+    :param draining: whether the process is shutting down.
     """
 
     id: str
@@ -45,7 +46,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Guard:
-    """A frontend whose promises count; ``address`` is its RPC server."""
+    """A frontend in a guard set, whose promises are counted; ``address`` is its RPC server."""
 
     id: str
     address: str
@@ -61,10 +62,10 @@
 
 
 class OwnershipView(Protocol):
-    """The ownership table and the members, as last seen through a watch."""
+    """The ownership table and the members, as last received through a watch."""
 
     def owner(self, partition: PartitionId) -> Owner | None:
-        """Return the owner, or ``None`` while there is none that lives."""
+        """Return the owner, or ``None`` while there is no live one."""
         ...
 
     def partitions(self, kind: PartitionKind, region: str | None = None) -> tuple[PartitionId, ...]:
@@ -72,57 +73,57 @@
         ...
 
     def members(self, role: Role, region: str | None = None) -> tuple[Member, ...]:
-        """Return the live members of a role, in order of id."""
+        """Return the live members with a role, ordered by id."""
         ...
 
     def guards(self, region: str) -> tuple[Guard, ...]:
-        """Return the guard set of a region, its dead members among them."""
+        """Return the guard set of a region, including its dead members."""
         ...
 
     def guard_version(self, region: str) -> int:
-        """Return the version of that guard set; 0 while there is none."""
+        """Return the version of the guard set of a region; 0 while there is none."""
         ...
 
 
 class CellView(Protocol):
-    """The configuration in force in this process."""
+    """The configuration that this process currently uses."""
 
     def current(self) -> Cell:
-        """Return the revision in force; it never goes back."""
+        """Return the current configuration; its revision never decreases."""
         ...
 
 
 class Tenure(Protocol):
-    """The right of this process to decide for one partition under one epoch."""
+    """The right of this process to act as the owner of one partition under one epoch."""
 
     @property
     def partition(self) -> PartitionId:
-        """The partition."""
+        """The owned partition."""
         ...
 
     @property
     def epoch(self) -> int:
-        """The epoch under which it was won."""
+        """The epoch under which the partition was acquired."""
         ...
 
     def holds(self) -> bool:
-        """Tell whether this process may act NOW: checked right before each act."""
+        """Return whether this process may act now; check it right before each action."""
         ...
 
 
 class RackTenure(Tenure, Protocol):
-    """A tenure that its own workers can extend past the lease."""
+    """A tenure that promises of the workers of its rack can extend beyond the lease."""
 
     @property
     def book(self) -> PromiseBook:
-        """The answers of the workers, and by which set of them a majority is counted."""
+        """The promises of the workers, and the set of workers whose majority is required."""
         ...
 
     @property
     def lease_holds(self) -> Callable[[], bool]:
-        """Tells whether the lease in the store holds: then there is no successor yet."""
+        """Returns whether the lease in the store is valid, so that no successor can exist."""
         ...
 
     def seen(self, epoch: int) -> None:
-        """Note an epoch that a worker has named; a higher one ends the tenure."""
+        """Record an epoch reported by a worker; a higher one ends the tenure."""
         ...
--- a/rhubarbferry/ports/runners.py
+++ b/rhubarbferry/ports/runners.py
@@ -1,4 +1,4 @@
-"""What a scheduler asks backend servers (runners) themselves."""
+"""Reports that a scheduler requests directly from backend servers (runners)."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 
 
 class RunnerUnreachable(Exception):
-    """The runner gave no answer that can be used. Its slots keep the state they had."""
+    """The runner gave no valid response; the state of its slots remains unchanged."""
 
 
 @frozen(kw_only=True, slots=True)
 class RunnerReport:
-    """A runner's own account of itself.
+    """The state that a runner reports.
 
-    :param slots: requests that it runs at a time.
+    :param runner_id: id of the runner.
+    :param slots: number of requests that the runner can run concurrently.
     :param running: ids of the requests in progress.
-    :param finished: ids of requests that ended a short time ago.
-    :param leaving: whether it takes no new requests.
+    :param finished: ids of recently finished requests.
+    :param leaving: whether the runner is leaving and accepts no new requests.
     """
 
     runner_id: str
@@ -29,15 +30,15 @@
 
 
 class RunnerReports(Protocol):
-    """Reports of runners, read when asked for."""
+    """Client that requests reports from runners."""
 
     async def report(self, *, runner_id: str, address: str) -> RunnerReport:
-        """Ask one runner.
+        """Request the report of one runner.
 
-        :raises RunnerUnreachable: when it doesn't answer, or another one answers.
+        :raises RunnerUnreachable: when the runner doesn't respond or another runner responds.
         """
         ...
 
     async def close(self) -> None:
-        """Give up connections."""
+        """Close all connections."""
         ...
--- a/rhubarbferry/ports/store.py
+++ b/rhubarbferry/ports/store.py
@@ -1,10 +1,11 @@
-"""The platform's key-value service, as this project needs it.
+"""Protocols of the platform's key-value service.
 
-Three answers of the service must be kept apart, since callers act on the difference:
+Callers must distinguish three kinds of failure:
 
-* it refused, so nothing was changed (:class:`StoreRefused` and the ``bool`` results);
-* it was not reached, so nothing was changed (:class:`StoreUnavailable`);
-* the reply was lost and the write may or may not stand (:class:`StoreUnclear`).
+* the store refused the call; nothing was changed (:class:`StoreRefused`, and the results
+  ``None`` and ``False`` of conditional writes);
+* the store was not reached; nothing was changed (:class:`StoreUnavailable`);
+* the response was lost; the write may have taken effect (:class:`StoreUnclear`).
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 
 
 class StoreError(Exception):
-    """Base of the errors of the store."""
+    """Base class of the errors of the store."""
 
 
 class StoreUnavailable(StoreError):
-    """The store was not reached; the call changed nothing. Try again after a pause."""
+    """The store was not reached; the call changed nothing. Retry after a delay."""
 
 
 class StoreUnclear(StoreError):
-    """The reply was lost; the call may have taken effect. Read back before repeating."""
+    """The response was lost; the call may have taken effect. Read back before repeating it."""
 
 
 class StoreRefused(StoreError):
@@ -35,26 +36,26 @@
 
 
 class StoreRateLimited(StoreRefused):
-    """The call was over the store's rate; it changed nothing. Send fewer, larger batches."""
+    """The call exceeded the store's rate limit; it changed nothing. Send fewer, larger batches."""
 
 
 class LeaseLost(StoreRefused):
-    """The lease has lapsed in the store. Take a new one; it brings no ownership back."""
+    """The lease has expired in the store. Grant a new one; it does not restore ownership."""
 
 
 class WatchBroken(StoreError):
-    """The watch ended; changes may have been missed. Read the prefix again, then watch."""
+    """The watch ended and may have missed changes. List the prefix again, then watch it."""
 
 
 @frozen(kw_only=True, slots=True)
 class KeyValue:
-    """One key as the store holds it.
+    """One key with its value and revisions.
 
     :param key: the key.
-    :param value: its bytes.
+    :param value: the value of the key.
     :param mod_revision: the store's revision of the last write to this key.
     :param create_revision: the store's revision of the write that created it.
-    :param lease_id: the lease it hangs on, 0 for none.
+    :param lease_id: the lease that the key is attached to, 0 for none.
     """
 
     key: str
@@ -66,11 +67,11 @@
 
 @frozen(kw_only=True, slots=True)
 class Listing:
-    """Keys under a prefix, all read at one revision of the store.
+    """The keys under a prefix.
 
-    :param revision: the store's revision at the time of the read.
-    :param items: the keys in order.
-    :param transfer_s: seconds that the bodies of its answers took to arrive, where it is known.
+    :param revision: the store's revision at the start of the read; watch from it.
+    :param items: the keys, in order.
+    :param transfer_s: transfer time of the response bodies in seconds, 0 when it is unknown.
     """
 
     revision: int
@@ -87,7 +88,7 @@
 
 @frozen(kw_only=True, slots=True)
 class KeyDeleted:
-    """A watched key was deleted, by hand or with its lease."""
+    """A watched key was deleted, explicitly or because its lease ended."""
 
     key: str
     revision: int
@@ -109,7 +110,10 @@
 
 @frozen(kw_only=True, slots=True)
 class Put:
-    """A write of a transaction."""
+    """A write of a transaction.
+
+    :param lease_id: the lease that the key is attached to, 0 for none.
+    """
 
     key: str
     value: bytes
@@ -118,9 +122,11 @@
 
 @frozen(kw_only=True, slots=True)
 class Txn:
-    """Conditions and changes that take effect together or not at all.
+    """Conditions and changes that are applied atomically.
 
-    :param delete: keys to remove; one that does not exist is no error.
+    :param expect: conditions that must all hold.
+    :param put: keys to write.
+    :param delete: keys to delete; a key that does not exist is ignored.
     """
 
     expect: tuple[Expect, ...] = ()
@@ -132,7 +138,7 @@
 class Committed:
     """The transaction took effect.
 
-    :param revision: the store's revision that it made.
+    :param revision: the store's revision after the transaction.
     """
 
     revision: int
@@ -142,8 +148,8 @@
 class Conflict:
     """A condition did not hold, so nothing was changed.
 
-    :param items: the keys of the conditions as they are now; those that don't exist are absent.
-    :param transfer_s: seconds that the body of the answer took to arrive, where it is known.
+    :param items: the current state of the keys of the conditions, without those that don't exist.
+    :param transfer_s: transfer time of the response body in seconds, 0 when it is unknown.
     """
 
     items: Mapping[str, KeyValue]
@@ -152,10 +158,11 @@
 
 @frozen(kw_only=True, slots=True)
 class Changes:
-    """What happened under a prefix.
+    """The changes under a prefix.
 
-    :param revision: go on from here.
-    :param transfer_s: seconds that the body of the answer took to arrive, where it is known.
+    :param revision: revision from which to request the next changes.
+    :param events: the changes, in order.
+    :param transfer_s: transfer time of the response body in seconds, 0 when it is unknown.
     """
 
     revision: int
@@ -164,57 +171,57 @@
 
 
 class TxnStore(Protocol):
-    """A key-value service with transactions over several keys and watches by long poll."""
+    """A key-value service with multi-key transactions and long-poll watches."""
 
     async def get(self, key: str) -> KeyValue | None:
-        """Return the key as of now, or ``None`` when there is none."""
+        """Return the current state of a key, or ``None`` when it does not exist."""
         ...
 
     async def list(self, prefix: str) -> Listing:
         """Return all keys that start with ``prefix``.
 
-        The keys may be of different times; watching from the listing's revision on finds each
-        change that it missed.
+        The keys may have been read at different revisions. A watch that starts at the revision of
+        the listing reports every change that the listing missed.
         """
         ...
 
     async def commit(self, txn: Txn) -> Committed | Conflict:
-        """Carry out a transaction.
+        """Execute a transaction.
 
-        :raises LeaseLost: when a lease that it names has ended; nothing was changed.
-        :raises StoreUnclear: when it may have taken effect, or may yet.
+        :raises LeaseLost: when a lease that it uses has ended; nothing was changed.
+        :raises StoreUnclear: when it may have taken effect or may still take effect.
         """
         ...
 
     async def changes(self, prefix: str, *, after: int, wait_s: float) -> Changes:
-        """Return what happened after a revision, once something has or ``wait_s`` is over.
+        """Return the changes after a revision; wait up to ``wait_s`` for the first one.
 
-        :raises WatchBroken: when that history is gone; list the prefix again.
+        :raises WatchBroken: when the store no longer keeps this history; list the prefix again.
         """
         ...
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Open a lease of ``ttl_s`` seconds; return its id."""
+        """Create a lease of ``ttl_s`` seconds; return its id."""
         ...
 
     async def keep_alive(self, lease_id: int) -> float:
-        """Extend a lease; return the seconds it runs from the arrival of the call.
+        """Renew a lease; return its remaining seconds from the time the store received the call.
 
-        :raises LeaseLost: when it has ended.
+        :raises LeaseLost: when the lease has ended.
         """
         ...
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease and delete the keys that hang on it."""
+        """Revoke a lease and delete the keys attached to it."""
         ...
 
     async def close(self) -> None:
-        """Give up connections; calls in progress fail."""
+        """Close all connections; calls in progress fail."""
         ...
 
 
 class Spend(StrEnum):
-    """What a call takes from the budget of a process."""
+    """Kinds of calls, each with its own part of the call budget."""
 
     READ = "read"
     WRITE = "write"
@@ -222,21 +229,21 @@
 
 
 class CallBudget(Protocol):
-    """The share of the store's rate that one process may use."""
+    """The share of the store's rate limit that one process may use."""
 
     async def spend(self, spend: Spend) -> None:
-        """Return when the call may be sent.
+        """Wait until a call of this kind may be sent.
 
-        :raises StoreRateLimited: when it would wait too long; nothing was sent.
+        :raises StoreRateLimited: when the wait would be too long; do not send the call.
         """
         ...
 
 
 class Store(Protocol):
-    """Compare-and-swap, leases and watches on small values."""
+    """A key-value service with compare-and-swap of single keys, leases and watches."""
 
     async def get(self, key: str) -> KeyValue | None:
-        """Return the key, or ``None`` when there is none."""
+        """Return the state of a key, or ``None`` when it does not exist."""
         ...
 
     async def list(self, prefix: str, *, limit: int = 0) -> Listing:
@@ -246,7 +253,7 @@
     async def create(self, key: str, value: bytes, *, lease_id: int = 0) -> int | None:
         """Write a key that must not exist.
 
-        :returns: the new revision, or ``None`` when the key exists (nothing changed).
+        :returns: the new revision, or ``None`` when the key exists; nothing was changed then.
         """
         ...
 
@@ -255,40 +262,40 @@
     ) -> int | None:
         """Write a key whose last write must be ``mod_revision``.
 
-        :returns: the new revision, or ``None`` when another write came first.
+        :returns: the new revision, or ``None`` when the key was written or deleted since.
         """
         ...
 
     async def delete_if(self, key: str, *, mod_revision: int) -> bool:
-        """Delete a key whose last write must be ``mod_revision``; tell whether it did."""
+        """Delete a key whose last write must be ``mod_revision``; return whether it was deleted."""
         ...
 
     async def delete_prefix_below(self, prefix: str, end: str) -> int:
-        """Delete the keys in ``[prefix, end)``; return how many there were."""
+        """Delete the keys from ``prefix`` up to, not including, ``end``; return their number."""
         ...
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Open a lease of ``ttl_s`` seconds; return its id."""
+        """Create a lease of ``ttl_s`` seconds; return its id."""
         ...
 
     async def keep_alive(self, lease_id: int) -> float:
-        """Extend a lease; return the seconds it now runs, counted from BEFORE the call.
+        """Renew a lease; return its remaining seconds, counted from before the call was sent.
 
-        :raises LeaseLost: when it has lapsed.
+        :raises LeaseLost: when the lease has expired.
         """
         ...
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease and delete the keys that hang on it."""
+        """Revoke a lease and delete the keys attached to it."""
         ...
 
     def watch(self, prefix: str, *, from_revision: int) -> AsyncIterator[tuple[WatchEvent, ...]]:
-        """Yield changes under ``prefix`` from ``from_revision`` on, in order.
+        """Yield the changes under ``prefix`` from ``from_revision`` on, in order.
 
         :raises WatchBroken: when changes may have been missed.
         """
         ...
 
     async def close(self) -> None:
-        """Give up connections; calls in progress fail."""
+        """Close all connections; calls in progress fail."""
         ...
--- a/rhubarbferry/ports/workers.py
+++ b/rhubarbferry/ports/workers.py
@@ -1,4 +1,4 @@
-"""The hosts that run tasks, their list, and the policy service, as the owner of work needs them."""
+"""Protocols of the hosts that run tasks, the host directory and the policy service."""
 
 from __future__ import annotations
 
@@ -19,33 +19,35 @@
 
 
 class WorkerError(Exception):
-    """Base of the errors of calls to hosts and to the policy service."""
+    """Base class of the errors of calls to hosts and to the policy service."""
 
 
 class WorkerSilent(WorkerError):
-    """No answer in time, or none that can be read. The call may have been carried out."""
+    """No valid response was received in time; the call may have taken effect."""
 
 
 class WorkerGone(WorkerError):
-    """Another host answers at that address; the one that was meant is not there any more."""
+    """Another host now uses the address; the host that was called no longer exists."""
 
 
 class FenceStale(WorkerError):
-    """The host has seen a higher fence number: another process owns the work now."""
+    """The host has received a higher fence number, so another process is the owner now."""
 
 
 class PolicyBusy(WorkerError):
-    """The policy service turned the question away. Ask again after a pause."""
+    """The policy service is overloaded and rejected the request. Retry after a delay."""
 
 
 @frozen(kw_only=True, slots=True)
 class HoldRequest:
-    """Extend the task leases of a host and look at what it runs.
-
-    :param deadline_s: on the host's clock, until when the leases run; ``None`` for no change.
-    :param forget_to: highest number of an end that the host need not list any more.
-    :param wait_s: the host answers early only when a run ends.
-    :param patience_s: beyond that, how long to wait for the answer.
+    """Request to extend the task leases of a host and to report its tasks.
+
+    :param fence: fence number of the owner that sends the request.
+    :param deadline_s: time on the host's clock until which to extend the leases; ``None`` leaves
+        them unchanged.
+    :param forget_to: highest number of an ended task that the host need not list any more.
+    :param wait_s: time after which the host responds; it responds earlier only when a task ends.
+    :param patience_s: time beyond ``wait_s`` after which the call times out.
     """
 
     fence: int
@@ -56,59 +58,69 @@
 
 
 class WorkerCalls(Protocol):
-    """Orders to hosts."""
+    """Client for the task interface of hosts.
+
+    The parameter ``fence`` is the fence number of the owner; a host that has received a higher one
+    refuses the call.
+    """
 
     async def hold(self, host: HostEntry, req: HoldRequest) -> HostReport:
-        """Extend task leases and return what runs and what has ended.
+        """Extend the task leases of a host; return its running and ended tasks.
 
-        :raises WorkerError: when there is no such answer.
+        :raises WorkerError: when the host refuses the request or does not respond.
         """
         ...
 
     async def start(self, host: HostEntry, order: StartOrder, *, fence: int) -> OrderResult:
-        """Start a task."""
+        """Start a task; return whether the host started it."""
         ...
 
     async def stop(self, host: HostEntry, order: StopOrder, *, fence: int) -> float:
-        """Stop a task; return the host's clock, from which on it won't start that run.
+        """Stop a task; return the time on the host's clock.
 
-        :raises WorkerError: when there is no such answer.
+        From that time on, the host refuses to start this attempt of the task.
+
+        :raises WorkerError: when the host refuses the order or does not respond.
         """
         ...
 
     async def pace(self, host: HostEntry, order: PaceOrder, *, fence: int) -> None:
-        """Let a task work at a share of its speed.
+        """Limit a task to a percentage of its full speed.
 
-        :raises WorkerError: when the host has not confirmed it.
+        :raises WorkerError: when the host does not confirm the order.
         """
         ...
 
 
 class HostDirectory(Protocol):
-    """The list of hosts."""
+    """The directory of registered hosts."""
 
     async def hosts(self) -> tuple[HostEntry, ...]:
-        """Return the hosts that are registered now.
+        """Return the hosts that are currently registered.
 
-        :raises StoreError: when the list can't be read.
+        :raises StoreError: when the directory can't be read.
         """
         ...
 
 
 @frozen(kw_only=True, slots=True)
 class Approvals:
-    """The answer of the policy service."""
+    """The response of the policy service.
+
+    :param approvals: the granted approvals.
+    :param valid_s: seconds for which they are valid.
+    """
 
     approvals: tuple[Approval, ...]
     valid_s: float
 
 
 class PolicyService(Protocol):
-    """Says which hosts may run a step."""
+    """The service that decides which hosts may run the tasks of a step."""
 
     async def ask(self, step: StepId, hosts: tuple[str, ...], *, timeout_s: float) -> Approvals:
-        """Return the approvals among ``hosts``.
+        """Request approval to run ``step`` on each of ``hosts``; return the approvals granted.
 
-        :raises WorkerError: when there is no answer.
+        :raises WorkerError: when the service rejects the request or does not respond.
         """
         ...
--- a/rhubarbferry/serving/__init__.py
+++ b/rhubarbferry/serving/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP servers, the same for all interfaces of the project."""
+"""The HTTP server that all HTTP interfaces of the project use."""
--- a/rhubarbferry/serving/server.py
+++ b/rhubarbferry/serving/server.py
@@ -1,4 +1,4 @@
-"""A uvicorn server that leaves the signals to its process."""
+"""A uvicorn server that does not handle signals."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 import uvicorn
 
-# The Date header of answers, where there is one, shows seconds.
-DATE_S = 1.0
+# The Date header, where it is enabled, has a resolution of one second.
+DATE_REFRESH_INTERVAL_S = 1.0
 
 
 class HttpServer(uvicorn.Server):
-    """A server without signal handlers of its own.
+    """A uvicorn server without signal handlers.
 
-    Those of uvicorn would end the process by the signal that stopped it, before its work is
-    handed over.
+    After shutdown, uvicorn raises the received signal again, which would terminate the process
+    before it has handed over its work.
     """
 
     def __init__(self, config: uvicorn.Config) -> None:
@@ -24,22 +24,22 @@
         self._stopping = asyncio.Event()
 
     def stop(self) -> None:
-        """Stop serving, once the requests in progress are done or their grace period is over."""
+        """Stop serving after the requests in progress or the grace period have ended."""
         self.should_exit = True
         self._stopping.set()
 
     async def main_loop(self) -> None:
         """Wait until the server is stopped.
 
-        That of uvicorn wakes up ten times a second to see whether it is to stop.
+        The loop of uvicorn wakes up ten times per second to check whether to stop.
         """
-        date_s = DATE_S if self.config.date_header else None
+        refresh_interval_s = DATE_REFRESH_INTERVAL_S if self.config.date_header else None
         while not await self.on_tick(0):
             with suppress(TimeoutError):
-                async with asyncio.timeout(date_s):
+                async with asyncio.timeout(refresh_interval_s):
                     await self._stopping.wait()
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave the signals alone."""
+        """Install no signal handlers."""
         yield
--- a/tests/conf/test_cell.py
+++ b/tests/conf/test_cell.py
@@ -6,7 +6,7 @@
 from rhubarbferry.conf.cell import parse_cell
 from rhubarbferry.core.cell import PriorityClass, Size
 
-GOOD = """
+VALID = """
 [cell]
 regions = north, south
 key_partitions_per_region = 3
@@ -28,8 +28,8 @@
 """
 
 
-def test_account_fills_in_its_template():
-    match parse_cell(GOOD, 7):
+def test_account_overrides_its_template():
+    match parse_cell(VALID, 7):
         case Success(cell):
             pass
     account = cell.accounts["assays"]
@@ -46,11 +46,11 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "place", "hint"),
+    ("text", "location", "hint"),
     [
         ("", ("cell", ""), "Add [cell]"),
-        ("no ini", ("", ""), "Mend"),
-        ("[cell]\nregions = a\n[cell]\n", ("", ""), "Mend"),
+        ("no ini", ("", ""), "Fix"),
+        ("[cell]\nregions = a\n[cell]\n", ("", ""), "Fix"),
         ("[cell]\n", ("cell", "regions"), "Write regions"),
         ("[cell]\nregions = a, a\n", ("cell", "regions"), "once"),
         ("[cell]\nregions = a/b\n", ("cell", "regions"), "letters"),
@@ -63,21 +63,21 @@
         ("{base}[account x]\npriority = high\n", ("account x", "priority"), "urgent"),
         ("{base}[account x]\ntemplate = y\n", ("account x", "template"), "Add its"),
         ("{base}[account x]\nquota_memory = 4 apples\n", ("account x", "quota_memory"), "4Gi"),
-        ("{base}[template t]\ntemplate = u\n", ("template t", "template"), "Known are"),
+        ("{base}[template t]\ntemplate = u\n", ("template t", "template"), "Known names"),
         ("{base}[service s]\nslots = -1\n", ("service s", "slots"), "in 1.."),
         ("{base}[service s]\nslots = 1.5\n", ("service s", "slots"), "in 1.."),
     ],
 )
-def test_problem_names_its_place_and_remedy(text, place, hint):
+def test_problem_names_its_location_and_remedy(text, location, hint):
     match parse_cell(text.replace("{base}", "[cell]\nregions = a\n"), 1):
         case Failure(problems):
-            assert [(p.section, p.key) for p in problems] == [place]
+            assert [(p.section, p.key) for p in problems] == [location]
             assert hint in problems[0].hint
         case other:
             raise AssertionError(other)
 
 
-def test_all_problems_are_told_at_once():
+def test_all_problems_are_reported_at_once():
     match parse_cell("[cell]\nx = 1\n[account a]\ny = 1\n[service s]\nslots = z\n", 1):
         case Failure(problems):
             assert len(problems) == 4
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""What all tests share: the list of known failures, and a store in the platform's form.
+"""Shared test configuration: known failures and a client of a fake platform store.
 
-The tests that KNOWN-RED.txt lists run and are shown, and don't fail the run.
+Tests that are listed in KNOWN-RED.txt run and are reported, but don't fail the test run.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the listed tests with what the list says of each."""
+    """Return the tests listed in KNOWN-RED.txt with their descriptions."""
     if not KNOWN_RED.exists():
         return {}
     lines = (line.partition(": ") for line in KNOWN_RED.read_text().splitlines())
-    return {test.strip(): about for test, _, about in lines if test.strip()}
+    return {test.strip(): description for test, _, description in lines if test.strip()}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    listed = known_red()
+    known = known_red()
     for item in items:
-        if item.nodeid in listed:
-            item.add_marker(pytest.mark.xfail(reason=listed[item.nodeid], strict=False))
+        if item.nodeid in known:
+            item.add_marker(pytest.mark.xfail(reason=known[item.nodeid], strict=False))
 
 
 @pytest.fixture
 async def stand_in():
-    """A stand-in of the platform's store, to be troubled."""
+    """A fake of the platform's store, for which tests can enable faults."""
     return PlatformStoreStandIn()
 
 
 @pytest.fixture
 async def store(stand_in):
-    """A client of that stand-in over loopback."""
+    """A client connected to the fake store over the loopback interface."""
     async with serving(stand_in.app()) as address:
         client = PlatformStore(address=address)
         yield client
--- a/tests/on_platform/test_forms.py
+++ b/tests/on_platform/test_forms.py
@@ -1,4 +1,4 @@
-"""What the platform's bodies and files say, translated once; and what is no such thing."""
+"""Tests for the decoding of the platform's request bodies, records and settings files."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     return json.dumps({"spec": "text", "phases": list(phases), **fields}).encode()
 
 
-def test_each_field_of_a_step_reaches_its_own():
+def test_all_fields_of_a_step_are_decoded():
     body = job(
         phase(),
         phase(
@@ -75,37 +75,37 @@
     assert (second.image, second.goal_s, second.may_miss) == ("img", 0.25, 3)
 
 
-BAD_JOBS = {
-    "no JSON": b"{",
-    "bytes that are no text": b"\xff\xfe",
+INVALID_JOBS = {
+    "invalid JSON": b"{",
+    "invalid UTF-8": b"\xff\xfe",
     "a list": b"[]",
     "no steps": job(),
     "steps of another type": json.dumps({"phases": 3}).encode(),
-    "a step that is no object": json.dumps({"phases": [3]}).encode(),
+    "a step that is not an object": json.dumps({"phases": [3]}).encode(),
     "too many steps": job(*[phase()] * (MAX_STEPS + 1)),
     "too many tasks": job(phase(count=MAX_TASKS + 1)),
     "no tasks": job(phase(count=0)),
-    "a part of a task": job(phase(count=1.5)),
-    "a size below zero": job(phase(cpu=-1)),
-    "a size that is text": job(phase(cpu="1")),
-    "a size that is true": job(phase(memMb=True)),
+    "a fractional count": job(phase(count=1.5)),
+    "a negative size": job(phase(cpu=-1)),
+    "a size that is a string": job(phase(cpu="1")),
+    "a size that is a boolean": job(phase(memMb=True)),
     "a step after itself": job(phase(after=[0])),
     "a step after a later one": job(phase(after=[1]), phase()),
-    "a step after one below zero": job(phase(), phase(after=[-1])),
+    "a step after a negative index": job(phase(), phase(after=[-1])),
     "a flag that is a number": job(phase(gang=1)),
     "a label that is a number": job(phase(requiredLabel=1)),
     "a spec that is too long": job(phase(), spec="x" * (MAX_PAYLOAD_BYTES + 1)),
-    "a spec that is no text": job(phase(), spec=1),
+    "a spec that is not a string": job(phase(), spec=1),
 }
 
 
-@pytest.mark.parametrize("body", BAD_JOBS.values(), ids=BAD_JOBS.keys())
-def test_what_is_no_job_is_refused_with_the_field(body):
+@pytest.mark.parametrize("body", INVALID_JOBS.values(), ids=INVALID_JOBS.keys())
+def test_an_invalid_job_is_refused(body):
     with pytest.raises(JobFormError, match=r"\w+"):
         parse_job(ID, "queue", body)
 
 
-def test_names_of_tasks_and_steps_read_back():
+def test_names_of_tasks_and_steps_round_trip():
     task = TaskId(job=ID, occurrence=2, step=1, index=17)
     assert task_name(task) == f"{ID}.2.1.17"
     assert parse_task(task_name(task)) == task
@@ -125,7 +125,7 @@
 }
 
 
-def test_a_registration_is_a_host():
+def test_a_host_registration_is_decoded():
     entry = decode_entry("i-1", {**ENTRY, "state": "draining", "remainingMs": 2500})
     assert (entry.id, entry.incarnation) == ("i-1", 1_700_000_000_123)
     assert (entry.phase, entry.remaining_s) == (HostPhase.DRAINING, 2.5)
@@ -133,20 +133,20 @@
     assert (entry.failure_domain, entry.labels) == ("cm-doi", ("a", "r1-3"))
 
 
-FOREIGN = {
-    "no JSON": b"\x00\x01",
+INVALID_ENTRIES = {
+    "invalid JSON": b"\x00\x01",
     "a number": b"7",
     "no address": json.dumps({k: v for k, v in ENTRY.items() if k != "addr"}).encode(),
     "an address without a port": json.dumps({**ENTRY, "addr": "10.0.0.1"}).encode(),
-    "a state that is not known": json.dumps({**ENTRY, "state": "asleep"}).encode(),
+    "an unknown state": json.dumps({**ENTRY, "state": "asleep"}).encode(),
     "a capacity of another type": json.dumps({**ENTRY, "capacity": 3}).encode(),
-    "a size that is text": json.dumps({**ENTRY, "capacity": {"cpu": "x", "memMb": 1}}).encode(),
-    "a start that is no whole number": json.dumps({**ENTRY, "born": 1.5}).encode(),
+    "a size that is a string": json.dumps({**ENTRY, "capacity": {"cpu": "x", "memMb": 1}}).encode(),
+    "an incarnation that is not an integer": json.dumps({**ENTRY, "born": 1.5}).encode(),
 }
 
 
-class _Listed:
-    """A store that lists what it was given."""
+class _FixedStore:
+    """A store that lists fixed values."""
 
     def __init__(self, *values: bytes) -> None:
         self.items = tuple(
@@ -158,10 +158,10 @@
         return Listing(revision=1, items=self.items)
 
 
-@pytest.mark.parametrize("value", FOREIGN.values(), ids=FOREIGN.keys())
-async def test_an_entry_of_another_writer_is_skipped_and_the_others_hold(value):
-    """Guards against a host list that is refused as a whole for one foreign entry."""
-    directory = PlatformDirectory(store=_Listed(value, json.dumps(ENTRY).encode()))
+@pytest.mark.parametrize("value", INVALID_ENTRIES.values(), ids=INVALID_ENTRIES.keys())
+async def test_an_invalid_host_entry_is_skipped(value):
+    """Guards against rejecting the complete host list because of one invalid entry."""
+    directory = PlatformDirectory(store=_FixedStore(value, json.dumps(ENTRY).encode()))
     assert [entry.id for entry in await directory.hosts()] == ["i-1"]
 
 
@@ -184,7 +184,7 @@
     return json.dumps({"version": 7, "routes": list(routes), **fields}).encode()
 
 
-def test_a_configuration_is_a_table_of_routes():
+def test_a_configuration_is_decoded():
     table = decode_configuration(configuration(ROUTE, limits={"maxBodyBytes": 9}), revision=4)
     assert (table.version, table.revision, table.limits.body_bytes) == (7, 4, 9)
     route = table.match("nony24.EXAMPLE:80", "/q/x")
@@ -197,12 +197,12 @@
 
 
 @pytest.mark.parametrize("limits", [None, {}])
-def test_a_configuration_without_limits_has_the_default_ones(limits):
+def test_a_configuration_without_limits_uses_the_defaults(limits):
     table = decode_configuration(configuration(ROUTE, limits=limits), revision=4)
     assert table.limits == Limits()
 
 
-MATCHES = [
+ROUTE_MATCHES = [
     ("nony24.example", "/q/a", "r-1"),
     ("nony24.example", "/q/long/a", "r-2"),
     ("nony24.example", "/other", None),
@@ -210,19 +210,19 @@
 ]
 
 
-@pytest.mark.parametrize(("host", "path", "name"), MATCHES)
+@pytest.mark.parametrize(("host", "path", "name"), ROUTE_MATCHES)
 def test_the_longest_prefix_of_the_host_wins(host, path, name):
     longer = {**ROUTE, "name": "r-2", "prefix": "/q/long/"}
     found = decode_configuration(configuration(ROUTE, longer), revision=1).match(host, path)
     assert (found.queue.name if found else None) == name
 
 
-def test_a_route_that_is_not_understood_is_left_out_and_the_others_hold():
+def test_an_invalid_route_is_skipped():
     table = decode_configuration(configuration({"name": "x"}, 3, ROUTE), revision=1)
     assert list(table.queues) == ["r-1"]
 
 
-NO_CONFIGURATIONS = [
+INVALID_CONFIGURATIONS = [
     b"",
     b"[]",
     b'{"version":"x","routes":[]}',
@@ -233,9 +233,9 @@
 ]
 
 
-@pytest.mark.parametrize("value", NO_CONFIGURATIONS)
-def test_what_is_no_configuration_is_refused_as_a_whole(value):
-    """Guards against a value of the operator that ends the process that reads it."""
+@pytest.mark.parametrize("value", INVALID_CONFIGURATIONS)
+def test_an_invalid_configuration_is_refused(value):
+    """Guards against an invalid configuration that crashes the process."""
     with pytest.raises(ConfigurationError):
         decode_configuration(value, revision=1)
 
@@ -255,7 +255,7 @@
 }
 
 
-def test_a_settings_file_is_read_with_unknown_fields_left_alone():
+def test_unknown_fields_of_a_settings_file_are_ignored():
     found = decode(SETTINGS)
     assert found.cell.member == "edge-1"
     assert found.cell.failure_domain == "cm-doi"
@@ -266,7 +266,7 @@
     assert found.addresses.policy == ""
 
 
-BAD_SETTINGS = {
+INVALID_SETTINGS = {
     "nodeName": {"nodeName": 7},
     "ip": {"ip": None},
     "portRange": {"portRange": []},
@@ -276,7 +276,7 @@
 }
 
 
-@pytest.mark.parametrize(("field", "change"), BAD_SETTINGS.items(), ids=BAD_SETTINGS.keys())
-def test_a_bad_field_of_the_settings_is_named(field, change):
+@pytest.mark.parametrize(("field", "change"), INVALID_SETTINGS.items(), ids=INVALID_SETTINGS.keys())
+def test_an_invalid_field_of_the_settings_is_named(field, change):
     with pytest.raises(SettingsFileError, match=field):
         decode({**SETTINGS, **change})
--- a/tests/on_platform/test_http.py
+++ b/tests/on_platform/test_http.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's services while connections fail."""
+"""Tests for the HTTP client of the platform's services under slow and failing connections."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
 from rhubarbferry.platform.http import JsonClient, NoAnswer, NotSent, TransferLimit
 
-ANSWER = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 2\r\n\r\n{}"
-# The system sends a lost opening packet anew after this time.
-RESENT_S = 1.0
-FULL_S = 0.1
+RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 2\r\n\r\n{}"
+# The kernel retransmits a lost SYN packet after this time.
+SYN_RETRANSMIT_S = 1.0
+# How long the accept queue stays full, so that SYN packets are dropped.
+QUEUE_FULL_S = 0.1
 
 
-# A large answer on a slow link: so many parts, each after this pause.
-PARTS = 8
-PART_S = 0.1
+# A large response on a slow link: this number of parts, each sent after this delay.
+PART_COUNT = 8
+PART_DELAY_S = 0.1
 PART = b" " * 1000
-HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % (PARTS * len(PART))
+LARGE_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % (PART_COUNT * len(PART))
 
 
-async def answer(
+async def send_response(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     *,
-    head: bytes = ANSWER,
+    head: bytes = RESPONSE,
     parts: int = 0,
     delay_s: float = 0.0,
 ) -> None:
@@ -37,7 +38,7 @@
         await asyncio.sleep(delay_s)
         writer.write(head)
         for _ in range(parts):
-            await asyncio.sleep(PART_S)
+            await asyncio.sleep(PART_DELAY_S)
             writer.write(PART)
             await writer.drain()
         await writer.drain()
@@ -48,8 +49,8 @@
 
 
 @asynccontextmanager
-async def calling(handler, **fields):
-    """A client and the URL of a server that answers each connection with ``handler``."""
+async def client_and_server(handler, **fields):
+    """Yield a client and the URL of a server that handles each connection with ``handler``."""
     server = await asyncio.start_server(handler, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     client = JsonClient(**fields)
@@ -61,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("delay_s", "timeout_s", "transfer", "whole"),
+    ("delay_s", "timeout_s", "transfer", "completes"),
     [
         (0.0, 0.4, TransferLimit(idle_s=0.4, total_s=3.0), True),
         (0.3, 0.4, TransferLimit(idle_s=0.4, total_s=3.0), True),
@@ -71,46 +72,46 @@
         (0.0, 0.4, TransferLimit(idle_s=0.05, total_s=3.0), False),
     ],
 )
-async def test_a_large_answer_may_take_its_time_while_it_makes_progress(
-    delay_s, timeout_s, transfer, whole
-):
-    """Guards against an answer that is cut off and read again without end on a slow link."""
-    slowly = partial(answer, head=HEAD, parts=PARTS, delay_s=delay_s)
-    async with calling(slowly) as (client, url):
+async def test_transfer_timeouts_replace_the_call_timeout(delay_s, timeout_s, transfer, completes):
+    """Guards against endless retries of a large response that times out on a slow link."""
+    slow_handler = partial(
+        send_response, head=LARGE_RESPONSE_HEAD, parts=PART_COUNT, delay_s=delay_s
+    )
+    async with client_and_server(slow_handler) as (client, url):
         call = client.call("GET", url, timeout_s=timeout_s, transfer=transfer)
-        if whole:
+        if completes:
             assert (await call).status == 200
         else:
             with pytest.raises(NoAnswer):
                 await call
 
 
-@pytest.mark.parametrize(("extra_s", "answered"), [(0.0, False), (0.5, True)])
-async def test_a_call_may_take_longer_by_what_this_process_is_behind(extra_s, answered):
-    """Guards against calls that a busy process sends again while their answers lie unread."""
-    slowly = partial(answer, delay_s=0.3)
-    async with calling(slowly, extra_s=lambda: extra_s) as (client, url):
+@pytest.mark.parametrize(("extra_s", "completes"), [(0.0, False), (0.5, True)])
+async def test_extra_timeout_extends_the_call_timeout(extra_s, completes):
+    """Guards against a busy process that repeats calls whose responses it has not read yet."""
+    slow_handler = partial(send_response, delay_s=0.3)
+    async with client_and_server(slow_handler, extra_timeout_s=lambda: extra_s) as (client, url):
         call = client.call("GET", url, timeout_s=0.1)
-        if answered:
+        if completes:
             assert (await call).status == 200
         else:
             with pytest.raises(NoAnswer):
                 await call
 
 
-@pytest.mark.parametrize(("parts", "some"), [(0, False), (PARTS, True)])
-async def test_a_failed_call_says_whether_its_answer_had_begun_to_arrive(parts, some):
-    """Guards against a transfer cut off by a time limit that looks like a silent connection."""
-    slowly = partial(answer, head=HEAD, parts=parts)
-    async with calling(slowly) as (client, url):
-        with pytest.raises(NoAnswer) as found:
-            await client.call("GET", url, timeout_s=3.5 * PART_S)
-    assert (found.value.received_bytes > 0) is some
-    assert f"{found.value.received_bytes} bytes of the body read" in str(found.value)
+@pytest.mark.parametrize(("parts", "has_received"), [(0, False), (PART_COUNT, True)])
+async def test_a_failed_call_reports_the_received_bytes(parts, has_received):
+    """Guards against reporting an interrupted transfer as a connection without a response."""
+    slow_handler = partial(send_response, head=LARGE_RESPONSE_HEAD, parts=parts)
+    async with client_and_server(slow_handler) as (client, url):
+        with pytest.raises(NoAnswer) as result:
+            await client.call("GET", url, timeout_s=3.5 * PART_DELAY_S)
+    assert (result.value.received_bytes > 0) is has_received
+    assert f"{result.value.received_bytes} bytes of the body read" in str(result.value)
 
 
-async def test_calls_at_once_share_the_connections_of_an_address():
-    """Guards against an owner whose descriptors run out, which opens some to each of many hosts."""
+async def test_concurrent_calls_share_the_connections_to_an_address():
+    """Guards against an owner that runs out of file descriptors in a cell with many hosts."""
     opened = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -119,19 +120,19 @@
         while await reader.readline():
             await reader.readuntil(b"\r\n\r\n")
             await asyncio.sleep(0.01)
-            writer.write(ANSWER)
+            writer.write(RESPONSE)
         writer.close()
 
-    async with calling(serve, connections=3) as (client, url):
+    async with client_and_server(serve, max_connections=3) as (client, url):
         calls = [client.call("GET", url, timeout_s=5.0) for _ in range(20)]
-        answers = await asyncio.gather(*calls)
-    assert [answer.status for answer in answers] == [200] * 20
+        responses = await asyncio.gather(*calls)
+    assert [response.status for response in responses] == [200] * 20
     assert opened == 3
 
 
 @pytest.fixture
-def full_queue():
-    """A listening socket whose queue is full, so that opening packets are dropped."""
+def full_accept_queue():
+    """A listening socket with a full accept queue, which drops SYN packets."""
     sock = socket.create_server(("127.0.0.1", 0), backlog=0)
     waiting = socket.create_connection(sock.getsockname())
     yield sock
@@ -139,29 +140,29 @@
     sock.close()
 
 
-async def test_a_lost_opening_packet_costs_a_third_of_a_second(full_queue):
-    """Guards against a second without starts for one lost packet."""
+async def test_a_call_reconnects_after_a_lost_syn_packet(full_accept_queue):
+    """Guards against a delay of one second for each lost SYN packet."""
     loop = asyncio.get_running_loop()
     client = JsonClient()
-    ip, port = full_queue.getsockname()
+    ip, port = full_accept_queue.getsockname()
     call = asyncio.create_task(client.call("GET", f"http://{ip}:{port}/", timeout_s=3.0))
-    begun = loop.time()
-    await asyncio.sleep(FULL_S)
-    server = await asyncio.start_server(answer, sock=full_queue)
-    found = await call
-    took_s = loop.time() - begun
+    started_at = loop.time()
+    await asyncio.sleep(QUEUE_FULL_S)
+    server = await asyncio.start_server(send_response, sock=full_accept_queue)
+    result = await call
+    elapsed_s = loop.time() - started_at
     await client.close()
     server.close()
-    assert found.status == 200
-    assert took_s < RESENT_S - FULL_S
+    assert result.status == 200
+    assert elapsed_s < SYN_RETRANSMIT_S - QUEUE_FULL_S
 
 
-async def test_a_call_that_never_connects_ends_in_its_time_and_was_not_sent(full_queue):
+async def test_a_call_that_cannot_connect_times_out_as_not_sent(full_accept_queue):
     client = JsonClient()
     loop = asyncio.get_running_loop()
-    begun = loop.time()
-    ip, port = full_queue.getsockname()
+    started_at = loop.time()
+    ip, port = full_accept_queue.getsockname()
     with pytest.raises(NotSent):
         await client.call("GET", f"http://{ip}:{port}/", timeout_s=0.8)
     await client.close()
-    assert loop.time() - begun < 1.2
+    assert loop.time() - started_at < 1.2
--- a/tests/on_platform/test_idle_server.py
+++ b/tests/on_platform/test_idle_server.py
@@ -1,4 +1,4 @@
-"""What a server does while nobody calls it."""
+"""Tests for an HTTP server without requests."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 IDLE_S = 0.5
 
 
-class Counting(HttpServer):
-    """Counts how often it looks around."""
+class CountingServer(HttpServer):
+    """A server that counts its periodic checks."""
 
     ticks = 0
 
@@ -23,8 +23,8 @@
 
 
 @pytest.mark.parametrize("date_header", [False, True])
-async def test_an_idle_server_does_not_wake_up_to_see_whether_to_stop(date_header):
-    """Guards against idle processes that wake up ten times a second for each of their servers."""
+async def test_an_idle_server_does_not_poll(date_header):
+    """Guards against idle processes that wake up ten times per second for each server."""
     config = uvicorn.Config(
         None,
         port=0,
@@ -32,10 +32,10 @@
         log_config=None,
         date_header=date_header,
     )
-    server = Counting(config)
-    serving = asyncio.create_task(server.serve())
+    server = CountingServer(config)
+    serve_task = asyncio.create_task(server.serve())
     await asyncio.sleep(IDLE_S)
     assert server.ticks == 1
     server.stop()
     async with asyncio.timeout(IDLE_S):
-        await serving
+        await serve_task
--- a/tests/on_platform/test_serving.py
+++ b/tests/on_platform/test_serving.py
@@ -1,4 +1,4 @@
-"""Addresses that a process listens on."""
+"""Tests for the listening addresses of a process."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from rhubarbferry.test.serving import address_of
 
 
-def test_an_address_that_another_process_has_is_refused_at_once():
-    """Guards against two processes that bind one port and fail only as they listen."""
+def test_listen_fails_for_an_address_in_use():
+    """Guards against a second process that binds a port in use and fails only when it listens."""
     first = listen("127.0.0.1:0")
     with pytest.raises(OSError):
         listen(address_of(first))
     first.close()
 
 
-async def test_a_process_whose_address_is_taken_says_so_and_ends(tmp_path):
-    """Guards against a traceback in place of a line that names the address."""
-    taken = listen("127.0.0.1:0")
+async def test_a_process_whose_address_is_in_use_logs_it_and_exits(tmp_path):
+    """Guards against a traceback instead of a log line about the address."""
+    used_socket = listen("127.0.0.1:0")
     settings = tmp_path / "node.toml"
     settings.write_text(f"""\
 nodeName = "one"
@@ -31,7 +31,7 @@
 region = "region"
 portRange = [0, 0]
 [listen]
-front = "{address_of(taken)}"
+front = "{address_of(used_socket)}"
 readiness = "127.0.0.1:0"
 [platform]
 addr = "127.0.0.1:1"
@@ -45,7 +45,7 @@
         env={**os.environ, "RHUBARBFERRY_SETTINGS": str(settings)},
     )
     output, _ = await asyncio.wait_for(child.communicate(), 20)
-    taken.close()
+    used_socket.close()
     assert child.returncode == 2
     assert b"process.not_started" in output
     assert b"Traceback" not in output
--- a/tests/on_platform/test_store.py
+++ b/tests/on_platform/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store: what each answer means, and what no answer means."""
+"""Tests for the client of the platform's store: responses, errors and lost responses."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("call", CALLS.values(), ids=CALLS.keys())
 @pytest.mark.parametrize("trouble", REFUSALS)
-async def test_a_call_that_is_turned_away_has_changed_nothing(store, stand_in, call, trouble):
+async def test_a_refused_call_changes_nothing(store, stand_in, call, trouble):
     setattr(stand_in.trouble, trouble, True)
     with pytest.raises(REFUSALS[trouble]):
         await call(store)
@@ -41,15 +41,15 @@
 
 
 @pytest.mark.parametrize("call", CALLS.values(), ids=CALLS.keys())
-async def test_a_store_that_nobody_listens_for_has_not_been_reached(call):
+async def test_a_refused_connection_is_reported_as_unavailable(call):
     store = PlatformStore(address="127.0.0.1:9")
     with pytest.raises(StoreUnavailable):
         await call(store)
     await store.close()
 
 
-async def test_a_write_without_an_answer_is_unclear(store, stand_in):
-    """Guards against a job denied to its client that runs all the same."""
+async def test_a_write_without_a_response_is_unclear(store, stand_in):
+    """Guards against a job that is reported as refused to its client but runs."""
     stand_in.trouble.lose_every = 1
     with pytest.raises(StoreUnclear):
         await store.commit(Txn(put=(Put(key="a", value=b"1"),)))
@@ -57,7 +57,7 @@
     assert item is not None and item.value == b"1"
 
 
-async def test_a_failed_condition_shows_what_stands_there(store):
+async def test_a_conflict_returns_the_current_keys(store):
     first = await store.commit(Txn(put=(Put(key="a", value=b"1"),)))
     assert isinstance(first, Committed)
     expect = (Expect(key="a", revision=0), Expect(key="missing", revision=3))
@@ -67,7 +67,7 @@
     assert await store.get("b") is None
 
 
-async def test_a_lease_that_has_ended_takes_its_keys_along(store):
+async def test_an_ended_lease_deletes_its_keys(store):
     lease = await store.grant_lease(5.0)
     put = Put(key="a", value=b"1", lease_id=lease)
     await store.commit(Txn(put=(put,)))
@@ -79,18 +79,18 @@
         await store.commit(Txn(put=(put,)))
 
 
-async def test_changes_are_told_in_order_and_lost_history_is_said(store, stand_in):
-    begun = (await store.list("a")).revision
+async def test_changes_are_ordered_and_lost_history_breaks_the_watch(store, stand_in):
+    start_revision = (await store.list("a")).revision
     await store.commit(Txn(put=(Put(key="a", value=b"1"),)))
     await store.commit(Txn(delete=("a",)))
-    changes = await store.changes("a", after=begun, wait_s=0.1)
+    changes = await store.changes("a", after=start_revision, wait_s=0.1)
     assert [type(event) for event in changes.events] == [KeyPut, KeyDeleted]
     stand_in.trouble.no_history = True
     with pytest.raises(WatchBroken):
-        await store.changes("a", after=begun, wait_s=0.1)
+        await store.changes("a", after=start_revision, wait_s=0.1)
 
 
-async def test_a_long_list_is_read_page_by_page(store):
+async def test_a_long_list_is_read_in_pages(store):
     for start in range(0, 620, 31):
         puts = tuple(Put(key=f"k{start + i:04}", value=b"") for i in range(31))
         await store.commit(Txn(put=puts))
--- a/tests/on_platform/test_workers.py
+++ b/tests/on_platform/test_workers.py
@@ -1,4 +1,4 @@
-"""Reports of hosts over a slow link."""
+"""Tests for host reports over a slow link."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from rhubarbferry.test.serving import serving
 
 TASK = "5c0e7a21d94b36f8.0.0.0"
-ENDS = 500
-PATIENCE_S = 0.25
+ENDED_TASKS = 500
+RESPONSE_MARGIN_S = 0.25
 
 
 @pytest.mark.parametrize(
-    ("bytes_per_s", "answers"), [(1_000_000, True), (30_000, True), (8_000, False)]
+    ("bytes_per_s", "received"), [(1_000_000, True), (30_000, True), (8_000, False)]
 )
-async def test_a_long_report_may_take_its_time_while_it_makes_progress(
-    stand_in, bytes_per_s, answers
-):
-    """Guards against a host with many ends to list that counts as silent on a slow link."""
+async def test_a_large_report_on_a_slow_link_is_received(stand_in, bytes_per_s, received):
+    """Guards against treating a host as silent while it sends a large report on a slow link."""
     host = PlatformWorkerStandIn(id="host", service="pool", store=stand_in)
-    host._ended = [[number, TASK, number, "done", ""] for number in range(1, ENDS + 1)]
+    host._ended = [[number, TASK, number, "done", ""] for number in range(1, ENDED_TASKS + 1)]
     relay = Relay()
     workers = PlatformWorkers()
-    req = HoldRequest(fence=1, deadline_s=None, forget_to=0, wait_s=0.0, patience_s=PATIENCE_S)
+    req = HoldRequest(
+        fence=1, deadline_s=None, forget_to=0, wait_s=0.0, patience_s=RESPONSE_MARGIN_S
+    )
     async with serving(host.app()) as address:
         link = await relay.open(address)
         link.set(Mode.PASS, bytes_per_s=bytes_per_s)
@@ -39,8 +39,8 @@
             capacity=Sizes(millicores=8000, memory_mb=16_000),
         )
         try:
-            if answers:
-                assert len((await workers.hold(entry, req)).ended) == ENDS
+            if received:
+                assert len((await workers.hold(entry, req)).ended) == ENDED_TASKS
             else:
                 with pytest.raises(WorkerSilent):
                     await workers.hold(entry, req)
