--- a/rhubarbferry/conf/cell.py
+++ b/rhubarbferry/conf/cell.py
@@ -125,7 +125,7 @@
         problem = Problem(section="", key="", message=message, hint="Fix the INI syntax.")
         return Failure((problem,))
     cell_parser = _CellParser(parser=parser)
-    cell = cell_parser.cell(revision)
+    cell = cell_parser.parse(revision)
     if cell_parser.problems:
         return Failure(tuple(cell_parser.problems))
     return Success(cell)
@@ -138,24 +138,24 @@
     parser: configparser.ConfigParser
     problems: list[Problem] = field(factory=list)
 
-    def cell(self, revision: int) -> Cell:
-        named = self._group_sections()
-        cell_values = self._cell_section()
+    def parse(self, revision: int) -> Cell:
+        section_names = self._group_sections()
+        cell_values = self._convert_cell_section()
         templates = {
             name: self._convert_section(section, ACCOUNT_KEYS)
-            for name, section in named["template"].items()
+            for name, section in section_names["template"].items()
         }
         accounts = {
-            name: self._account(name, section, templates)
-            for name, section in named["account"].items()
+            name: self._convert_account(name, section, templates)
+            for name, section in section_names["account"].items()
         }
         services = {
             name: Service(name=name, **self._convert_section(section, SERVICE_KEYS))
-            for name, section in named["service"].items()
+            for name, section in section_names["service"].items()
         }
         return Cell(revision=revision, accounts=accounts, services=services, **cell_values)
 
-    def _cell_section(self) -> dict[str, Any]:
+    def _convert_cell_section(self) -> dict[str, Any]:
         if not self.parser.has_section("cell"):
             self._add_problem(
                 "cell", "", "the section is missing", "Add [cell] with regions = a, b."
@@ -166,23 +166,23 @@
         return self._convert_section("cell", CELL_KEYS)
 
     def _group_sections(self) -> dict[str, dict[str, str]]:
-        named: dict[str, dict[str, str]] = {"template": {}, "account": {}, "service": {}}
+        section_names: dict[str, dict[str, str]] = {"template": {}, "account": {}, "service": {}}
         for section in self.parser.sections():
             kind, _, name = section.partition(" ")
             if section == "cell":
                 continue
-            if kind not in named:
+            if kind not in section_names:
                 self._add_problem(
-                    section, "", "unknown section", _suggestion(kind, ["cell", *named])
+                    section, "", "unknown section", _suggestion(kind, ["cell", *section_names])
                 )
             elif not NAME_PATTERN.fullmatch(name.strip()):
                 hint = "Use letters, digits, '.', '_' and '-', at most 63."
                 self._add_problem(section, "", f"{name!r} is not a valid name", hint)
-            elif name.strip() in named[kind]:
+            elif name.strip() in section_names[kind]:
                 self._add_problem(section, "", "duplicate section name", "Keep one of them.")
             else:
-                named[kind][name.strip()] = section
-        return named
+                section_names[kind][name.strip()] = section
+        return section_names
 
     def _convert_section(
         self, section: str, converters: Mapping[str, Converter], ignored: Iterable[str] = ()
@@ -203,7 +203,7 @@
                 self._add_problem(section, key, str(exc), exc.hint)
         return values
 
-    def _account(
+    def _convert_account(
         self, name: str, section: str, templates: Mapping[str, Mapping[str, Any]]
     ) -> Account:
         template = self.parser.get(section, "template", fallback="").strip()
@@ -211,13 +211,13 @@
             hint = _suggestion(template, templates) if templates else "Add its [template] section."
             self._add_problem(section, "template", f"no template {template!r}", hint)
         own = self._convert_section(section, ACCOUNT_KEYS, ignored=("template",))
-        return _account(name, template, {**templates.get(template, {}), **own})
+        return _build_account(name, template, {**templates.get(template, {}), **own})
 
     def _add_problem(self, section: str, key: str, message: str, hint: str) -> None:
         self.problems.append(Problem(section=section, key=key, message=message, hint=hint))
 
 
-def _account(name: str, template: str, values: Mapping[str, Any]) -> Account:
+def _build_account(name: str, template: str, values: Mapping[str, Any]) -> Account:
     quota = Size(
         millicores=values.get("quota_millicores", 0),
         memory_bytes=values.get("quota_memory", 0),
--- a/rhubarbferry/conf/settings.py
+++ b/rhubarbferry/conf/settings.py
@@ -73,11 +73,11 @@
     :param renew_s: seconds between two renewals of the lease.
     :param clock_margin_s: seconds subtracted from a lease to allow for differing clock rates.
     :param promise_s: seconds for which a guard's promise is valid.
-    :param longest_request_s: longest time that a request may run; a successor waits this long for
-        requests of guards that have not responded.
-    :param longest_extension_s: longest time for which promises allow an owner to act after its
-        lease has expired; 0 disables promises, so that runner partitions stop when the store is
-        unavailable.
+    :param longest_request_s: longest time in seconds that a request may run; a successor waits
+        this long for requests of guards that have not responded.
+    :param longest_extension_s: longest time in seconds for which promises allow an owner to act
+        after its lease has expired; 0 disables promises, so that runner partitions stop when the
+        store is unavailable.
     :param rebalance_s: seconds for which a better assignment must remain unchanged before a live
         owner hands over a partition.
     :param refresh_s: seconds between two complete reads of all records, in addition to the watch.
@@ -104,9 +104,10 @@
     :param silence_s: seconds without data after which a connection is closed.
     :param max_body_bytes: largest allowed request body.
     :param kept_answer_bytes: largest response that is stored for duplicates of an idempotency key.
-    :param max_waiting: limit of requests in progress in one frontend; further ones are refused.
+    :param max_waiting: limit of requests in progress in one frontend; further ones are refused
+        immediately.
     :param retry_ratio: limit of retries as a share of the requests of an account.
-    :param region_latency_s: one-way network latency between two regions.
+    :param region_latency_s: one-way network latency between two regions, in seconds.
     :param spill_margin_s: a request is sent to another region only when it is expected to start
         there earlier by at least this number of seconds, including latency; 0 disables sending.
     :param wait_poll_s: seconds between two requests to a runner partition for its expected waiting
@@ -147,13 +148,14 @@
 
     :param task_lease_s: seconds after which a worker stops a task whose lease its owner has not
         renewed.
-    :param renew_s: seconds between two heartbeats to a worker.
+    :param renew_s: seconds between two heartbeats to a worker, which renew its task leases.
     :param claim_batch_s: seconds for which claims are collected before they are decided together.
     :param reserve_s: seconds for which a gang's reservation is valid.
-    :param half_life_s: half-life of the decaying resource usage of an account.
+    :param half_life_s: half-life in seconds of the decaying resource usage of an account.
     :param max_tasks_per_job: limit of the tasks of one submitted job.
-    :param max_waiting_tasks: limit of the waiting tasks in one home; further ones are refused.
-    :param max_attempts: limit of the attempts of an idempotent task.
+    :param max_waiting_tasks: limit of the waiting tasks in one home; further ones are refused
+        immediately.
+    :param max_attempts: limit of the attempts of a failing idempotent task.
     :param patience_s: seconds that a task waits before a worker is kept free for it.
     """
 
--- a/rhubarbferry/platform/policy.py
+++ b/rhubarbferry/platform/policy.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from rhubarbferry.dispatch.messages import Approval, StepId
-from rhubarbferry.platform.http import JsonClient, NoAnswer, NotSent
-from rhubarbferry.platform.names import step_name
+from rhubarbferry.platform.http_client import JsonClient, NoAnswer, NotSent
+from rhubarbferry.platform.task_names import step_name
 from rhubarbferry.ports.workers import Approvals, PolicyBusy, WorkerSilent
 
 
--- a/rhubarbferry/platform/process.py
+++ b/rhubarbferry/platform/process.py
@@ -30,8 +30,8 @@
 from rhubarbferry.platform.configuration import ConfigurationError, decode_configuration
 from rhubarbferry.platform.directory import PlatformDirectory
 from rhubarbferry.platform.health_api import build_app
+from rhubarbferry.platform.http_server import create_server, listen
 from rhubarbferry.platform.policy import PlatformPolicy
-from rhubarbferry.platform.serving import create_server, listen
 from rhubarbferry.platform.settings import (
     SETTINGS_VARIABLE,
     SettingsFile,
--- a/rhubarbferry/platform/store.py
+++ b/rhubarbferry/platform/store.py
@@ -8,7 +8,7 @@
 
 from prometheus_client import Counter, Histogram
 
-from rhubarbferry.platform.http import JsonClient, NoAnswer, NotSent, Response, TransferLimit
+from rhubarbferry.platform.http_client import JsonClient, NoAnswer, NotSent, Response, TransferLimit
 from rhubarbferry.ports.store import (
     Changes,
     Committed,
--- a/rhubarbferry/platform/workers.py
+++ b/rhubarbferry/platform/workers.py
@@ -22,8 +22,8 @@
     StopOrder,
     Unanswered,
 )
-from rhubarbferry.platform.http import JsonClient, NoAnswer, NotSent, Response, TransferLimit
-from rhubarbferry.platform.names import parse_task, task_name
+from rhubarbferry.platform.http_client import JsonClient, NoAnswer, NotSent, Response, TransferLimit
+from rhubarbferry.platform.task_names import parse_task, task_name
 from rhubarbferry.ports.workers import FenceStale, HoldRequest, WorkerGone, WorkerSilent
 
 # Allows for a round trip between regions, one retransmitted packet and a busy host. A call that
--- a/tests/on_platform/test_forms.py
+++ b/tests/on_platform/test_decoding.py
@@ -18,8 +18,8 @@
     JobFormError,
     parse_job,
 )
-from rhubarbferry.platform.names import parse_task, step_name, task_name
 from rhubarbferry.platform.settings import SettingsFileError, decode
+from rhubarbferry.platform.task_names import parse_task, step_name, task_name
 from rhubarbferry.ports.store import KeyValue, Listing
 
 ID = "5c0e7a21d94b36f8"
--- a/tests/on_platform/test_http.py
+++ b/tests/on_platform/test_http_client.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from rhubarbferry.platform.http import JsonClient, NoAnswer, NotSent, TransferLimit
+from rhubarbferry.platform.http_client import JsonClient, NoAnswer, NotSent, TransferLimit
 
 RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 2\r\n\r\n{}"
 # The kernel retransmits a lost SYN packet after this time.
--- a/tests/on_platform/test_serving.py
+++ b/tests/on_platform/test_process_start.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from rhubarbferry.platform.serving import listen
+from rhubarbferry.platform.http_server import listen
 from rhubarbferry.test.serving import address_of
 
 
