--- a/rhubarbferry/conf/checks.py
+++ b/rhubarbferry/conf/checks.py
@@ -124,13 +124,13 @@
     partitions although nothing has failed.
     """
     own = cfg.ownership
-    usable = own.lease_s - own.clock_margin_s
-    if own.renew_s > 0 and usable < 2 * own.renew_s:
+    usable_s = own.lease_s - own.clock_margin_s
+    if own.renew_s > 0 and usable_s < 2 * own.renew_s:
         yield Problem(
             section="ownership",
             key="renew_s",
             message=f"{own.renew_s} allows no lost renewal within a lease of {own.lease_s} s",
-            hint=f"Write at most {usable / 2:.2f}",
+            hint=f"Write at most {usable_s / 2:.2f}",
         )
 
 
@@ -141,13 +141,13 @@
     A worker stops its tasks when their lease expires. With a shorter task lease, each failure of a
     scheduler would stop all tasks of its racks.
     """
-    takeover = cfg.ownership.lease_s + 2 * cfg.jobs.renew_s
-    if cfg.jobs.task_lease_s < takeover:
+    takeover_s = cfg.ownership.lease_s + 2 * cfg.jobs.renew_s
+    if cfg.jobs.task_lease_s < takeover_s:
         yield Problem(
             section="jobs",
             key="task_lease_s",
             message=f"{cfg.jobs.task_lease_s} is shorter than a takeover",
-            hint=f"Write at least {takeover}",
+            hint=f"Write at least {takeover_s}",
         )
 
 
--- a/rhubarbferry/platform/directory.py
+++ b/rhubarbferry/platform/directory.py
@@ -10,7 +10,7 @@
 from rhubarbferry.dispatch.messages import HostEntry, HostPhase, Sizes
 from rhubarbferry.ports.store import KeyValue, TxnStore
 
-PREFIX = "servers/"
+HOSTS_PREFIX = "servers/"
 
 
 class PlatformDirectory:
@@ -22,12 +22,12 @@
 
     async def hosts(self) -> tuple[HostEntry, ...]:
         """Return the hosts that are currently registered."""
-        listing = await self._store.list(PREFIX)
+        listing = await self._store.list(HOSTS_PREFIX)
         entries = [self._decode_item(item) for item in listing.items]
         return tuple(entry for entry in entries if entry is not None)
 
     def _decode_item(self, item: KeyValue) -> HostEntry | None:
-        id = item.key.removeprefix(PREFIX)
+        id = item.key.removeprefix(HOSTS_PREFIX)
         try:
             return decode_entry(id, json.loads(item.value))
         except (ValueError, TypeError, KeyError, AttributeError) as exc:
--- a/rhubarbferry/platform/http_client.py
+++ b/rhubarbferry/platform/http_client.py
@@ -15,7 +15,7 @@
 KEEP_ALIVE_TIMEOUT_S = 30.0
 # Allows for one round trip between regions and for a busy host.
 CONNECT_TIMEOUT_S = 0.3
-# Concurrent connections to one address.
+# Default limit of concurrent connections to one address.
 MAX_CONNECTIONS_PER_ADDRESS = 32
 
 
@@ -24,7 +24,7 @@
 
 
 class NoAnswer(Exception):
-    """No complete response to a sent call was received; the call may have taken or may take effect.
+    """No complete response to a sent call was received; the call may or may not take effect.
 
     :param received_bytes: number of bytes of the response body that were received.
     """
@@ -105,7 +105,7 @@
 
 
 class JsonClient:
-    """Calls of one process to one kind of service.
+    """Client for one kind of JSON service, which may have several addresses.
 
     :param extra_timeout_s: returns the seconds to add to each timeout, to allow for delays of this
         process's event loop.
--- a/rhubarbferry/platform/settings.py
+++ b/rhubarbferry/platform/settings.py
@@ -61,10 +61,10 @@
         raise SettingsFileError(f"{path}: {exc.strerror}; check {SETTINGS_VARIABLE}") from exc
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
         raise SettingsFileError(f"{path}: not valid TOML ({exc}); rewrite the file") from exc
-    return decode(data)
+    return decode_settings(data)
 
 
-def decode(data: Mapping[str, Any]) -> SettingsFile:
+def decode_settings(data: Mapping[str, Any]) -> SettingsFile:
     """Decode the fields of a settings file.
 
     :raises SettingsFileError: when a required field is missing or a field has the wrong type.
--- a/rhubarbferry/platform/store.py
+++ b/rhubarbferry/platform/store.py
@@ -81,8 +81,8 @@
             body = _require_body(response)
             page = [_decode_item(item) for item in body.get("items", [])]
             items += page
-            # The pages are read at different revisions. A watch that starts at the revision of the
-            # first page reports every change that a later page may already include or may miss.
+            # The pages are read at different revisions. The changes after the revision of the first
+            # page include every change that a later page may include or miss.
             revision = revision or int(body["at"])
             if not body.get("hasMore") or not page:
                 return Listing(revision=revision, items=tuple(items), transfer_s=transfer_s)
--- a/rhubarbferry/ports/store.py
+++ b/rhubarbferry/ports/store.py
@@ -67,9 +67,10 @@
 
 @frozen(kw_only=True, slots=True)
 class Listing:
-    """The keys under a prefix.
+    """The keys under a prefix, with a revision of the store.
 
-    :param revision: the store's revision at the start of the read; watch from it.
+    :param revision: the store's revision at the start of the read. A watch of all changes after
+        this revision misses no change.
     :param items: the keys, in order.
     :param transfer_s: transfer time of the response bodies in seconds, 0 when it is unknown.
     """
@@ -160,7 +161,7 @@
 class Changes:
     """The changes under a prefix.
 
-    :param revision: revision from which to request the next changes.
+    :param revision: revision after which to request further changes.
     :param events: the changes, in order.
     :param transfer_s: transfer time of the response body in seconds, 0 when it is unknown.
     """
@@ -180,8 +181,8 @@
     async def list(self, prefix: str) -> Listing:
         """Return all keys that start with ``prefix``.
 
-        The keys may have been read at different revisions. A watch that starts at the revision of
-        the listing reports every change that the listing missed.
+        The keys may have been read at different revisions. The changes after the revision of the
+        listing include every change that the listing missed.
         """
         ...
 
@@ -221,7 +222,7 @@
 
 
 class Spend(StrEnum):
-    """Kinds of calls, each with its own part of the call budget."""
+    """Kinds of calls, which the call budget treats differently."""
 
     READ = "read"
     WRITE = "write"
--- a/tests/on_platform/test_decoding.py
+++ b/tests/on_platform/test_decoding.py
@@ -18,7 +18,7 @@
     JobFormError,
     parse_job,
 )
-from rhubarbferry.platform.settings import SettingsFileError, decode
+from rhubarbferry.platform.settings import SettingsFileError, decode_settings
 from rhubarbferry.platform.task_names import parse_task, step_name, task_name
 from rhubarbferry.ports.store import KeyValue, Listing
 
@@ -256,7 +256,7 @@
 
 
 def test_unknown_fields_of_a_settings_file_are_ignored():
-    found = decode(SETTINGS)
+    found = decode_settings(SETTINGS)
     assert found.cell.member == "edge-1"
     assert found.cell.failure_domain == "cm-doi"
     bounds = found.cell.bounds
@@ -279,4 +279,4 @@
 @pytest.mark.parametrize(("field", "change"), INVALID_SETTINGS.items(), ids=INVALID_SETTINGS.keys())
 def test_an_invalid_field_of_the_settings_is_named(field, change):
     with pytest.raises(SettingsFileError, match=field):
-        decode({**SETTINGS, **change})
+        decode_settings({**SETTINGS, **change})
