--- a/rhubarbferry/conf/loader.py
+++ b/rhubarbferry/conf/loader.py
@@ -63,7 +63,9 @@
     values: dict[str, Any] = {}
     for name in parser.sections():
         if name not in sections:
-            problems.append(_unknown("section", name, list(sections), section=name, key=""))
+            problems.append(
+                _unknown_name_problem("section", name, list(sections), section=name, key="")
+            )
             continue
         cls = sections[name].default.factory  # type: ignore[union-attr]
         values[name] = _read_section(cls, name, dict(parser[name]), problems)
@@ -79,7 +81,7 @@
     values: dict[str, Any] = {}
     for key, text in raw.items():
         if key not in fields:
-            problems.append(_unknown("key", key, list(fields), section=name, key=key))
+            problems.append(_unknown_name_problem("key", key, list(fields), section=name, key=key))
             continue
         try:
             values[key] = _convert(str(fields[key].type), text)
@@ -116,7 +118,9 @@
         raise ValueError(text) from None
 
 
-def _unknown(what: str, name: str, known: list[str], *, section: str, key: str) -> Problem:
+def _unknown_name_problem(
+    kind: str, name: str, known: list[str], *, section: str, key: str
+) -> Problem:
     close = difflib.get_close_matches(name, known, n=1)
     hint = f"Did you mean {close[0]!r}?" if close else f"Known: {', '.join(known)}"
-    return Problem(section=section, key=key, message=f"unknown {what} {name!r}", hint=hint)
+    return Problem(section=section, key=key, message=f"unknown {kind} {name!r}", hint=hint)
--- a/rhubarbferry/platform/__main__.py
+++ b/rhubarbferry/platform/__main__.py
@@ -8,8 +8,8 @@
 # start, and no scheduling decisions are made while all processes are starting.
 os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
-# By default SIGHUP and SIGTERM terminate a process. The imports below take a third of a second;
-# signals received during that time are recorded and handled later.
+# By default SIGHUP and SIGTERM terminate a process, and the imports below take a third of a second.
+# Signals received during that time are recorded instead; a recorded SIGTERM stops the process later.
 _early_signals: list[int] = []
 for _signal in (signal.SIGHUP, signal.SIGTERM):
     signal.signal(_signal, lambda number, _frame: _early_signals.append(number))
