--- a/rhubarbferry/platform/__main__.py
+++ b/rhubarbferry/platform/__main__.py
@@ -9,7 +9,7 @@
 os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
 # By default SIGHUP and SIGTERM terminate a process, and the imports below take a third of a second.
-# Signals received during that time are recorded instead; a recorded SIGTERM stops the process later.
+# Signals received in that time are recorded instead; a recorded SIGTERM stops the process later.
 _early_signals: list[int] = []
 for _signal in (signal.SIGHUP, signal.SIGTERM):
     signal.signal(_signal, lambda number, _frame: _early_signals.append(number))
