--- a/rhubarbferry/platform/job_forms.py
+++ b/rhubarbferry/platform/job_forms.py
@@ -30,18 +30,18 @@
     try:
         form = json.loads(body)
     except ValueError as exc:
-        raise JobFormError("the body is not valid JSON") from exc
+        raise JobFormError("the body is no JSON") from exc
     if not isinstance(form, dict):
-        raise JobFormError("the body is not a JSON object")
+        raise JobFormError("the body is no object")
     payload = form.get("spec", "")
     if not isinstance(payload, str) or len(payload.encode()) > MAX_PAYLOAD_BYTES:
-        raise JobFormError(f"spec: must be a string of at most {MAX_PAYLOAD_BYTES} bytes")
+        raise JobFormError(f"spec: a text of at most {MAX_PAYLOAD_BYTES} bytes is needed")
     rows = form.get("phases")
     if not isinstance(rows, list) or not 1 <= len(rows) <= MAX_STEPS:
-        raise JobFormError(f"phases: must be a list of 1 to {MAX_STEPS} steps")
+        raise JobFormError(f"phases: a list of 1 to {MAX_STEPS} steps is needed")
     steps = tuple(_parse_step(index, row) for index, row in enumerate(rows))
     if sum(step.count for step in steps) > MAX_TASKS:
-        raise JobFormError(f"phases: must not contain more than {MAX_TASKS} tasks")
+        raise JobFormError(f"phases: more than {MAX_TASKS} tasks")
     return JobRequest(
         id=id,
         queue=queue,
@@ -55,15 +55,15 @@
 
 def _parse_step(index: int, row: Any) -> StepRequest:
     if not isinstance(row, dict):
-        raise JobFormError(f"phases[{index}]: must be an object")
+        raise JobFormError(f"phases[{index}]: no object")
     after = row.get("after", [])
     if not isinstance(after, list) or not all(
         isinstance(step, int) and 0 <= step < index for step in after
     ):
-        raise JobFormError(f"phases[{index}].after: must list only indexes of earlier steps")
+        raise JobFormError(f"phases[{index}].after: only earlier steps may be named")
     count = _parse_integer(row, "count")
     if count < 1:
-        raise JobFormError(f"phases[{index}].count: must be at least 1")
+        raise JobFormError(f"phases[{index}].count: at least 1 is needed")
     return StepRequest(
         count=count,
         sizes=Sizes(
@@ -92,26 +92,26 @@
 def _parse_integer(row: dict[str, Any], name: str) -> int:
     value = _parse_number(row, name)
     if value != int(value):
-        raise JobFormError(f"{name}: must be an integer")
+        raise JobFormError(f"{name}: a whole number is needed")
     return int(value)
 
 
 def _parse_number(row: dict[str, Any], name: str) -> float:
     value = row.get(name, 0)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value < 0:
-        raise JobFormError(f"{name}: must be a number of at least 0")
+        raise JobFormError(f"{name}: a number of 0 or more is needed")
     return value
 
 
 def _parse_boolean(row: dict[str, Any], name: str) -> bool:
     value = row.get(name, False)
     if not isinstance(value, bool):
-        raise JobFormError(f"{name}: must be true or false")
+        raise JobFormError(f"{name}: true or false is needed")
     return value
 
 
 def _parse_string(row: dict[str, Any], name: str) -> str:
     value = row.get(name, "")
     if not isinstance(value, str):
-        raise JobFormError(f"{name}: must be a string")
+        raise JobFormError(f"{name}: a text is needed")
     return value
--- a/rhubarbferry/platform/policy.py
+++ b/rhubarbferry/platform/policy.py
@@ -31,7 +31,7 @@
         except (NotSent, NoAnswer) as exc:
             raise WorkerSilent(str(exc)) from exc
         if response.status == 429:
-            raise PolicyBusy("the policy service has too many pending requests")
+            raise PolicyBusy("the policy service has too many questions waiting")
         if response.status != 200 or not isinstance(response.body, dict):
             raise WorkerSilent(f"status {response.status}: {response.body}")
         return Approvals(
--- a/tests/on_platform/test_host_reports.py
+++ b/tests/on_platform/test_host_reports.py
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize(
     ("bytes_per_s", "received"), [(1_000_000, True), (30_000, True), (8_000, False)]
 )
-async def test_a_large_report_on_a_slow_link_is_received(stand_in, bytes_per_s, received):
+async def test_a_large_report_is_received_while_it_makes_progress(stand_in, bytes_per_s, received):
     """Guards against treating a host as silent while it sends a large report on a slow link."""
     host = PlatformWorkerStandIn(id="host", service="pool", store=stand_in)
     host._ended = [[number, TASK, number, "done", ""] for number in range(1, ENDED_TASKS + 1)]
