--- a/rhubarbferry/conf/loader.py
+++ b/rhubarbferry/conf/loader.py
@@ -1,4 +1,4 @@
-"""Read the settings of a process from an INI file, and find all that is wrong at once."""
+"""Read the settings of a process from an INI file and report all problems at once."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 def load_settings(path: Path) -> Result[Settings, tuple[Problem, ...]]:
-    """Read and check the file at ``path``; no key is left out of the answer for another's fault."""
+    """Read and validate the settings file at ``path``.
+
+    :returns: the settings, or all problems found.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -30,7 +33,7 @@
 
 
 def require_settings(path: Path) -> Settings:
-    """Return the settings.
+    """Return the validated settings of the file at ``path``.
 
     :raises SettingsError: with all problems, when there are any.
     """
@@ -44,7 +47,10 @@
 
 
 def parse_settings(text: str) -> Result[Settings, tuple[Problem, ...]]:
-    """Read settings from the text of an INI file and check them."""
+    """Parse and validate settings from the text of an INI file.
+
+    :returns: the settings, or all problems found.
+    """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
@@ -57,7 +63,9 @@
     values: dict[str, Any] = {}
     for name in parser.sections():
         if name not in sections:
-            problems.append(_unknown("section", name, list(sections), section=name, key=""))
+            problems.append(
+                _unknown_name_problem("section", name, list(sections), section=name, key="")
+            )
             continue
         cls = sections[name].default.factory  # type: ignore[union-attr]
         values[name] = _read_section(cls, name, dict(parser[name]), problems)
@@ -73,7 +81,7 @@
     values: dict[str, Any] = {}
     for key, text in raw.items():
         if key not in fields:
-            problems.append(_unknown("key", key, list(fields), section=name, key=key))
+            problems.append(_unknown_name_problem("key", key, list(fields), section=name, key=key))
             continue
         try:
             values[key] = _convert(str(fields[key].type), text)
@@ -82,7 +90,7 @@
                 Problem(
                     section=name,
                     key=key,
-                    message=f"{text!r} is no {fields[key].type}",
+                    message=f"{text!r} is not a valid {fields[key].type}",
                     hint=f"Write it like {fields[key].default!r}",
                 )
             )
@@ -110,7 +118,9 @@
         raise ValueError(text) from None
 
 
-def _unknown(what: str, name: str, known: list[str], *, section: str, key: str) -> Problem:
+def _unknown_name_problem(
+    kind: str, name: str, known: list[str], *, section: str, key: str
+) -> Problem:
     close = difflib.get_close_matches(name, known, n=1)
     hint = f"Did you mean {close[0]!r}?" if close else f"Known: {', '.join(known)}"
-    return Problem(section=section, key=key, message=f"unknown {what} {name!r}", hint=hint)
+    return Problem(section=section, key=key, message=f"unknown {kind} {name!r}", hint=hint)
