--- a/rhubarbferry/management/__init__.py
+++ b/rhubarbferry/management/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Command line of rhubarbferry."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def main() -> None:
-    """Run the command that the arguments name, and exit with its code."""
-    # A daemon stays for months on a small host: it starts without the command line library,
-    # which would cost it more memory than its own state.
+    """Run the command named by the arguments and exit with its code."""
+    # Daemons run for months on small hosts. They start without importing the command line library,
+    # which would take more memory than their own state.
     if len(sys.argv) > 1 and sys.argv[1] in DAEMONS and "--help" not in sys.argv:
         from rhubarbferry.management.daemons import run_daemon
 
--- a/rhubarbferry/management/cell_access.py
+++ b/rhubarbferry/management/cell_access.py
@@ -1,4 +1,4 @@
-"""Reach a cell from the command line: by its store, which all operators can."""
+"""Access to a cell from the command line, through its store."""
 
 from __future__ import annotations
 
@@ -23,17 +23,22 @@
 
 StoreUrl = Annotated[str, Parameter(help="Address of the platform's key-value service.")]
 SettingsFile = Annotated[
-    Path | None, Parameter(help="Settings file of any process of the cell, in place of --store.")
+    Path | None,
+    Parameter(help="Settings file of any process of the cell, used in place of --store."),
 ]
 
 
 class NoFrontend(OSError):
-    """No live frontend to ask. Look at ``rhubarbferry status``, then start one."""
+    """No live frontend is registered. Start one; ``rhubarbferry status`` lists the members."""
 
 
 @asynccontextmanager
 async def open_store(*, url: str, config: Path | None) -> AsyncIterator[Store]:
-    """Open the store of the cell that the options name."""
+    """Open the store of a cell and close it on exit.
+
+    :param url: address of the store.
+    :param config: settings file to read the store's settings from, in place of ``url``.
+    """
     cfg = StoreSettings(url=url) if config is None else require_settings(config).store
     store = EtcdStore(
         url=cfg.url, prefix=cfg.prefix, clock=SystemClock(), timeout_s=COMMAND_TIMEOUT_S
@@ -45,12 +50,12 @@
 
 
 async def read_cell(store: Store) -> State:
-    """Return members, ownership and configuration as the store holds them."""
+    """Return members, ownership and configuration as stored."""
     listing = await store.list(CELL)
     return read_state(listing.items)
 
 
-def any_frontend(state: State) -> Member:
+def find_frontend(state: State) -> Member:
     """Return a frontend that is not draining.
 
     :raises NoFrontend: when there is none.
@@ -58,4 +63,4 @@
     for member in state.members.values():
         if member.role is Role.FRONTEND and member.http_address and not member.draining:
             return member
-    raise NoFrontend("no live frontend; look at rhubarbferry status, then start one")
+    raise NoFrontend("no live frontend is registered; start one and check rhubarbferry status")
--- a/rhubarbferry/management/commands/__init__.py
+++ b/rhubarbferry/management/commands/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each command."""
+"""Commands, one module each."""
--- a/rhubarbferry/management/commands/apply.py
+++ b/rhubarbferry/management/commands/apply.py
@@ -1,4 +1,4 @@
-"""``apply``: make a configuration the one in force in the whole cell."""
+"""``apply``: put a configuration in force in the whole cell."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
     store: StoreUrl = DEFAULT_STORE,
     config: SettingsFile = None,
 ) -> int:
-    """Check, compare and accept a configuration; another's change in between is refused.
+    """Validate a configuration and store it; refuse if it has changed since ``--based-on``.
 
-    :param file: templates, client accounts and services of the cell.
-    :param based_on: the revision you have edited; by default the newest one.
-    :param wait: return only once it is in force in every live member.
-    :param timeout_s: longest wait.
-    :param author: name kept with the change.
+    :param file: file with the templates, client accounts and services of the cell.
+    :param based_on: the revision that the file was edited from; the newest one by default.
+    :param wait: return only when the configuration is in force in every live member.
+    :param timeout_s: longest time to wait, in seconds.
+    :param author: name recorded with the change.
     """
     text = file.read_text(encoding="utf-8")
     return asyncio.run(
--- a/rhubarbferry/management/commands/bench.py
+++ b/rhubarbferry/management/commands/bench.py
@@ -1,4 +1,4 @@
-"""``bench``: drive the decision core with generated work and print figures."""
+"""``bench``: run the decision core on generated work and print measurements."""
 
 from __future__ import annotations
 
@@ -25,17 +25,18 @@
     output: Path | None = None,
     plot: Path | None = None,
 ) -> int:
-    """Drive the decision core with generated work; print the figures as JSON.
+    """Run the decision core on generated work and print the measurements as JSON.
 
-    :param experiment: which one, or all.
-    :param profile: sizes of the cell: today's, or those expected in two years.
-    :param seed: of the generated work; the same gives the same figures but for the times.
-    :param request_seconds: generated time at each load of the requests.
-    :param share_seconds: generated time of the runs that tell shares.
-    :param day_seconds: generated time for which jobs come in on each day.
-    :param steps: batches of the placement experiment.
-    :param output: a file for the JSON, in place of standard output.
-    :param plot: a PNG to draw; needs matplotlib.
+    :param experiment: the experiment to run, or all.
+    :param profile: size of the cell: ``today`` for the current one, ``aim`` for the one expected
+        in two years.
+    :param seed: seed of the generated work. Runs with the same seed differ only in measured times.
+    :param request_seconds: simulated time at each load level of the request experiment.
+    :param share_seconds: simulated time of each run that measures fair shares.
+    :param day_seconds: simulated time on each day during which jobs arrive.
+    :param steps: number of batches in the placement experiment.
+    :param output: file for the JSON, in place of standard output.
+    :param plot: PNG file to draw; requires matplotlib.
     """
     from rhubarbferry.bench.run import EXPERIMENTS, Plan, run
 
@@ -62,6 +63,9 @@
     try:
         draw(report, path)
     except ImportError:
-        print("no plot: install matplotlib, as in rhubarbferry[bench]", file=sys.stderr)
+        print(
+            "plot not drawn: install matplotlib, for example with rhubarbferry[bench]",
+            file=sys.stderr,
+        )
         return Exit.FAILED
     return Exit.OK
--- a/rhubarbferry/management/commands/check.py
+++ b/rhubarbferry/management/commands/check.py
@@ -1,4 +1,4 @@
-"""``check``: look through a configuration of the cell."""
+"""``check``: validate a configuration of the cell."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def check(file: Path, *, format: Format = "table") -> int:
-    """Check templates, client accounts and services; print every problem with its remedy.
+    """Validate templates, client accounts and services; print each problem with its remedy.
 
-    :param file: the configuration of the cell.
+    :param file: file with the configuration of the cell.
     """
     match parse_cell(file.read_text(encoding="utf-8"), 1):
         case Failure(problems):
--- a/rhubarbferry/management/commands/check_settings.py
+++ b/rhubarbferry/management/commands/check_settings.py
@@ -1,4 +1,4 @@
-"""``check-settings``: look through the settings of a process."""
+"""``check-settings``: validate the settings of a process."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def check_settings(file: Path, *, format: Format = "table") -> int:
-    """Check a settings file; print every problem with its remedy.
+    """Validate a settings file; print each problem with its remedy.
 
-    :param file: settings of a frontend or scheduler, or the platform's file of a process
-        (``.toml``).
+    :param file: settings file of a frontend or scheduler, or the file that the platform writes for
+        a process (``.toml``).
     """
     if file.suffix == ".toml":
         return _check_platform_file(file, format)
@@ -34,7 +34,7 @@
         load(file)
     except SettingsFileError as exc:
         field, _, message = str(exc).partition(": ")
-        hint = "The platform writes this file; ask its operators for the field."
+        hint = "The platform writes this file; ask the platform's operators to correct it."
         problem = Problem(section="", key=field, message=message, hint=hint)
         print_rows((problem,), kind=Problem, format=format)
         return Exit.REFUSED
--- a/rhubarbferry/management/commands/daemons.py
+++ b/rhubarbferry/management/commands/daemons.py
@@ -1,4 +1,4 @@
-"""``frontend`` and ``scheduler``: the daemons, listed here for their help."""
+"""``frontend`` and ``scheduler``: the daemons, registered as commands for their help texts."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 def frontend(*, config: Path) -> int:
-    """Run a frontend: it owns the connections of callers, operators and runners.
+    """Run a frontend, which holds the connections of callers, operators and runners.
 
-    :param config: its settings file.
+    :param config: settings file of the process.
     """
     return run_daemon("frontend", ["--config", str(config)])
 
 
 def scheduler(*, config: Path) -> int:
-    """Run a scheduler: it owns partitions and decides for them.
+    """Run a scheduler, which owns partitions and makes their decisions.
 
-    :param config: its settings file.
+    :param config: settings file of the process.
     """
     return run_daemon("scheduler", ["--config", str(config)])
--- a/rhubarbferry/management/commands/diff.py
+++ b/rhubarbferry/management/commands/diff.py
@@ -11,15 +11,15 @@
 
 
 def diff(file: Path, *, store: StoreUrl = DEFAULT_STORE, config: SettingsFile = None) -> int:
-    """Print what applying the file would change; exit with 1 when that is anything."""
+    """Print the changes that applying the file would make; exit with 1 if there are any."""
     return asyncio.run(_diff(file.read_text(encoding="utf-8"), store, config))
 
 
 async def _diff(text: str, url: str, config: Path | None) -> int:
     async with open_store(url=url, config=config) as store:
         stored = await configuration.read(store)
-    found = configuration.diff(stored.record.text, text)
-    if found:
-        print(found)
+    changes = configuration.diff(stored.record.text, text)
+    if changes:
+        print(changes)
         return Exit.FAILED
     return Exit.OK
--- a/rhubarbferry/management/commands/explain.py
+++ b/rhubarbferry/management/commands/explain.py
@@ -1,4 +1,4 @@
-"""``explain``: say in words what a job waits for."""
+"""``explain``: print what a job waits for."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     DEFAULT_STORE,
     SettingsFile,
     StoreUrl,
-    any_frontend,
+    find_frontend,
     open_store,
     read_cell,
 )
@@ -26,9 +26,9 @@
     store: StoreUrl = DEFAULT_STORE,
     config: SettingsFile = None,
 ) -> int:
-    """Say which constraint holds the tasks of a job.
+    """Print which constraint prevents the tasks of a job from starting.
 
-    :param job: the id that the submission returned.
+    :param job: job id that the submission returned.
     """
     return asyncio.run(_explain(job, format, store, config))
 
@@ -38,17 +38,17 @@
 
     async with open_store(url=url, config=config) as store:
         state = await read_cell(store)
-    address = any_frontend(state).http_address
+    address = find_frontend(state).http_address
     timeout = aiohttp.ClientTimeout(total=COMMAND_TIMEOUT_S)
     async with (
         aiohttp.ClientSession(timeout=timeout) as session,
-        session.get(f"http://{address}/v1/jobs/{job}/explain") as answer,
+        session.get(f"http://{address}/v1/jobs/{job}/explain") as response,
     ):
-        body = await answer.json(content_type=None)
-        found = answer.ok
-    if format == "json" or not found:
+        body = await response.json(content_type=None)
+        ok = response.ok
+    if format == "json" or not ok:
         print(json.dumps(body))
     else:
         for line in body.get("explanation", ()):
             print(line)
-    return Exit.OK if found else Exit.FAILED
+    return Exit.OK if ok else Exit.FAILED
--- a/rhubarbferry/management/commands/release.py
+++ b/rhubarbferry/management/commands/release.py
@@ -1,4 +1,4 @@
-"""``release``: let the live frontends of a region form its guard set without the dead ones."""
+"""``release``: empty a region's guard set so that its live frontends can form a new one."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from rhubarbferry.ports.ownership import Role
 
 WRITER_ID_BYTES = 8
-CONDITION = """\
-Safe only when no scheduler that has owned runners of region {region} still runs cut off from the
-store. Two owners might else give out the same slots, and requests would run beside each other.
-  1. {dead} of its {all} guards are not live: {names}.
-  2. Make sure that every scheduler that `rhubarbferry status` does not show, and that may have
-     owned runner/{region}/..., has ended: its process, not its connection.
-  3. Then run it again with --force."""
+CONDITIONS = """\
+Safe only when no scheduler that has owned runners of region {region} still runs without access to
+the store. Otherwise two owners might grant the same slot, and two requests would run in it.
+  1. {ended} of its {all} guards are not live: {names}.
+  2. Make sure that the process of every scheduler that `rhubarbferry status` does not show, and
+     that may have owned runner/{region}/..., has ended. A lost connection is not enough.
+  3. Then run the command again with --force."""
 
 
 def release(
@@ -40,10 +40,10 @@
     store: StoreUrl = DEFAULT_STORE,
     config: SettingsFile = None,
 ) -> int:
-    """Release a region's runner partitions from guards that are dead for sure.
+    """Release a region's runner partitions from guards that are known to have ended.
 
-    :param region: whose guard set is replaced by its live frontends.
-    :param force: do it; without, only say what must be true before.
+    :param region: region whose guard set is replaced by its live frontends.
+    :param force: release the guards; without it, only print the conditions for a safe release.
     """
     return asyncio.run(_release(region, force, store, config))
 
@@ -52,10 +52,10 @@
     async with open_store(url=url, config=config) as store:
         state = await read_cell(store)
         if region not in state.table.guards:
-            known = ", ".join(sorted(state.table.guards)) or "none yet"
-            return _refuse(f"region {region!r} has no guard set; there are: {known}")
+            regions = ", ".join(sorted(state.table.guards)) or "none yet"
+            return _refuse(f"region {region!r} has no guard set; there are: {regions}")
         if not force:
-            return _refuse(_condition(state, region))
+            return _refuse(_describe_conditions(state, region))
         try:
             version = await release_guards(
                 store, region=region, writer_id=f"release-{secrets.token_hex(WRITER_ID_BYTES)}"
@@ -66,12 +66,12 @@
     return Exit.OK
 
 
-def _condition(state: State, region: str) -> str:
+def _describe_conditions(state: State, region: str) -> str:
     guards = state.table.guards.get(region, NO_GUARDS).guards
     live = {member.id for member in state.members.values() if member.role is Role.FRONTEND}
-    dead = sorted(guard.id for guard in guards if guard.id not in live)
-    names = ", ".join(dead) or "none, so a release is not needed"
-    return CONDITION.format(region=region, dead=len(dead), all=len(guards), names=names)
+    ended = sorted(guard.id for guard in guards if guard.id not in live)
+    names = ", ".join(ended) or "none, so a release is not needed"
+    return CONDITIONS.format(region=region, ended=len(ended), all=len(guards), names=names)
 
 
 def _refuse(message: str) -> int:
--- a/rhubarbferry/management/commands/report.py
+++ b/rhubarbferry/management/commands/report.py
@@ -24,19 +24,19 @@
     read_cell,
 )
 from rhubarbferry.management.exits import Exit
-from rhubarbferry.management.output import rows_text
+from rhubarbferry.management.output import format_table
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.reports.burn import Alarm, Window
 from rhubarbferry.reports.scrape import scrape_all
-from rhubarbferry.reports.slo import Line, MemberLine, SloReport, assemble
+from rhubarbferry.reports.slo import MemberLine, SloLine, SloReport, assemble
 
 ReportFormat = Literal["table", "json", "html"]
-ALARMS = (Alarm.SLOW, Alarm.FAST)
+BURNING_ALARMS = (Alarm.SLOW, Alarm.FAST)
 
 
 @frozen(kw_only=True)
 class SloRow:
-    """One line of the table; counts are of the last 6 h, burn rates of the named windows."""
+    """One line of the table: counts of the last 6 h and burn rates of the named windows."""
 
     account: str
     template: str
@@ -63,29 +63,29 @@
     store: StoreUrl = DEFAULT_STORE,
     config: SettingsFile = None,
 ) -> int:
-    """Report the burn of the objectives; exit with 1 when one burns, or a member is silent.
+    """Report the burn of the objectives; exit with 1 on an alarm or an unreachable member.
 
-    :param format: a table, JSON, or a page for a browser.
-    :param output: a file to write to, in place of standard output.
+    :param format: a table, JSON, or an HTML page.
+    :param output: file to write to, in place of standard output.
     """
-    report = asyncio.run(_gather(store, config))
+    report = asyncio.run(_collect(store, config))
     text = render(report, format)
     if output is None:
         sys.stdout.write(text)
     else:
         output.write_text(text, encoding="utf-8")
-    burning = any(line.alarm in ALARMS for line in report.accounts)
-    return Exit.FAILED if burning or report.silent else Exit.OK
+    burning = any(line.alarm in BURNING_ALARMS for line in report.accounts)
+    return Exit.FAILED if burning or report.unreachable_members else Exit.OK
 
 
-async def _gather(url: str, config: Path | None) -> SloReport:
+async def _collect(url: str, config: Path | None) -> SloReport:
     async with open_store(url=url, config=config) as store:
         state = await read_cell(store)
     scrapes = await scrape_all(state.members.values())
-    return assemble(cell=_cell(state), scrapes=scrapes, taken_at=SystemClock().wall())
+    return assemble(cell=_parse_cell(state), scrapes=scrapes, taken_at=SystemClock().wall())
 
 
-def _cell(state: State) -> Cell:
+def _parse_cell(state: State) -> Cell:
     if state.config is None:
         return Cell()
     match parse_cell(state.config.text, state.config.revision):
@@ -95,45 +95,49 @@
 
 
 def render(report: SloReport, format: ReportFormat) -> str:
-    """Return the report as text."""
+    """Return the report as text in the given format."""
     match format:
         case "json":
-            return json.dumps(attrs.asdict(report, value_serializer=_plain), indent=1) + "\n"
+            return (
+                json.dumps(attrs.asdict(report, value_serializer=_finite_or_none), indent=1) + "\n"
+            )
         case "html":
-            from rhubarbferry.reports.html import page
+            from rhubarbferry.reports.html import render_page
 
-            return page(report)
+            return render_page(report)
         case _:
             return _tables(report)
 
 
-def _plain(_: type, __: Any, value: Any) -> Any:
-    """Make values that JSON can hold; it has no infinity."""
+def _finite_or_none(_: type, __: Any, value: Any) -> Any:
+    """Replace infinity, which JSON can't represent, by ``None``."""
     if isinstance(value, float) and math.isinf(value):
         return None
     return value
 
 
 def _tables(report: SloReport) -> str:
-    accounts = [_row(line) for line in report.accounts]
-    templates = [_row(line) for line in report.templates]
-    parts = [coverage(report), rows_text(accounts, kind=SloRow)]
-    parts.append(rows_text(templates, kind=SloRow))
-    parts.append(rows_text(report.members, kind=MemberLine))
+    accounts = [_slo_row(line) for line in report.accounts]
+    templates = [_slo_row(line) for line in report.templates]
+    parts = [describe_coverage(report), format_table(accounts, kind=SloRow)]
+    parts.append(format_table(templates, kind=SloRow))
+    parts.append(format_table(report.members, kind=MemberLine))
     return "\n\n".join(parts) + "\n"
 
 
-def coverage(report: SloReport) -> str:
-    """Say what the figures rest on."""
-    heard = len(report.members) - report.silent
+def describe_coverage(report: SloReport) -> str:
+    """Return a sentence with the number of members and the time that the figures cover."""
+    answered = len(report.members) - report.unreachable_members
     minutes = int(report.covered_s // 60)
-    text = f"{heard} of {len(report.members)} members answered; all of them cover {minutes} minutes"
+    text = (
+        f"{answered} of {len(report.members)} members answered; all of them cover {minutes} minutes"
+    )
     if report.covered_s < Window.H6.seconds:
         text += ", so longer windows hold no more than that"
     return text + "."
 
 
-def _row(line: Line) -> SloRow:
+def _slo_row(line: SloLine) -> SloRow:
     longest = line.counts[Window.H6]
     objective = line.objective
     return SloRow(
@@ -150,11 +154,11 @@
         burn_30m=f"{line.burn[Window.M30]:.2f}",
         burn_6h=f"{line.burn[Window.H6]:.2f}",
         budget_left=f"{100 * line.budget_left:.1f}%",
-        p50=_seconds(line.p50_s),
-        p99=_seconds(line.p99_s),
+        p50=_format_wait(line.p50_s),
+        p99=_format_wait(line.p99_s),
         verdict=line.alarm.value,
     )
 
 
-def _seconds(value: float | None) -> str:
+def _format_wait(value: float | None) -> str:
     return "-" if value is None else f"{value:.3f} s"
--- a/rhubarbferry/management/commands/status.py
+++ b/rhubarbferry/management/commands/status.py
@@ -24,12 +24,12 @@
 from rhubarbferry.rpc.services import GUARD, SCHEDULER
 
 CALL_TIMEOUT_S = 2.0
-SILENT = "no answer"
+NO_ANSWER = "no answer"
 
 
 @frozen(kw_only=True)
 class MemberRow:
-    """One member and the configuration in force there, by its own word."""
+    """One member and the configuration revision that it reports to be in force."""
 
     member: str
     role: str
@@ -42,7 +42,7 @@
 
 @frozen(kw_only=True)
 class PartitionRow:
-    """One partition: the owner in the table, and the phase by the owner's word."""
+    """One partition: its owner in the ownership table, and the phase that the owner reports."""
 
     partition: str
     owner: str
@@ -57,16 +57,16 @@
     store: StoreUrl = DEFAULT_STORE,
     config: SettingsFile = None,
 ) -> int:
-    """Show members and partitions; exit with 1 when a partition has no live owner."""
+    """Show members and partitions; exit with 1 if a partition is not being served."""
     return asyncio.run(_status(format, store, config))
 
 
 async def _status(format: Format, url: str, config: Path | None) -> int:
     async with open_store(url=url, config=config) as store:
         state = await read_cell(store)
-    answers = await _ask_all(state)
-    members = [_member_row(member, answers) for member in state.members.values()]
-    partitions = _partition_rows(state, answers)
+    replies = await _request_all_statuses(state)
+    members = [_member_row(member, replies) for member in state.members.values()]
+    partitions = _partition_rows(state, replies)
     print_rows(members, kind=MemberRow, format=format)
     if format == "table":
         print()
@@ -75,16 +75,18 @@
     return Exit.OK if served else Exit.FAILED
 
 
-async def _ask_all(state: State) -> dict[str, Any]:
+async def _request_all_statuses(state: State) -> dict[str, Any]:
     pools = {Role.FRONTEND: Pool(service=GUARD), Role.SCHEDULER: Pool(service=SCHEDULER)}
     members = list(state.members.values())
-    replies = await asyncio.gather(*(_ask(pools[member.role], member) for member in members))
+    replies = await asyncio.gather(
+        *(_request_status(pools[member.role], member) for member in members)
+    )
     for pool in pools.values():
         await pool.close()
     return {member.id: reply for member, reply in zip(members, replies, strict=True)}
 
 
-async def _ask(pool: Pool, member: Member) -> Any:
+async def _request_status(pool: Pool, member: Member) -> Any:
     req = StatusRequest(sender="operator")
     try:
         return await pool.call(member.address, "status", req, timeout_s=CALL_TIMEOUT_S)
@@ -92,32 +94,32 @@
         return None
 
 
-def _member_row(member: Member, answers: dict[str, Any]) -> MemberRow:
-    reply = answers[member.id]
+def _member_row(member: Member, replies: dict[str, Any]) -> MemberRow:
+    reply = replies[member.id]
     return MemberRow(
         member=member.id,
         role=member.role.value,
         region=member.region,
         failure_domain=member.failure_domain,
         address=member.http_address or member.address,
-        revision=SILENT if reply is None else str(reply.config_revision),
+        revision=NO_ANSWER if reply is None else str(reply.config_revision),
         draining=member.draining,
     )
 
 
-def _partition_rows(state: State, answers: dict[str, Any]) -> list[PartitionRow]:
+def _partition_rows(state: State, replies: dict[str, Any]) -> list[PartitionRow]:
     rows = []
     for partition, entry in sorted(state.table.entries.items()):
-        reply = answers.get(entry.member_id)
-        told = {p.partition: p for p in reply.partitions} if reply is not None else {}
-        own = told.get(str(partition))
+        reply = replies.get(entry.member_id)
+        reported = {p.partition: p for p in reply.partitions} if reply is not None else {}
+        partition_status = reported.get(str(partition))
         rows.append(
             PartitionRow(
                 partition=str(partition),
                 owner=entry.member_id,
                 epoch=entry.epoch,
-                phase=own.phase if own is not None else SILENT,
-                waiting=str(own.depth) if own is not None else "",
+                phase=partition_status.phase if partition_status is not None else NO_ANSWER,
+                waiting=str(partition_status.depth) if partition_status is not None else "",
             )
         )
     return rows
--- a/rhubarbferry/management/daemons.py
+++ b/rhubarbferry/management/daemons.py
@@ -16,7 +16,11 @@
 
 
 def run_daemon(name: str, argv: list[str]) -> int:
-    """Run the frontend or the scheduler until it is told to stop; return its exit code."""
+    """Run the frontend or the scheduler until it stops; return its exit code.
+
+    :param name: ``frontend`` or ``scheduler``.
+    :param argv: arguments after the name.
+    """
     if len(argv) != 2 or argv[0] != "--config":
         print(USAGE.format(name=name), file=sys.stderr)
         return Exit.USAGE
@@ -26,7 +30,8 @@
         print(exc, file=sys.stderr)
         return Exit.REFUSED
     set_up_logs(cfg.log, member=cfg.process.member)
-    # What was imported stays; looking through it again and again would only delay decisions.
+    # Imported objects live as long as the process. Scanning them in each garbage collection would
+    # only delay decisions.
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     return asyncio.run(_run(name, cfg))
--- a/rhubarbferry/management/exits.py
+++ b/rhubarbferry/management/exits.py
@@ -6,7 +6,7 @@
 
 
 class Exit(IntEnum):
-    """What the exit code of a command says."""
+    """Meaning of the exit code of a command."""
 
     OK = 0
     FAILED = 1
--- a/rhubarbferry/reports/__init__.py
+++ b/rhubarbferry/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Reports for operators: burn of the service-level objectives."""
+"""Reports for operators: service-level objectives, lost jobs and the list of metrics."""
--- a/rhubarbferry/reports/burn.py
+++ b/rhubarbferry/reports/burn.py
@@ -1,8 +1,9 @@
-"""Burn of a service-level objective: what part of its allowance for bad events is used up.
+"""Burn rates of service-level objectives: how fast the budget for bad events is used up.
 
-A burn rate of 1 uses the allowance exactly; of 10, ten times as fast. One window alone either
-says so late (a long one) or cries at each blip (a short one), so an alarm asks for two: the long
-one shows that it matters, the short one that it still goes on.
+A burn rate of 1 uses up the budget exactly by the end of the period; a rate of 10 uses it up ten
+times as fast. An alarm on a long window alone fires late, and one on a short window alone fires at
+every brief error spike. An alarm therefore requires two windows: the long one shows that the burn
+is significant, the short one that it is still going on.
 """
 
 from __future__ import annotations
@@ -16,16 +17,17 @@
 from rhubarbferry.core.cell import Objective
 
 SLOT_S = 60.0
-SLOTS = 361
+SLOT_COUNT = 361
 FAST_BURN = 14.4
 SLOW_BURN = 6.0
 
 
 class EventKind(StrEnum):
-    """How one request or job came out, as far as the objective is concerned.
+    """Classification of one request or job with regard to its objective.
 
-    ``GOOD`` started in time. ``LATE`` started after it, or its caller went away after it.
-    ``REFUSED`` was not run for want of room. ``UNKNOWN`` may or may not have been run.
+    ``GOOD``: it started within the objective's wait. ``LATE``: it started later, or its caller
+    disconnected after that wait. ``REFUSED``: it was not run because there was no capacity.
+    ``UNKNOWN``: it may or may not have been run.
     """
 
     GOOD = "good"
@@ -38,7 +40,7 @@
 
 
 class Window(StrEnum):
-    """The windows over which burn is told."""
+    """Time windows over which burn rates are computed."""
 
     M5 = "5m"
     M30 = "30m"
@@ -47,7 +49,7 @@
 
     @property
     def seconds(self) -> float:
-        """Return its length."""
+        """Return the length of the window in seconds."""
         return WINDOW_S[self]
 
 
@@ -55,7 +57,7 @@
 
 
 class Alarm(StrEnum):
-    """What the four windows say together."""
+    """Alarm level computed from the burn rates of the four windows."""
 
     NO_EVENTS = "no events"
     OK = "ok"
@@ -65,7 +67,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Counts:
-    """Events by kind."""
+    """Numbers of events by kind."""
 
     good: int = 0
     late: int = 0
@@ -90,28 +92,28 @@
 
     @property
     def bad(self) -> int:
-        """Return the events that use up the allowance."""
+        """Return the number of events that use up the budget."""
         return self.late + self.refused + self.unknown
 
     @property
     def total(self) -> int:
-        """Return all events."""
+        """Return the number of all events."""
         return self.good + self.bad
 
     def of(self, kind: EventKind) -> int:
-        """Return the events of one kind."""
+        """Return the number of events of one kind."""
         return int(getattr(self, kind.value))
 
 
 def sum_counts(parts: Iterable[Counts]) -> Counts:
-    """Add counts up."""
+    """Return the sum of several counts."""
     return sum(parts, Counts())
 
 
 def burn_rate(counts: Counts, objective: Objective) -> float:
-    """Return the bad part of the events over the bad part that the objective allows.
+    """Return the ratio of the measured bad fraction to the bad fraction that the objective allows.
 
-    :returns: 0 without events; infinite when a target of 1 is missed.
+    :returns: 0 without bad events; infinity when events are bad although the target is 1.
     """
     if counts.bad == 0:
         return 0.0
@@ -122,14 +124,15 @@
 
 
 def budget_left(counts: Counts, objective: Objective) -> float:
-    """Return the part of the allowance of these events that is left; negative when overdrawn."""
+    """Return the unused fraction of the budget for these events; negative when it is overdrawn."""
     return 1.0 - burn_rate(counts, objective)
 
 
 def alarm(burn: dict[Window, float], events: int) -> Alarm:
-    """Judge the burn of the four windows.
+    """Return the alarm level for the burn rates of the four windows.
 
-    :param events: in the longest window.
+    :param burn: the burn rate of each window.
+    :param events: number of events in the longest window.
     """
     if events == 0:
         return Alarm.NO_EVENTS
@@ -141,46 +144,46 @@
 
 
 class EventRing:
-    """Events of the last six hours in slots of a minute; 5,776 bytes whatever their number.
+    """Ring buffer of event counts of the last six hours, in slots of one minute.
 
-    A window is told from whole slots: the one that has begun, and as many before it as the window
-    has minutes.
+    Its counts take 5,776 bytes, however many events are counted. A window consists of whole slots:
+    the current, incomplete one and as many earlier ones as the window has minutes.
     """
 
     def __init__(self) -> None:
-        self._counts = array("I", bytes(4 * SLOTS * len(KINDS)))
-        self._newest = -1
-        self.touched = 0.0
+        self._counts = array("I", bytes(4 * SLOT_COUNT * len(KINDS)))
+        self._newest_slot = -1
+        self.last_event_at = 0.0
 
     def add(self, kind: EventKind, *, now: float, count: int = 1) -> None:
-        """Count events that happened now."""
-        self._turn(now)
-        self.touched = now
-        at = self._newest % SLOTS * len(KINDS) + KINDS.index(kind)
-        self._counts[at] = min(2**32 - 1, self._counts[at] + count)
+        """Count events that occur at ``now``."""
+        self._advance(now)
+        self.last_event_at = now
+        start = self._newest_slot % SLOT_COUNT * len(KINDS) + KINDS.index(kind)
+        self._counts[start] = min(2**32 - 1, self._counts[start] + count)
 
     def counts(self, window: Window, *, now: float) -> Counts:
-        """Return the events of a window."""
-        self._turn(now)
-        number = min(SLOTS, int(window.seconds // SLOT_S) + 1)
-        sums = [0] * len(KINDS)
-        for back in range(number):
-            at = (self._newest - back) % SLOTS * len(KINDS)
+        """Return the counts of a window that ends at ``now``."""
+        self._advance(now)
+        slot_count = min(SLOT_COUNT, int(window.seconds // SLOT_S) + 1)
+        totals = [0] * len(KINDS)
+        for offset in range(slot_count):
+            start = (self._newest_slot - offset) % SLOT_COUNT * len(KINDS)
             for index in range(len(KINDS)):
-                sums[index] += self._counts[at + index]
-        return counts_of(sums)
+                totals[index] += self._counts[start + index]
+        return counts_from_values(totals)
 
-    def _turn(self, now: float) -> None:
-        """Empty the slots that were passed since the last look."""
+    def _advance(self, now: float) -> None:
+        """Clear the slots whose time has begun since the last access."""
         slot = int(now // SLOT_S)
-        if self._newest < 0:
-            self._newest = slot
-        for passed in range(max(self._newest + 1, slot - SLOTS + 1), slot + 1):
-            at = passed % SLOTS * len(KINDS)
-            self._counts[at : at + len(KINDS)] = array("I", bytes(4 * len(KINDS)))
-        self._newest = max(self._newest, slot)
+        if self._newest_slot < 0:
+            self._newest_slot = slot
+        for begun_slot in range(max(self._newest_slot + 1, slot - SLOT_COUNT + 1), slot + 1):
+            start = begun_slot % SLOT_COUNT * len(KINDS)
+            self._counts[start : start + len(KINDS)] = array("I", bytes(4 * len(KINDS)))
+        self._newest_slot = max(self._newest_slot, slot)
 
 
-def counts_of(values: Sequence[int]) -> Counts:
-    """Return counts from numbers in the order of ``KINDS``."""
+def counts_from_values(values: Sequence[int]) -> Counts:
+    """Return the counts given as numbers in the order of the event kinds."""
     return Counts(**{kind.value: value for kind, value in zip(KINDS, values, strict=True)})
--- a/rhubarbferry/reports/events.py
+++ b/rhubarbferry/reports/events.py
@@ -1,4 +1,4 @@
-"""Events that objectives are about, as one process counts and publishes them."""
+"""Count the events that objectives cover and publish them as metrics of this process."""
 
 from __future__ import annotations
 
@@ -32,17 +32,18 @@
 
 
 class Work(StrEnum):
-    """What is counted."""
+    """Kind of work that an objective covers."""
 
     REQUESTS = "requests"
     JOBS = "jobs"
 
 
-class EventBook:
-    """Rings of the accounts of one process.
+class EventCounters:
+    """Event counts of each account in one process.
 
-    At most ``MAX_SERIES`` rings of 5.8 kB are held (3 MB); past that the one that has been quiet
-    longest makes room, so that accounts that come and go don't fill the memory.
+    At most 512 rings of 5.8 kB each are kept (3 MB). Beyond that the ring without events for the
+    longest time is removed, so that memory stays bounded when accounts are created and deleted
+    over time.
     """
 
     def __init__(self) -> None:
@@ -51,27 +52,28 @@
     def add(self, account: str, work: Work, kind: EventKind, *, now: float) -> None:
         """Count one event.
 
-        :param account: one of the configuration; names that callers make up must not come here.
+        :param account: name of an account in the configuration. Names that callers choose freely
+            must not be passed, since each one creates a time series.
         :param now: on the monotonic clock of the process.
         """
         ring = self._rings.get((account, work))
         if ring is None:
             if len(self._rings) >= MAX_SERIES:
-                self._drop_quietest()
+                self._remove_least_recent()
             ring = self._rings[account, work] = EventRing()
         ring.add(kind, now=now)
         EVENTS.labels(account, work.value, kind.value).inc()
 
     def series(self) -> list[tuple[str, Work]]:
-        """Return what is counted, in order."""
+        """Return the account and kind of work of each ring, sorted."""
         return sorted(self._rings)
 
     def counts(self, account: str, work: Work, window: Window, *, now: float) -> Counts:
-        """Return the events of a window."""
+        """Return the counts of a window that ends at ``now``."""
         return self._rings[account, work].counts(window, now=now)
 
-    def _drop_quietest(self) -> None:
-        account, work = min(self._rings, key=lambda key: self._rings[key].touched)
+    def _remove_least_recent(self) -> None:
+        account, work = min(self._rings, key=lambda key: self._rings[key].last_event_at)
         del self._rings[account, work]
         for kind in KINDS:
             try:
@@ -80,55 +82,55 @@
                 pass
 
 
-BOOK = EventBook()
+BOOK = EventCounters()
 
 
 def judge_start(wait_s: float, objective: Objective) -> EventKind:
-    """Tell whether work that started after ``wait_s`` seconds did so in time."""
+    """Return whether work that waited ``wait_s`` seconds for its start is good or late."""
     return EventKind.GOOD if 1000 * wait_s <= objective.wait_ms else EventKind.LATE
 
 
 def objective_of(cell: Cell, account: str) -> Objective:
-    """Return an account's objective; that of a new account when the cell has it no more."""
+    """Return the objective of an account; the default when the account is no longer configured."""
     return cell.accounts.get(account, Account(name=account)).objective
 
 
 class SloCollector(Collector):
-    """Publish the windows of a book as gauges, worked out when they are asked for.
+    """Publish the windows of the event counts as gauges, computed at each scrape.
 
-    :param cell: for objectives and templates.
+    :param cell: source of the objectives and template names.
     """
 
-    def __init__(self, *, book: EventBook, cell: CellView, clock: Clock) -> None:
-        self._book = book
+    def __init__(self, *, counters: EventCounters, cell: CellView, clock: Clock) -> None:
+        self._counters = counters
         self._cell = cell
         self._clock = clock
-        self._began = clock.monotonic()
+        self._started_at = clock.monotonic()
 
     def describe(self) -> list[Metric]:
-        """Return the families without samples."""
-        return list(self.families())
+        """Return the metric families without samples."""
+        return list(self.empty_families())
 
     def collect(self) -> Iterator[Metric]:
-        """Return the families at this moment."""
+        """Return the metric families with their current samples."""
         now = self._clock.monotonic()
-        events, burn, budget, covered = self.families()
-        covered.add_metric([], min(Window.H6.seconds, now - self._began))
+        events, burn, budget, covered_time = self.empty_families()
+        covered_time.add_metric([], min(Window.H6.seconds, now - self._started_at))
         cell = self._cell.current()
-        for account, work in self._book.series():
-            known = cell.accounts.get(account, Account(name=account))
-            labels = [account, known.template, work.value]
+        for account, work in self._counters.series():
+            configured = cell.accounts.get(account, Account(name=account))
+            labels = [account, configured.template, work.value]
             for window in Window:
-                counts = self._book.counts(account, work, window, now=now)
+                counts = self._counters.counts(account, work, window, now=now)
                 for kind in KINDS:
                     events.add_metric([*labels, window.value, kind.value], counts.of(kind))
-                burn.add_metric([*labels, window.value], burn_rate(counts, known.objective))
-            budget.add_metric(labels, budget_left(counts, known.objective))
-        return iter((events, burn, budget, covered))
+                burn.add_metric([*labels, window.value], burn_rate(counts, configured.objective))
+            budget.add_metric(labels, budget_left(counts, configured.objective))
+        return iter((events, burn, budget, covered_time))
 
     @staticmethod
-    def families() -> tuple[GaugeMetricFamily, ...]:
-        """Return the four families, empty."""
+    def empty_families() -> tuple[GaugeMetricFamily, ...]:
+        """Return the four metric families without samples."""
         return (
             GaugeMetricFamily(
                 "rhubarbferry_slo_events",
@@ -152,5 +154,5 @@
 
 
 def publish(*, cell: CellView, clock: Clock, registry: CollectorRegistry = REGISTRY) -> None:
-    """Publish what this process counts; once for each process."""
-    registry.register(SloCollector(book=BOOK, cell=cell, clock=clock))
+    """Register the collector of this process; call it once for each process."""
+    registry.register(SloCollector(counters=BOOK, cell=cell, clock=clock))
--- a/rhubarbferry/reports/html.py
+++ b/rhubarbferry/reports/html.py
@@ -1,4 +1,4 @@
-"""The report on objectives as one page that needs nothing else: styles and plots are in it."""
+"""Render the report on objectives as one HTML page with inline styles and plots."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     EventKind,
     Window,
 )
-from rhubarbferry.reports.slo import Line, SloReport
+from rhubarbferry.reports.slo import SloLine, SloReport
 
 COLOURS = {
     EventKind.GOOD: "#4c9a6a",
@@ -39,15 +39,15 @@
 }
 WIDTH = 920
 LABEL_WIDTH = 240
-RIGHT = 60
-BAR = 9
-TEXT_DROP = 4
-MOST_NAME = 24
-LEAST_BURN_SCALE = 2.0
-MOST_BURN_SCALE = 100.0
-# Windows from the newest on; each but the first begins where the one before it ends.
-AGES = (Window.M5, Window.M30, Window.H1, Window.H6)
-AGE_NAMES = ("0–5 min ago", "5–30 min ago", "30–60 min ago", "1–6 h ago")
+RIGHT_MARGIN = 60
+BAR_HEIGHT = 9
+BASELINE_OFFSET = 4
+MAX_NAME_LENGTH = 24
+MIN_BURN_SCALE = 2.0
+MAX_BURN_SCALE = 100.0
+# From the newest window on; each shows only the events older than the window before it.
+AGE_WINDOWS = (Window.M5, Window.M30, Window.H1, Window.H6)
+AGE_LABELS = ("0–5 min ago", "5–30 min ago", "30–60 min ago", "1–6 h ago")
 STYLE = """
 body { font: 15px/1.45 system-ui, sans-serif; color: #222; background: #fff;
   max-width: 1160px; margin: 2em auto; padding: 0 1em; }
@@ -71,16 +71,16 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Bar:
-    """One part of a stacked bar."""
+class BarSegment:
+    """One segment of a stacked bar."""
 
     value: float
     colour: str
     title: str
 
 
-def page(report: SloReport) -> str:
-    """Return the whole page."""
+def render_page(report: SloReport) -> str:
+    """Return the complete HTML page."""
     taken = datetime.fromtimestamp(report.taken_at, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
     parts = [
         f"<h1>Service-level objectives</h1><p>{taken}, configuration {report.revision}.</p>",
@@ -103,9 +103,9 @@
 
 
 def _coverage(report: SloReport) -> str:
-    heard = len(report.members) - report.silent
+    answered = len(report.members) - report.unreachable_members
     text = (
-        f"{heard} of {len(report.members)} members answered. "
+        f"{answered} of {len(report.members)} members answered. "
         f"All of these cover the last {report.covered_s / 60:.0f} minutes"
     )
     if report.covered_s < Window.H6.seconds:
@@ -113,7 +113,7 @@
     return f"<p>{text}.</p>"
 
 
-def _plots(lines: Sequence[Line]) -> list[str]:
+def _plots(lines: Sequence[SloLine]) -> list[str]:
     return [
         "<h2>Burn rate</h2>",
         "<p>1 uses the allowance up exactly. The lines mark the alarms: "
@@ -132,7 +132,7 @@
 # ------------------------------------------------------------ tables
 
 
-def _table(lines: Sequence[Line]) -> str:
+def _table(lines: Sequence[SloLine]) -> str:
     if not lines:
         return '<p class="note">No events were counted.</p>'
     names = ["account", "template", "work", "objective"]
@@ -144,14 +144,18 @@
     return f'<table><tr>{head}<th class="text">verdict</th></tr>{rows}</table>'
 
 
-def _table_row(line: Line) -> str:
+def _table_row(line: SloLine) -> str:
     objective = line.objective
-    promise = f"{100 * objective.target:.4g}% in {objective.wait_ms} ms" if line.account else ""
-    texts = [line.account or "(all)", line.template or "–", line.work.value, promise]
+    target_text = f"{100 * objective.target:.4g}% in {objective.wait_ms} ms" if line.account else ""
+    texts = [line.account or "(all)", line.template or "–", line.work.value, target_text]
     longest = line.counts[Window.H6]
     numbers = [f"{longest.of(kind):,}" for kind in EventKind]
-    numbers += [number(line.burn[window]) for window in Window]
-    numbers += [_percent(line.budget_left), _seconds(line.p50_s), _seconds(line.p99_s)]
+    numbers += [format_rate(line.burn[window]) for window in Window]
+    numbers += [
+        _format_percent(line.budget_left),
+        _format_wait(line.p50_s),
+        _format_wait(line.p99_s),
+    ]
     cells = "".join(f'<td class="text">{escape(text)}</td>' for text in texts)
     cells += "".join(f"<td>{text}</td>" for text in numbers)
     mark = ALARM_CLASSES[line.alarm]
@@ -184,48 +188,60 @@
 # ------------------------------------------------------------ plots
 
 
-def burn_plot(lines: Sequence[Line]) -> str:
-    """Return a bar for each line and window, on a scale of roots so that small ones show."""
+def burn_plot(lines: Sequence[SloLine]) -> str:
+    """Return a plot with one bar for each line and window.
+
+    The scale is a square root, so that low burn rates stay visible.
+    """
     rates = [rate for line in lines for rate in line.burn.values() if math.isfinite(rate)]
     top = max(rates, default=0.0)
-    scale = min(MOST_BURN_SCALE, max(LEAST_BURN_SCALE, top * 1.05))
-    step = BAR * len(Window) + 12
+    scale = min(MAX_BURN_SCALE, max(MIN_BURN_SCALE, top * 1.05))
+    step = BAR_HEIGHT * len(Window) + 12
     height = step * len(lines) + 40
-    marks = [mark for mark in (0.0, 1.0, SLOW_BURN, FAST_BURN, 50.0) if mark <= scale]
-    parts = [_grid(_along(mark, scale), height, number(mark)) for mark in marks]
+    grid_rates = [
+        grid_rate for grid_rate in (0.0, 1.0, SLOW_BURN, FAST_BURN, 50.0) if grid_rate <= scale
+    ]
+    parts = [
+        _grid_line(_burn_x(grid_rate, scale), height, format_rate(grid_rate))
+        for grid_rate in grid_rates
+    ]
     for row, line in enumerate(lines):
         y = 10 + row * step
-        parts.append(_label(_name(line), y + BAR * len(Window) / 2 + TEXT_DROP))
+        parts.append(
+            _axis_label(_line_name(line), y + BAR_HEIGHT * len(Window) / 2 + BASELINE_OFFSET)
+        )
         for index, window in enumerate(Window):
             rate = line.burn[window]
-            length = _along(min(rate, scale), scale) - LABEL_WIDTH
-            title = f"{_name(line)}, last {window.value}: {number(rate)}"
+            length = _burn_x(min(rate, scale), scale) - LABEL_WIDTH
+            title = f"{_line_name(line)}, last {window.value}: {format_rate(rate)}"
             colour = WINDOW_COLOURS[window]
-            parts.append(_rect(LABEL_WIDTH, y + index * BAR, length, BAR - 1, colour, title))
+            parts.append(
+                _rect(LABEL_WIDTH, y + index * BAR_HEIGHT, length, BAR_HEIGHT - 1, colour, title)
+            )
     return _svg(parts, height)
 
 
-def _along(rate: float, scale: float) -> float:
-    return LABEL_WIDTH + (WIDTH - LABEL_WIDTH - RIGHT) * math.sqrt(rate / scale)
+def _burn_x(rate: float, scale: float) -> float:
+    return LABEL_WIDTH + (WIDTH - LABEL_WIDTH - RIGHT_MARGIN) * math.sqrt(rate / scale)
 
 
-def outcome_plot(lines: Sequence[Line]) -> str:
-    """Return a stacked bar for each line: the parts of its events by kind."""
+def outcome_plot(lines: Sequence[SloLine]) -> str:
+    """Return a plot with a stacked bar for each line: its events by kind."""
     step = 24
     parts = []
     for row, line in enumerate(lines):
         y = 4 + row * step
         counts = line.counts[Window.H6]
-        parts.append(_label(_name(line), y + 14))
-        parts += _stack(_kinds(counts, _name(line)), y, step - 6, counts.total)
-        x = WIDTH - RIGHT + 6
+        parts.append(_axis_label(_line_name(line), y + 14))
+        parts += _stacked_bar(_kind_segments(counts, _line_name(line)), y, step - 6, counts.total)
+        x = WIDTH - RIGHT_MARGIN + 6
         parts.append(f'<text x="{x}" y="{y + 14}">{counts.total:,}</text>')
     return _svg(parts, step * len(lines) + 8)
 
 
-def _kinds(counts: Counts, name: str) -> list[Bar]:
+def _kind_segments(counts: Counts, name: str) -> list[BarSegment]:
     return [
-        Bar(
+        BarSegment(
             value=counts.of(kind),
             colour=COLOURS[kind],
             title=f"{name}: {counts.of(kind):,} {kind.value}",
@@ -234,41 +250,47 @@
     ]
 
 
-def _stack(bars: Sequence[Bar], y: float, height: float, total: float) -> list[str]:
+def _stacked_bar(bars: Sequence[BarSegment], y: float, height: float, total: float) -> list[str]:
     parts = []
     x = float(LABEL_WIDTH)
     for bar in bars:
         if bar.value == 0 or total == 0:
             continue
-        length = (WIDTH - LABEL_WIDTH - RIGHT) * bar.value / total
+        length = (WIDTH - LABEL_WIDTH - RIGHT_MARGIN) * bar.value / total
         parts.append(_rect(x, y, length, height, bar.colour, bar.title))
         x += length
     return parts
 
 
-def age_plot(lines: Sequence[Line]) -> str:
-    """Return a row of cells for each line: the bad part in each age, darker when larger."""
+def age_plot(lines: Sequence[SloLine]) -> str:
+    """Return a table plot of the bad fraction by age of the events.
+
+    Each line has one cell for each age; a darker cell has a larger bad fraction.
+    """
     step, head = 26, 22
-    width = (WIDTH - LABEL_WIDTH - RIGHT) / len(AGES)
+    width = (WIDTH - LABEL_WIDTH - RIGHT_MARGIN) / len(AGE_WINDOWS)
     parts = []
-    for index, name in enumerate(AGE_NAMES):
-        x = LABEL_WIDTH + width * (len(AGES) - 1 - index) + width / 2
+    for index, name in enumerate(AGE_LABELS):
+        x = LABEL_WIDTH + width * (len(AGE_WINDOWS) - 1 - index) + width / 2
         parts.append(f'<text x="{x:.1f}" y="14" text-anchor="middle">{name}</text>')
     for row, line in enumerate(lines):
         y = head + row * step
-        parts.append(_label(_name(line), y + 16))
-        for index, counts in enumerate(ages(line)):
-            x = LABEL_WIDTH + width * (len(AGES) - 1 - index)
+        parts.append(_axis_label(_line_name(line), y + 16))
+        for index, counts in enumerate(counts_by_age(line)):
+            x = LABEL_WIDTH + width * (len(AGE_WINDOWS) - 1 - index)
             parts += _age_cell(counts, x, y, width - 3, step - 4)
     return _svg(parts, head + step * len(lines) + 4)
 
 
-def ages(line: Line) -> list[Counts]:
-    """Return the events by age, the newest first: what each window has beyond the last."""
-    found, before = [], Counts()
-    for window in AGES:
-        found.append(line.counts[window] - before)
-        before = line.counts[window]
+def counts_by_age(line: SloLine) -> list[Counts]:
+    """Return the events by age, newest first.
+
+    Each entry holds the events of its window that are not in the next shorter one.
+    """
+    found, shorter_window = [], Counts()
+    for window in AGE_WINDOWS:
+        found.append(line.counts[window] - shorter_window)
+        shorter_window = line.counts[window]
     return found
 
 
@@ -276,22 +298,22 @@
     if counts.total <= 0:
         text, colour = "–", "#f3f3f3"
     else:
-        part = counts.bad / counts.total
-        text = f"{100 * part:.2g}% of {counts.total:,}"
-        colour = _shade(part)
+        bad_fraction = counts.bad / counts.total
+        text = f"{100 * bad_fraction:.2g}% of {counts.total:,}"
+        colour = _shade_of(bad_fraction)
     return [
         _rect(x, y, width, height, colour, text),
         f'<text x="{x + width / 2:.1f}" y="{y + 16:.1f}" text-anchor="middle">{text}</text>',
     ]
 
 
-def _shade(part: float) -> str:
-    """Return a colour from light green to light red; text on it stays readable."""
-    if part == 0:
+def _shade_of(bad_fraction: float) -> str:
+    """Return a colour from light green to light red, light enough for dark text."""
+    if bad_fraction == 0:
         return "#dcefe2"
-    strength = min(1.0, 0.25 + math.sqrt(part))
-    other = round(235 - 105 * strength)
-    return f"rgb(250,{other},{round(other * 0.92)})"
+    saturation = min(1.0, 0.25 + math.sqrt(bad_fraction))
+    green = round(235 - 105 * saturation)
+    return f"rgb(250,{green},{round(green * 0.92)})"
 
 
 def _legend(entries: Sequence[tuple[str, str]]) -> str:
@@ -303,7 +325,7 @@
     return _svg(parts, 20)
 
 
-def _grid(x: float, height: float, text: str) -> str:
+def _grid_line(x: float, height: float, text: str) -> str:
     bottom = height - 22
     return (
         f'<line x1="{x:.1f}" y1="4" x2="{x:.1f}" y2="{bottom}" stroke="#bbb" '
@@ -312,7 +334,7 @@
     )
 
 
-def _label(text: str, y: float) -> str:
+def _axis_label(text: str, y: float) -> str:
     return f'<text x="{LABEL_WIDTH - 10}" y="{y:.1f}" text-anchor="end">{escape(text)}</text>'
 
 
@@ -331,23 +353,23 @@
     )
 
 
-def _name(line: Line) -> str:
+def _line_name(line: SloLine) -> str:
     account = line.account
-    if len(account) > MOST_NAME:
-        account = account[: MOST_NAME - 1] + "…"
+    if len(account) > MAX_NAME_LENGTH:
+        account = account[: MAX_NAME_LENGTH - 1] + "…"
     return f"{account} {line.work.value}"
 
 
-def number(value: float) -> str:
-    """Return a rate as text, short."""
+def format_rate(value: float) -> str:
+    """Return a rate as short text."""
     if math.isinf(value):
         return "∞"
     return f"{value:.2f}".rstrip("0").rstrip(".")
 
 
-def _percent(value: float) -> str:
+def _format_percent(value: float) -> str:
     return "overdrawn" if math.isinf(value) else f"{100 * value:.1f}%"
 
 
-def _seconds(value: float | None) -> str:
+def _format_wait(value: float | None) -> str:
     return "–" if value is None else f"{1000 * value:.0f} ms"
--- a/rhubarbferry/reports/losses.py
+++ b/rhubarbferry/reports/losses.py
@@ -1,7 +1,8 @@
-"""Why jobs were late or not served, from the lines that the processes of a cell write.
+"""Report why jobs were late or not served, from the log lines of the processes of a cell.
 
-Each job's time is divided among what it waited for; the largest part that is not work counts as
-the cause. Only what the lines tell is used, so the report can be made long after the fact.
+The time of each job is divided among the causes it waited for. The cause with the largest share
+other than the job's own run is reported. Only the log lines are read, so the report can also be
+made long after the jobs have ended.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 from rhubarbferry.dispatch.objective import LATE_FACTOR
 
 WINDOW_S = 2.0
-# Runs that ended in another way have to begin again.
-GOOD_ENDS = (EndKind.DONE.value,)
+# Tasks with any other outcome have to be started again.
+SUCCESSFUL_OUTCOMES = (EndKind.DONE.value,)
 
 
 class Cause(StrEnum):
-    """What a job waited for."""
+    """Reasons for which a job waits."""
 
     ACCEPTANCE = "not accepted"
     OWNER = "no owner"
@@ -36,7 +37,7 @@
 
 
 class Verdict(StrEnum):
-    """How a job came out for its client."""
+    """Outcome of a job for its client."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -47,14 +48,15 @@
     OPEN = "open"
 
 
-LOST = (Verdict.LATE, Verdict.MISSED, Verdict.REFUSED, Verdict.FAILED)
+LOST_VERDICTS = (Verdict.LATE, Verdict.MISSED, Verdict.REFUSED, Verdict.FAILED)
 
 
 @frozen(kw_only=True, slots=True)
-class Line:
-    """One line of a process.
+class LogLine:
+    """One log line of a process.
 
-    :param at: time of day, in Unix seconds.
+    :param at: Unix time in seconds.
+    :param fields: all fields of the line by name.
     """
 
     at: float
@@ -63,15 +65,15 @@
     fields: dict[str, Any]
 
     def text(self, name: str) -> str:
-        """Return a field as text, empty where it is missing."""
+        """Return a field as text; empty when it is missing."""
         return str(self.fields.get(name) or "")
 
 
-def parse_lines(texts: Iterable[str]) -> list[Line]:
-    """Return the lines in order of time; what is no line of this program is left out.
+def parse_lines(texts: Iterable[str]) -> list[LogLine]:
+    """Return the parsed lines sorted by time; text that is no log line of this program is skipped.
 
-    :param texts: lines of text; anything before the first brace is skipped, as log collectors
-        put names and times there.
+    :param texts: lines of text. Anything before the first brace is ignored, since log collectors
+        prepend host names and times.
     """
     found = []
     for text in texts:
@@ -80,7 +82,7 @@
             continue
         try:
             fields = json.loads(text[start:])
-            line = Line(
+            line = LogLine(
                 at=float(fields["at"]),
                 member=str(fields["member"]),
                 event=str(fields["event"]),
@@ -93,96 +95,99 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Gap:
-    """A time without an owner of the work."""
+class OwnershipGap:
+    """Interval during which no process owned the work."""
 
     start: float
     end: float
 
     def overlap(self, start: float, end: float) -> float:
-        """Return how much of a time lies in this gap, in seconds."""
+        """Return the overlap of the gap with a time interval, in seconds."""
         return max(0.0, min(end, self.end) - max(start, self.start))
 
 
-def gaps_between_owners(lines: Iterable[Line]) -> list[Gap]:
-    """Return the times without an owner: from the last line of one to the next one's work."""
-    gaps: list[Gap] = []
+def find_ownership_gaps(lines: Iterable[LogLine]) -> list[OwnershipGap]:
+    """Return the intervals without an owner.
+
+    A gap begins with the last log line of an owner and ends when the next owner is ready.
+    """
+    gaps: list[OwnershipGap] = []
     owner = ""
     owned_until: float | None = None
     for line in lines:
         match line.event:
             case "term.settled":
                 if owned_until is not None and owner != line.member:
-                    gaps.append(Gap(start=owned_until, end=line.at))
+                    gaps.append(OwnershipGap(start=owned_until, end=line.at))
                 owner, owned_until = line.member, line.at
             case "process.started" | "term.ended" if line.member == owner:
-                # A process that is killed writes no line of its end, only of its next start.
+                # A killed process logs nothing when it ends, only when it starts again.
                 owner = ""
             case _ if line.member == owner:
                 owned_until = line.at
     return gaps
 
 
-def _step_of(task: str) -> str:
-    """Return the step of a task's label, OCCURRENCE.STEP of OCCURRENCE.STEP.INDEX."""
+def _step_label(task: str) -> str:
+    """Return the label of a task's step: OCCURRENCE.STEP of OCCURRENCE.STEP.INDEX."""
     return task.rpartition(".")[0]
 
 
 @define(kw_only=True, eq=False)
 class JobTrace:
-    """What the lines show of one job.
+    """History of one job as its log lines show it.
 
     :ivar first_at: time of its first line.
-    :ivar ended_at: when its end was on record, ``None`` before that.
+    :ivar ended_at: when its end was recorded; ``None`` before that.
     :ivar waited: seconds by cause.
     """
 
     id: str
     first_at: float
-    gaps: list[Gap]
+    gaps: list[OwnershipGap]
     queue: str = ""
     objective_s: float = 0.0
     ended_at: float | None = None
     phase: str = ""
     waited: dict[Cause, float] = Factory(lambda: defaultdict(float))
-    _at: float = field(init=False)
+    _attributed_until: float = field(init=False)
     _accepted: bool = False
-    _owned: bool = False
-    _widths: list[int] = Factory(list)
-    _open_steps: set[str] = Factory(set)
+    _taken: bool = False
+    _task_counts: list[int] = Factory(list)
+    _approved_steps: set[str] = Factory(set)
     _done: set[str] = Factory(set)
-    _begun_again: set[str] = Factory(set)
+    _restarted: set[str] = Factory(set)
     _running: dict[str, float] = Factory(dict)
     _unanswered: set[str] = Factory(set)
 
     def __attrs_post_init__(self) -> None:
-        self._at = self.first_at
+        self._attributed_until = self.first_at
 
-    def note(self, line: Line) -> None:
-        """Work in a line about this job."""
+    def add_line(self, line: LogLine) -> None:
+        """Update the trace from a log line about this job."""
         if self.ended_at is not None:
             return
-        self._pass_time(line.at)
+        self._attribute_time(line.at)
         task = line.text("task")
         match line.event:
             case "job.accepted":
                 self._accepted = True
                 self.queue = line.text("queue")
             case "job.taken":
-                self._accepted = self._owned = True
+                self._accepted = self._taken = True
                 self.objective_s = float(line.fields.get("objective_s") or 0.0)
-                self._widths = [int(count) for count in line.fields.get("tasks") or ()]
+                self._task_counts = [int(count) for count in line.fields.get("tasks") or ()]
             case "approval" if line.fields.get("approved"):
-                self._open_steps.add(line.text("step"))
+                self._approved_steps.add(line.text("step"))
             case "task.start":
-                self._open_steps.add(_step_of(task))
-                self._note_start(task, line)
+                self._approved_steps.add(_step_label(task))
+                self._add_start(task, line)
             case "task.end":
-                self._note_end(task, line)
+                self._add_end(task, line)
             case "job.recorded":
-                self._note_record(line)
+                self._add_record(line)
 
-    def _note_start(self, task: str, line: Line) -> None:
+    def _add_start(self, task: str, line: LogLine) -> None:
         outcome = line.text("outcome")
         if outcome == "started":
             self._running[task] = line.at
@@ -190,93 +195,104 @@
         elif outcome.startswith("unanswered"):
             self._unanswered.add(task)
 
-    def _note_end(self, task: str, line: Line) -> None:
+    def _add_end(self, task: str, line: LogLine) -> None:
         self._unanswered.discard(task)
         started_at = self._running.pop(task, line.at)
-        if line.text("outcome") in GOOD_ENDS:
+        if line.text("outcome") in SUCCESSFUL_OUTCOMES:
             self._done.add(task)
             return
-        self._begun_again.add(task)
+        self._restarted.add(task)
         lost_s = min(line.at - started_at, self.waited[Cause.WORK])
         self.waited[Cause.WORK] -= lost_s
         self.waited[Cause.RESTART] += lost_s
 
-    def _note_record(self, line: Line) -> None:
+    def _add_record(self, line: LogLine) -> None:
         self.phase = line.text("phase")
         if self.phase in ("complete", "failed", "cancelled"):
             self.ended_at = line.at
 
-    def _pass_time(self, at: float) -> None:
-        ownerless_s = sum(gap.overlap(self._at, at) for gap in self.gaps) if self._accepted else 0.0
+    def _attribute_time(self, at: float) -> None:
+        ownerless_s = (
+            sum(gap.overlap(self._attributed_until, at) for gap in self.gaps)
+            if self._accepted
+            else 0.0
+        )
         self.waited[Cause.OWNER] += ownerless_s
-        self.waited[self._cause()] += max(0.0, at - self._at - ownerless_s)
-        self._at = at
+        self.waited[self._current_cause()] += max(0.0, at - self._attributed_until - ownerless_s)
+        self._attributed_until = at
 
-    def _cause(self) -> Cause:
+    def _current_cause(self) -> Cause:
         if not self._accepted:
             return Cause.ACCEPTANCE
-        if not self._owned:
+        if not self._taken:
             return Cause.OWNER
         if self._unanswered:
             return Cause.START
-        if self._begun_again - self._running.keys() - self._done:
+        if self._restarted - self._running.keys() - self._done:
             return Cause.RESTART
-        if self._waits_for_room():
+        if self._waits_for_capacity():
             return Cause.ROOM
         if self._running:
             return Cause.WORK
-        return Cause.RECORD if len(self._done) == sum(self._widths) else Cause.APPROVAL
+        return Cause.RECORD if len(self._done) == sum(self._task_counts) else Cause.APPROVAL
 
-    def _waits_for_room(self) -> bool:
-        """Return whether a step that may begin has tasks that have not."""
-        begun = Counter(_step_of(task) for task in {*self._running, *self._done})
-        return any(begun[step] < self._width(step) for step in self._open_steps)
+    def _waits_for_capacity(self) -> bool:
+        """Return whether an approved step has tasks that have neither run nor are running."""
+        task_counts = Counter(_step_label(task) for task in {*self._running, *self._done})
+        return any(task_counts[step] < self._task_count(step) for step in self._approved_steps)
 
-    def _width(self, step: str) -> int:
+    def _task_count(self, step: str) -> int:
         index = int(step.rpartition(".")[2])
-        return self._widths[index] if index < len(self._widths) else 0
+        return self._task_counts[index] if index < len(self._task_counts) else 0
 
     def finish(self, at: float) -> None:
-        """Note that there are no more lines."""
+        """Account for the time up to the last log line if the job has not ended."""
         if self.ended_at is None:
-            self._pass_time(at)
+            self._attribute_time(at)
 
-    def verdict(self, now: float, *, whole: bool = True) -> Verdict:
-        """Return how it came out.
+    def verdict(self, now: float, *, lines_complete: bool = True) -> Verdict:
+        """Return the outcome of the job.
 
         :param now: time of the last line.
-        :param whole: whether no line was left out; else a job without an end may have one.
+        :param lines_complete: whether the processes omitted no line. Otherwise the line with the
+            end of an open job may be one of those omitted.
         """
         if not self._accepted:
             return Verdict.REFUSED
         if self.phase in ("failed", "cancelled"):
             return Verdict(self.phase)
-        if not self.objective_s or (self.ended_at is None and not whole):
-            # Lines were left out; nothing can be said of its delay.
+        if not self.objective_s or (self.ended_at is None and not lines_complete):
+            # Lines were omitted, so the delay is unknown.
             return Verdict.OPEN
-        took_s = (self.ended_at or now) - self.first_at
-        if took_s > LATE_FACTOR * self.objective_s:
+        duration_s = (self.ended_at or now) - self.first_at
+        if duration_s > LATE_FACTOR * self.objective_s:
             return Verdict.MISSED
         if self.ended_at is None:
             return Verdict.OPEN
-        return Verdict.IN_TIME if took_s <= self.objective_s else Verdict.LATE
+        return Verdict.IN_TIME if duration_s <= self.objective_s else Verdict.LATE
 
     def cause(self) -> Cause:
-        """Return what it waited for most, its own work aside unless it waited for nothing."""
-        others: dict[Cause, float] = {
+        """Return the cause of the largest wait.
+
+        The run itself counts as the cause when it exceeds the objective by more than the largest
+        wait.
+        """
+        other_waits: dict[Cause, float] = {
             cause: s for cause, s in self.waited.items() if cause is not Cause.WORK
         }
-        most = max(others, key=lambda cause: others[cause], default=Cause.WORK)
+        longest = max(other_waits, key=lambda cause: other_waits[cause], default=Cause.WORK)
         excess_s = self.waited[Cause.WORK] - self.objective_s
-        return most if others.get(most, 0.0) > max(0.0, excess_s) else Cause.WORK
+        return longest if other_waits.get(longest, 0.0) > max(0.0, excess_s) else Cause.WORK
 
 
 @frozen(kw_only=True)
 class LossRow:
-    """The jobs of one window that were lost for one cause.
+    """Jobs of one window that were lost for one cause.
 
-    :param window_s: start of the window, in seconds after the first line.
-    :param waited_s: what they waited for it, on average.
+    :param window_s: start of the window in seconds after the first line.
+    :param queue: queue of the jobs.
+    :param cause: what the jobs waited for.
+    :param waited_s: average wait for that cause in seconds.
     """
 
     window_s: float
@@ -290,18 +306,18 @@
 
     @property
     def lost(self) -> int:
-        """Return the number of jobs."""
+        """Return the number of lost jobs."""
         return self.late + self.missed + self.refused + self.failed
 
 
-def lines_left_out(lines: Iterable[Line]) -> int:
-    """Return how many lines the processes did not write, as they bound their volume."""
+def count_omitted_lines(lines: Iterable[LogLine]) -> int:
+    """Return how many lines the processes omitted because of their limit on log volume."""
     return sum(int(line.fields.get("left_out") or 0) for line in lines)
 
 
-def trace_jobs(lines: list[Line]) -> list[JobTrace]:
-    """Return what became of each job."""
-    gaps = gaps_between_owners(lines)
+def trace_jobs(lines: list[LogLine]) -> list[JobTrace]:
+    """Return the trace of each job."""
+    gaps = find_ownership_gaps(lines)
     traces: dict[str, JobTrace] = {}
     for line in lines:
         id = line.text("job")
@@ -309,29 +325,31 @@
             continue
         if id not in traces:
             traces[id] = JobTrace(id=id, first_at=line.at, gaps=gaps)
-        traces[id].note(line)
+        traces[id].add_line(line)
     for trace in traces.values():
         trace.finish(lines[-1].at)
     return list(traces.values())
 
 
-def losses(lines: list[Line], *, total: bool = False) -> list[LossRow]:
-    """Return what was lost, a row for each window, queue and cause; their sums are all jobs lost.
+def losses(lines: list[LogLine], *, total: bool = False) -> list[LossRow]:
+    """Return the lost jobs, one row for each window, queue and cause.
+
+    The numbers of all rows add up to the number of lost jobs.
 
-    :param lines: of all processes of a cell, in order of time.
-    :param total: give a row for each cause alone, that of most jobs first.
+    :param lines: log lines of all processes of a cell, sorted by time.
+    :param total: return one row for each cause instead, the one with the most jobs first.
     """
     if not lines:
         return []
-    begin, end = lines[0].at, lines[-1].at
+    first_at, last_at = lines[0].at, lines[-1].at
     counts: dict[tuple[float, str, Cause], Counter[Verdict]] = defaultdict(Counter)
     waited: dict[tuple[float, str, Cause], float] = defaultdict(float)
-    whole = not lines_left_out(lines)
+    lines_complete = not count_omitted_lines(lines)
     for trace in trace_jobs(lines):
-        verdict = trace.verdict(end, whole=whole)
-        if verdict not in LOST:
+        verdict = trace.verdict(last_at, lines_complete=lines_complete)
+        if verdict not in LOST_VERDICTS:
             continue
-        window_s = (trace.first_at - begin) // WINDOW_S * WINDOW_S
+        window_s = (trace.first_at - first_at) // WINDOW_S * WINDOW_S
         key = (0.0, "", trace.cause()) if total else (window_s, trace.queue, trace.cause())
         counts[key][verdict] += 1
         waited[key] += trace.waited[trace.cause()]
@@ -340,12 +358,12 @@
             window_s=window_s,
             queue=queue,
             cause=cause.value,
-            late=found[Verdict.LATE],
-            missed=found[Verdict.MISSED],
-            refused=found[Verdict.REFUSED],
-            failed=found[Verdict.FAILED],
-            waited_s=waited[(window_s, queue, cause)] / found.total(),
+            late=verdicts[Verdict.LATE],
+            missed=verdicts[Verdict.MISSED],
+            refused=verdicts[Verdict.REFUSED],
+            failed=verdicts[Verdict.FAILED],
+            waited_s=waited[(window_s, queue, cause)] / verdicts.total(),
         )
-        for (window_s, queue, cause), found in sorted(counts.items())
+        for (window_s, queue, cause), verdicts in sorted(counts.items())
     ]
     return sorted(rows, key=lambda row: -row.lost) if total else rows
--- a/rhubarbferry/reports/metric_table.py
+++ b/rhubarbferry/reports/metric_table.py
@@ -1,6 +1,6 @@
-"""List all metrics of the daemons as the table of docs/reference/metrics.md.
+"""List all metrics of the daemons as the table of ``docs/reference/metrics.md``.
 
-Run: python -m rhubarbferry.reports.metric_table
+Run ``python -m rhubarbferry.reports.metric_table`` to print it.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from rhubarbferry.reports.events import SloCollector
 
 PACKAGES = ("adapters", "coordination", "frontend", "reports", "rpc", "scheduler")
-DAEMONS = {"frontend": "frontend", "scheduler": "scheduler"}
-BOTH = "both"
-SUFFIXES = {"counter": "_total"}
+DAEMON_BY_PACKAGE = {"frontend": "frontend", "scheduler": "scheduler"}
+ALL_DAEMONS = "both"
+NAME_SUFFIXES = {"counter": "_total"}
 
 
 @frozen(kw_only=True, slots=True, order=True)
-class Row:
-    """One metric."""
+class MetricRow:
+    """One metric of the table."""
 
     name: str
     kind: str
@@ -31,39 +31,39 @@
     help: str
 
 
-def rows() -> list[Row]:
-    """Return all metrics in order of name."""
-    found = {row.name: row for row in _declared()}
-    for family in SloCollector.families():
+def collect_metrics() -> list[MetricRow]:
+    """Return all metrics sorted by name."""
+    found = {row.name: row for row in _declared_metrics()}
+    for family in SloCollector.empty_families():
         labels = ", ".join(family._labelnames)
-        found[family.name] = Row(
+        found[family.name] = MetricRow(
             name=family.name,
             kind=family.type,
             labels=labels,
-            daemon=BOTH,
+            daemon=ALL_DAEMONS,
             help=family.documentation,
         )
     return sorted(found.values())
 
 
-def _declared() -> Iterator[Row]:
+def _declared_metrics() -> Iterator[MetricRow]:
     for package in PACKAGES:
-        for name in _modules(f"rhubarbferry.{package}"):
+        for name in _module_names(f"rhubarbferry.{package}"):
             module = importlib.import_module(name)
             for value in vars(module).values():
                 if isinstance(value, MetricWrapperBase):
-                    yield _row(value, DAEMONS.get(package, BOTH))
+                    yield _metric_row(value, DAEMON_BY_PACKAGE.get(package, ALL_DAEMONS))
 
 
-def _modules(package: str) -> list[str]:
+def _module_names(package: str) -> list[str]:
     path = importlib.import_module(package).__path__
     return [info.name for info in pkgutil.walk_packages(path, f"{package}.")]
 
 
-def _row(metric: MetricWrapperBase, daemon: str) -> Row:
+def _metric_row(metric: MetricWrapperBase, daemon: str) -> MetricRow:
     family, *_ = metric.describe()
-    return Row(
-        name=family.name + SUFFIXES.get(family.type, ""),
+    return MetricRow(
+        name=family.name + NAME_SUFFIXES.get(family.type, ""),
         kind=family.type,
         labels=", ".join(metric._labelnames),
         daemon=daemon,
@@ -71,15 +71,15 @@
     )
 
 
-def table() -> str:
-    """Return the table in Markdown."""
+def render_table() -> str:
+    """Return the table of all metrics in Markdown."""
     lines = ["| Metric | Type | Labels | Daemon | What it is |", "|---|---|---|---|---|"]
     lines += [
         f"| `{row.name}` | {row.kind} | {row.labels} | {row.daemon} | {row.help} |"
-        for row in rows()
+        for row in collect_metrics()
     ]
     return "\n".join(lines) + "\n"
 
 
 if __name__ == "__main__":
-    print(table(), end="")
+    print(render_table(), end="")
--- a/rhubarbferry/reports/scrape.py
+++ b/rhubarbferry/reports/scrape.py
@@ -1,4 +1,4 @@
-"""Read the metrics of all live members of a cell."""
+"""Read the metrics of all live members of a cell over HTTP."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from rhubarbferry.reports.burn import Counts, EventKind, Window
 from rhubarbferry.reports.events import Work
 
-TIMEOUT_S = 5.0
-AT_ONCE = 16
-MAX_BYTES = 16 * 2**20
-WAIT_FAMILIES = {
+SCRAPE_TIMEOUT_S = 5.0
+MAX_CONCURRENT_SCRAPES = 16
+MAX_BODY_BYTES = 16 * 2**20
+WAIT_HISTOGRAMS = {
     "rhubarbferry_request_start_seconds": Work.REQUESTS,
     "rhubarbferry_job_wait_seconds": Work.JOBS,
 }
@@ -22,7 +22,7 @@
 
 @frozen(kw_only=True, slots=True, order=True)
 class Series:
-    """Whose work, and of which sort."""
+    """Account and kind of work that counts belong to."""
 
     account: str
     work: Work
@@ -30,12 +30,14 @@
 
 @frozen(kw_only=True, slots=True)
 class Scrape:
-    """What one member publishes.
-
-    :param covered_s: how far back its windows reach.
-    :param events: per series and window.
-    :param waits: per series, numbers of waits up to each bound in seconds, since it started.
-    :param problem: why there is nothing, else empty.
+    """Metrics read from one member.
+
+    :param covered_s: seconds for which the member has been counting events, at most those of the
+        longest window.
+    :param events: event counts by series and window.
+    :param waits: for each series, the cumulative number of waits up to each bucket bound in
+        seconds, since the member started.
+    :param problem: why the metrics could not be read; empty otherwise.
     """
 
     member: str
@@ -47,35 +49,39 @@
 
 
 async def scrape_all(members: Iterable[Member]) -> list[Scrape]:
-    """Read all members at once; one that does not answer is told with its problem."""
+    """Read the metrics of all members concurrently.
+
+    :returns: one scrape for each member, sorted by id. A member that can't be read has a
+        ``problem``.
+    """
     import aiohttp
 
-    timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
-    gate = asyncio.Semaphore(AT_ONCE)
+    timeout = aiohttp.ClientTimeout(total=SCRAPE_TIMEOUT_S)
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_SCRAPES)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         ordered = sorted(members, key=lambda member: member.id)
-        return list(await asyncio.gather(*(_scrape(session, gate, m) for m in ordered)))
+        return list(await asyncio.gather(*(_scrape(session, semaphore, m) for m in ordered)))
 
 
-async def _scrape(session: object, gate: asyncio.Semaphore, member: Member) -> Scrape:
+async def _scrape(session: object, semaphore: asyncio.Semaphore, member: Member) -> Scrape:
     import aiohttp
 
     assert isinstance(session, aiohttp.ClientSession)
     role = member.role.value
     try:
-        async with gate, session.get(f"http://{member.http_address}/metrics") as answer:
-            answer.raise_for_status()
-            body = await answer.content.read(MAX_BYTES)
-            while not answer.content.at_eof() and len(body) < MAX_BYTES:
-                body += await answer.content.read(MAX_BYTES - len(body))
-        return parse(body.decode(), member=member.id, role=role)
+        async with semaphore, session.get(f"http://{member.http_address}/metrics") as response:
+            response.raise_for_status()
+            body = await response.content.read(MAX_BODY_BYTES)
+            while not response.content.at_eof() and len(body) < MAX_BODY_BYTES:
+                body += await response.content.read(MAX_BODY_BYTES - len(body))
+        return parse_metrics(body.decode(), member=member.id, role=role)
     except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as exc:
         problem = str(exc) or type(exc).__name__
         return Scrape(member=member.id, role=role, problem=problem)
 
 
-def parse(text: str, *, member: str, role: str) -> Scrape:
-    """Read the text of one ``/metrics``.
+def parse_metrics(text: str, *, member: str, role: str) -> Scrape:
+    """Parse the text of one ``/metrics`` page.
 
     :raises ValueError: when it is not in the Prometheus text format.
     """
@@ -92,11 +98,11 @@
             elif sample.name == "rhubarbferry_slo_events":
                 series = Series(account=labels["account"], work=Work(labels["work"]))
                 key = series, Window(labels["window"])
-                one = Counts(**{EventKind(labels["kind"]).value: int(sample.value)})
-                events[key] = events.get(key, Counts()) + one
-            elif family.name in WAIT_FAMILIES and sample.name.endswith("_bucket"):
-                series = Series(account=labels["account"], work=WAIT_FAMILIES[family.name])
-                bounds = waits.setdefault(series, {})
-                bound = float(labels["le"])
-                bounds[bound] = bounds.get(bound, 0.0) + sample.value
+                sample_counts = Counts(**{EventKind(labels["kind"]).value: int(sample.value)})
+                events[key] = events.get(key, Counts()) + sample_counts
+            elif family.name in WAIT_HISTOGRAMS and sample.name.endswith("_bucket"):
+                series = Series(account=labels["account"], work=WAIT_HISTOGRAMS[family.name])
+                buckets = waits.setdefault(series, {})
+                upper_bound = float(labels["le"])
+                buckets[upper_bound] = buckets.get(upper_bound, 0.0) + sample.value
     return Scrape(member=member, role=role, covered_s=covered, events=events, waits=waits)
--- a/rhubarbferry/reports/slo.py
+++ b/rhubarbferry/reports/slo.py
@@ -1,4 +1,4 @@
-"""Put the report on service-level objectives together from what the members publish."""
+"""Assemble the report on service-level objectives from the metrics of the members."""
 
 from __future__ import annotations
 
@@ -21,12 +21,13 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Line:
-    """One account's requests or jobs, or those of all accounts of a template together.
+class SloLine:
+    """Figures for the requests or jobs of one account, or of all accounts of a template.
 
-    :param account: empty in a line of a template.
-    :param budget_left: of the allowance of the events in the longest window.
-    :param p50_s: half of the waits were no longer, since the members started; ``None`` without.
+    :param account: empty in the line of a template.
+    :param budget_left: unused fraction of the budget for the events in the longest window.
+    :param p50_s: median wait since the members started, in seconds; ``None`` without data.
+    :param p99_s: 99th percentile of the same waits.
     """
 
     account: str
@@ -43,7 +44,10 @@
 
 @frozen(kw_only=True, slots=True)
 class MemberLine:
-    """One member, and how far back it can tell; ``problem`` when it told nothing."""
+    """One member and the time its counts cover.
+
+    :param problem: why its metrics could not be read; empty otherwise.
+    """
 
     member: str
     role: str
@@ -55,32 +59,33 @@
 class SloReport:
     """Burn of all objectives of the cell.
 
-    :param taken_at: seconds since the Unix epoch.
-    :param covered_s: how far back all members that answered reach.
+    :param taken_at: Unix time in seconds.
+    :param revision: revision of the configuration whose objectives apply.
+    :param covered_s: time that the counts of every scraped member cover.
     """
 
     taken_at: float
     revision: int
     covered_s: float
-    accounts: Sequence[Line]
-    templates: Sequence[Line]
+    accounts: Sequence[SloLine]
+    templates: Sequence[SloLine]
     members: Sequence[MemberLine]
 
     @property
-    def silent(self) -> int:
-        """Return how many members told nothing."""
+    def unreachable_members(self) -> int:
+        """Return the number of members whose metrics could not be read."""
         return sum(1 for member in self.members if member.problem)
 
 
 def assemble(*, cell: Cell, scrapes: Sequence[Scrape], taken_at: float) -> SloReport:
-    """Add up what the members count and judge it by the objectives of the cell."""
-    heard = [scrape for scrape in scrapes if not scrape.problem]
-    found = sorted({series for scrape in heard for series, _ in scrape.events})
-    lines = [_line(series, cell, heard) for series in found]
+    """Add up the counts of all members and compare them with the cell's objectives."""
+    answered = [scrape for scrape in scrapes if not scrape.problem]
+    all_series = sorted({series for scrape in answered for series, _ in scrape.events})
+    lines = [_line(series, cell, answered) for series in all_series]
     return SloReport(
         taken_at=taken_at,
         revision=cell.revision,
-        covered_s=min((scrape.covered_s for scrape in heard), default=0.0),
+        covered_s=min((scrape.covered_s for scrape in answered), default=0.0),
         accounts=lines,
         templates=_template_lines(lines),
         members=[
@@ -90,15 +95,15 @@
     )
 
 
-def _line(series: Series, cell: Cell, scrapes: Sequence[Scrape]) -> Line:
+def _line(series: Series, cell: Cell, scrapes: Sequence[Scrape]) -> SloLine:
     account = cell.accounts.get(series.account, Account(name=series.account))
     counts = {
         window: sum_counts(s.events.get((series, window), Counts()) for s in scrapes)
         for window in Window
     }
     burn = {window: burn_rate(counts[window], account.objective) for window in Window}
-    waits = _add_bounds([s.waits[series] for s in scrapes if series in s.waits])
-    return Line(
+    waits = _add_buckets([s.waits[series] for s in scrapes if series in s.waits])
+    return SloLine(
         account=account.name,
         template=account.template,
         work=series.work,
@@ -112,22 +117,22 @@
     )
 
 
-def _template_lines(lines: Sequence[Line]) -> list[Line]:
-    groups: dict[tuple[str, Work], list[Line]] = {}
+def _template_lines(lines: Sequence[SloLine]) -> list[SloLine]:
+    groups: dict[tuple[str, Work], list[SloLine]] = {}
     for line in lines:
         groups.setdefault((line.template, line.work), []).append(line)
     return [_template_line(name, work, group) for (name, work), group in sorted(groups.items())]
 
 
-def _template_line(template: str, work: Work, lines: Sequence[Line]) -> Line:
-    """Add the accounts of a template up.
+def _template_line(template: str, work: Work, lines: Sequence[SloLine]) -> SloLine:
+    """Add up the accounts of a template.
 
-    Accounts can have objectives of their own, so what is allowed is added up too: each account's
-    events have the allowance of its own objective.
+    Accounts of one template can have different objectives, so the budgets are added up as well:
+    the events of each account get the budget of that account's objective.
     """
     counts = {window: sum_counts(line.counts[window] for line in lines) for window in Window}
-    burn = {window: _joint_burn(lines, window) for window in Window}
-    return Line(
+    burn = {window: _combined_burn(lines, window) for window in Window}
+    return SloLine(
         account="",
         template=template,
         work=work,
@@ -139,7 +144,7 @@
     )
 
 
-def _joint_burn(lines: Sequence[Line], window: Window) -> float:
+def _combined_burn(lines: Sequence[SloLine], window: Window) -> float:
     bad = sum(line.counts[window].bad for line in lines)
     allowed = sum(line.counts[window].total * (1.0 - line.objective.target) for line in lines)
     if bad == 0:
@@ -147,28 +152,32 @@
     return bad / allowed if allowed > 0 else float("inf")
 
 
-def _add_bounds(parts: Sequence[Mapping[float, float]]) -> dict[float, float]:
-    sums: dict[float, float] = {}
+def _add_buckets(parts: Sequence[Mapping[float, float]]) -> dict[float, float]:
+    totals: dict[float, float] = {}
     for part in parts:
         for bound, count in part.items():
-            sums[bound] = sums.get(bound, 0.0) + count
-    return sums
+            totals[bound] = totals.get(bound, 0.0) + count
+    return totals
 
 
-def quantile(bounds: Mapping[float, float], part: float) -> float | None:
-    """Estimate a quantile from cumulative counts, linearly within the bucket that holds it.
+def quantile(buckets: Mapping[float, float], fraction: float) -> float | None:
+    """Estimate a quantile from cumulative bucket counts by linear interpolation.
 
-    :returns: the largest finite bound when it lies above that; ``None`` without samples.
+    :param buckets: cumulative count of samples for each upper bound.
+    :param fraction: the quantile, between 0 and 1.
+    :returns: the largest finite bound when the quantile lies above it; ``None`` without samples.
     """
-    total = bounds.get(float("inf"), 0.0)
+    total = buckets.get(float("inf"), 0.0)
     if total == 0:
         return None
-    below_bound, below = 0.0, 0.0
-    for bound in sorted(bounds):
-        count = bounds[bound]
-        if count >= part * total:
+    lower_bound, count_below = 0.0, 0.0
+    for bound in sorted(buckets):
+        count = buckets[bound]
+        if count >= fraction * total:
             if bound == float("inf"):
-                return below_bound
-            return below_bound + (bound - below_bound) * (part * total - below) / (count - below)
-        below_bound, below = bound, count
-    return below_bound
+                return lower_bound
+            return lower_bound + (bound - lower_bound) * (fraction * total - count_below) / (
+                count - count_below
+            )
+        lower_bound, count_below = bound, count
+    return lower_bound
--- a/tests/management/test_commands.py
+++ b/tests/management/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line against the store stand-in, served in the test's own thread."""
+"""Run the commands against a simulated store that is served in a thread."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 [service orders]
 slots = 8
 """
-START_S = 10
+START_TIMEOUT_S = 10
 
 
 @pytest.fixture
 def store_url() -> Iterator[str]:
-    """Serve the stand-in in a thread: each command runs an event loop of its own."""
+    """Serve a simulated store in a thread, since each command runs its own event loop."""
     from rhubarbferry.ports.clock import SystemClock
     from rhubarbferry.test.memory_store import MemoryStore
     from rhubarbferry.test.serving import serving
     from rhubarbferry.test.store import StoreGateway
 
     started = threading.Event()
-    found: list[str] = []
+    urls: list[str] = []
     stopping: list[tuple[asyncio.AbstractEventLoop, asyncio.Event]] = []
 
     async def serve() -> None:
@@ -44,17 +44,17 @@
         gateway = StoreGateway(store=MemoryStore(clock=SystemClock()))
         async with serving(gateway.app()) as address:
             stopping.append((asyncio.get_running_loop(), stop))
-            found.append(f"http://{address}")
+            urls.append(f"http://{address}")
             started.set()
             await stop.wait()
 
     thread = threading.Thread(target=lambda: asyncio.run(serve()), daemon=True)
     thread.start()
-    assert started.wait(START_S)
-    yield found[0]
+    assert started.wait(START_TIMEOUT_S)
+    yield urls[0]
     loop, stop = stopping[0]
     loop.call_soon_threadsafe(stop.set)
-    thread.join(START_S)
+    thread.join(START_TIMEOUT_S)
 
 
 @pytest.fixture
@@ -67,47 +67,47 @@
 def test_apply_get_and_diff(
     store_url: str, cell_file: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    at = ["--store", store_url]
-    assert run_command(["apply", str(cell_file), "--author", "ann", *at]) == Exit.OK
+    store_option = ["--store", store_url]
+    assert run_command(["apply", str(cell_file), "--author", "ann", *store_option]) == Exit.OK
     assert "revision 1 accepted" in capsys.readouterr().out
-    assert run_command(["get", "--format", "json", *at]) == Exit.OK
+    assert run_command(["get", "--format", "json", *store_option]) == Exit.OK
     record = json.loads(capsys.readouterr().out)
     assert (record["revision"], record["author"]) == (1, "ann")
-    assert run_command(["diff", str(cell_file), *at]) == Exit.OK
+    assert run_command(["diff", str(cell_file), *store_option]) == Exit.OK
     cell_file.write_text(CELL.format(share=2))
-    assert run_command(["diff", str(cell_file), *at]) == Exit.FAILED
+    assert run_command(["diff", str(cell_file), *store_option]) == Exit.FAILED
     assert "+share = 2" in capsys.readouterr().out
 
 
-def test_a_raced_edit_is_refused_and_names_the_winner(
+def test_a_concurrent_edit_is_refused_and_names_its_author(
     store_url: str, cell_file: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """Two operators edit the same revision.
 
-    The second would silently undo the first one's change.
+    If the second write were accepted, it would silently undo the first one.
     """
-    at = ["--store", store_url]
-    assert run_command(["apply", str(cell_file), "--author", "ann", *at]) == Exit.OK
-    raced = ["apply", str(cell_file), "--author", "ben", "--based-on", "0", *at]
-    assert run_command(raced) == Exit.REFUSED
+    store_option = ["--store", store_url]
+    assert run_command(["apply", str(cell_file), "--author", "ann", *store_option]) == Exit.OK
+    stale_edit = ["apply", str(cell_file), "--author", "ben", "--based-on", "0", *store_option]
+    assert run_command(stale_edit) == Exit.REFUSED
     assert "ann" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize(
-    ("argv", "code", "told"),
+    ("argv", "code", "expected"),
     [
         (["apply", "FILE"], Exit.UNREACHABLE, "store"),
         (["get"], Exit.UNREACHABLE, "store"),
         (["status"], Exit.UNREACHABLE, "store"),
     ],
 )
-def test_a_store_that_is_not_there_is_named(
-    argv: list[str], code: Exit, told: str, cell_file: Path, capsys: pytest.CaptureFixture[str]
+def test_an_unreachable_store_is_reported(
+    argv: list[str], code: Exit, expected: str, cell_file: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The store is down while an operator works; the command says so and changes nothing."""
+    """The store is down while an operator runs a command. The command must report this."""
     argv = [str(cell_file) if arg == "FILE" else arg for arg in argv]
     assert run_command([*argv, "--store", "http://127.0.0.1:1"]) == code
-    assert told in capsys.readouterr().err
+    assert expected in capsys.readouterr().err
 
 
 def test_check_prints_every_problem(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -127,7 +127,7 @@
     ],
 )
 @pytest.mark.parametrize("name", ["frontend", "scheduler"])
-def test_a_daemon_says_what_it_lacks(
+def test_a_daemon_reports_wrong_arguments(
     name: str, argv: list[str], code: Exit, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run_daemon(name, argv) == code
--- a/tests/management/test_release.py
+++ b/tests/management/test_release.py
@@ -20,16 +20,18 @@
 
 @pytest.fixture
 async def store(monkeypatch):
-    made = MemoryStore(clock=SystemClock())
+    memory_store = MemoryStore(clock=SystemClock())
 
     @asynccontextmanager
     async def open_store(*, url, config):
-        yield made
+        yield memory_store
 
     monkeypatch.setattr(command, "open_store", open_store)
     table = Table(guards={"nan": GuardSet(version=4, guards=GUARDS)})
-    await made.create(OWNERSHIP, encode(TableRecord(table=table, writer_id="s", write_id="w")))
-    return made
+    await memory_store.create(
+        OWNERSHIP, encode(TableRecord(table=table, writer_id="s", write_id="w"))
+    )
+    return memory_store
 
 
 async def guard_set(store: MemoryStore) -> GuardSet:
@@ -38,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("region", "force", "code", "word"),
+    ("region", "force", "code", "expected"),
     [
         ("nan", False, Exit.REFUSED, "f1, f2, f3"),
         ("nan", True, Exit.OK, "guard set 5"),
@@ -46,20 +48,22 @@
     ],
     ids=["without force", "with force", "unknown region"],
 )
-async def test_guards_are_released_only_by_force(store, capsys, region, force, code, word) -> None:
-    """A region's frontends die at once, and an operator is in a hurry.
+async def test_guards_are_released_only_with_force(
+    store, capsys, region, force, code, expected
+) -> None:
+    """All frontends of a region fail at once.
 
-    Released while a scheduler there still runs, cut off, two owners would give out the same
-    slots; so the command first says what must be true.
+    If the guards were released while a scheduler there still runs cut off from the store, two
+    owners could grant the same slots. Without ``--force`` the command only prints the conditions.
     """
     assert await command._release(region, force, "", None) == code
-    said = capsys.readouterr()
-    assert word in said.out + said.err
+    output = capsys.readouterr()
+    assert expected in output.out + output.err
     found = await guard_set(store)
     assert (found.version, bool(found.guards)) == ((5, False) if code is Exit.OK else (4, True))
 
 
-def test_the_command_is_reached_by_its_name(capsys) -> None:
+def test_the_release_command_is_registered(capsys) -> None:
     with pytest.raises(SystemExit):
         run_command(["release"])
     assert "region" in capsys.readouterr().err.lower() + capsys.readouterr().out.lower()
--- a/tests/reports/test_losses.py
+++ b/tests/reports/test_losses.py
@@ -1,4 +1,4 @@
-"""Why jobs were late, from the lines of a cell."""
+"""Check the causes that ``report losses`` derives from the log lines of a cell."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 DONE = {**END, "outcome": "done"}
 LAPSED = {**END, "outcome": "lapsed"}
 COMPLETE = {"event": "job.recorded", "job": "j", "phase": "complete"}
-SETTLED = {"event": "term.settled"}
-KILLED = {"event": "process.started"}
+OWNER_READY = {"event": "term.settled"}
+PROCESS_STARTED = {"event": "process.started"}
 
-# What happened, as seconds and lines; then the verdict and the cause.
-STORIES = {
+# The log lines with their times in seconds, the expected verdict and the expected cause.
+CASES = {
     "served": (
         [(0, ACCEPTED), (0.1, TAKEN), (0.2, APPROVED), (0.3, STARTED), (1, DONE), (1.1, COMPLETE)],
         Verdict.IN_TIME,
@@ -103,12 +103,12 @@
     ),
     "an owner that was killed": (
         [
-            (0, SETTLED),
+            (0, OWNER_READY),
             (0, ACCEPTED),
             (0, TAKEN),
             (0.1, STARTED),
-            (0.5, KILLED),
-            (4, {**SETTLED, "member": "other"}),
+            (0.5, PROCESS_STARTED),
+            (4, {**OWNER_READY, "member": "other"}),
             (4, DONE),
             (4.1, COMPLETE),
         ],
@@ -117,12 +117,12 @@
     ),
     "an owner that was killed and came back": (
         [
-            (0, SETTLED),
+            (0, OWNER_READY),
             (0, ACCEPTED),
             (0, TAKEN),
             (0.1, STARTED),
-            (0.5, KILLED),
-            (4, SETTLED),
+            (0.5, PROCESS_STARTED),
+            (4, OWNER_READY),
             (4, DONE),
             (4.1, COMPLETE),
         ],
@@ -132,13 +132,13 @@
 }
 
 
-def texts(story) -> list[str]:
-    return [json.dumps({"at": 1000.0 + at, "member": "owner", **line}) for at, line in story]
+def log_lines(events) -> list[str]:
+    return [json.dumps({"at": 1000.0 + at, "member": "owner", **line}) for at, line in events]
 
 
-@pytest.mark.parametrize(("story", "verdict", "cause"), STORIES.values(), ids=STORIES.keys())
-def test_a_job_is_judged_by_what_it_waited_for_most(story, verdict, cause):
-    lines = parse_lines(texts(story))
+@pytest.mark.parametrize(("events", "verdict", "cause"), CASES.values(), ids=CASES.keys())
+def test_the_longest_wait_of_a_job_is_its_cause(events, verdict, cause):
+    lines = parse_lines(log_lines(events))
     (trace,) = trace_jobs(lines)
     assert trace.verdict(lines[-1].at) is verdict
     rows = losses(lines)
@@ -147,34 +147,34 @@
 
 
 def test_totals_add_up_to_the_rows_by_window():
-    stories = [texts(story) for story, _, cause in STORIES.values() if cause is Cause.ROOM]
+    event_lists = [log_lines(events) for events, _, cause in CASES.values() if cause is Cause.ROOM]
     renamed = [
         text.replace('"job": "j"', f'"job": "j{index}"')
-        for index, story in enumerate(stories)
-        for text in story
+        for index, events in enumerate(event_lists)
+        for text in events
     ]
     lines = parse_lines(renamed)
     (total,) = losses(lines, total=True)
     rows = losses(lines)
     assert total.cause == Cause.ROOM.value
-    assert total.lost == sum(row.lost for row in rows) == len(stories)
+    assert total.lost == sum(row.lost for row in rows) == len(event_lists)
 
 
-def test_lines_of_others_are_left_out():
-    found = parse_lines(["", "no line", "{", '{"at": 1}', *texts([(0, ACCEPTED)])])
+def test_lines_of_other_programs_are_skipped():
+    found = parse_lines(["", "no line", "{", '{"at": 1}', *log_lines([(0, ACCEPTED)])])
     assert [line.event for line in found] == ["job.accepted"]
 
 
 def test_the_command_reads_files_with_prefixes(tmp_path, capsys):
     file = tmp_path / "lines"
-    story, _, cause = STORIES["no room"]
-    file.write_text("\n".join(f" 1.0 host {text}" for text in texts(story)))
+    events, _, cause = CASES["no room"]
+    file.write_text("\n".join(f" 1.0 host {text}" for text in log_lines(events)))
     assert run_command(["report", "losses", str(file), "--total"]) == 0
     assert cause.value in capsys.readouterr().out
 
 
-def test_the_command_says_that_there_are_no_lines(tmp_path, capsys):
+def test_the_command_reports_files_without_log_lines(tmp_path, capsys):
     file = tmp_path / "lines"
     file.write_text("nothing")
     assert run_command(["report", "losses", str(file)]) == 1
-    assert "no line" in capsys.readouterr().err
+    assert "no log line" in capsys.readouterr().err
