--- a/rhubarbferry/adapters/__init__.py
+++ b/rhubarbferry/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters: the ports over published protocols."""
+"""Implementations of the ports over published protocols."""
--- a/rhubarbferry/adapters/etcd.py
+++ b/rhubarbferry/adapters/etcd.py
@@ -1,4 +1,4 @@
-"""The store port over the JSON gateway of etcd v3."""
+"""Implement the store port over the JSON gateway of etcd v3."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from contextlib import aclosing
 
 from rhubarbferry.adapters import etcd_wire as wire
-from rhubarbferry.adapters.etcd_http import Gateway
+from rhubarbferry.adapters.etcd_http import GatewayClient
 from rhubarbferry.adapters.store_metrics import CALLS, ERRORS
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.store import (
@@ -26,14 +26,14 @@
 
 
 class EtcdStore:
-    """Keys of one cell in etcd.
-
-    :param url: base of the gateway, as ``http://ip:port``.
-    :param prefix: put before each key.
-    :param timeout_s: for one call.
-    :param budget: asked before each call; ``None`` for no limit.
-    :param watch_silence_s: a watch that is silent for so long is given up. The store must be
-        set to send progress more often than that.
+    """Client for the keys of one cell in etcd.
+
+    :param url: base URL of the gateway, as ``http://ip:port``.
+    :param prefix: prepended to each key.
+    :param timeout_s: timeout of one call in seconds.
+    :param budget: limits the call rate; ``None`` for no limit.
+    :param watch_silence_s: a watch that receives nothing for this many seconds is closed. etcd
+        must be configured to send progress notifications more often.
     """
 
     def __init__(
@@ -48,19 +48,24 @@
     ) -> None:
         self._clock = clock
         self._budget = budget
-        self._wire = wire.Wire(prefix=prefix)
-        self._gateway = Gateway(url=url, timeout_s=timeout_s, silence_s=watch_silence_s)
+        self._codec = wire.EtcdCodec(prefix=prefix)
+        self._gateway = GatewayClient(
+            url=url, timeout_s=timeout_s, silence_timeout_s=watch_silence_s
+        )
 
     async def get(self, key: str) -> KeyValue | None:
-        """Return the key, or ``None`` when there is none."""
-        answer = await self._read("get", wire.RANGE, self._wire.get(key))
-        items = self._wire.listing(answer).items
+        """Return the key with its value, or ``None`` when it does not exist."""
+        response = await self._read("get", wire.RANGE, self._codec.encode_get(key))
+        items = self._codec.decode_listing(response).items
         return items[0] if items else None
 
     async def list(self, prefix: str, *, limit: int = 0) -> Listing:
-        """Return all keys that start with ``prefix``."""
-        answer = await self._read("list", wire.RANGE, self._wire.list(prefix, limit))
-        return self._wire.listing(answer)
+        """Return all keys that start with ``prefix``, and the store's revision.
+
+        :param limit: largest number of keys to return; 0 for no limit.
+        """
+        response = await self._read("list", wire.RANGE, self._codec.encode_list(prefix, limit))
+        return self._codec.decode_listing(response)
 
     async def create(self, key: str, value: bytes, *, lease_id: int = 0) -> int | None:
         """Write a key that must not exist; return the revision, or ``None`` when it exists."""
@@ -69,45 +74,58 @@
     async def put_if(
         self, key: str, value: bytes, *, mod_revision: int, lease_id: int = 0
     ) -> int | None:
-        """Write a key whose last write must be ``mod_revision``."""
+        """Write a key whose last write was at ``mod_revision``.
+
+        :returns: the new revision, or ``None`` when the key has changed.
+        """
         return await self._put("put_if", key, value, mod_revision, lease_id)
 
     async def delete_if(self, key: str, *, mod_revision: int) -> bool:
-        """Delete a key whose last write must be ``mod_revision``; tell whether it did."""
-        answer = await self._write("delete_if", wire.TXN, self._wire.delete_if(key, mod_revision))
-        return bool(answer.get("succeeded"))
+        """Delete a key whose last write was at ``mod_revision``; return whether it was deleted."""
+        response = await self._write(
+            "delete_if", wire.TXN, self._codec.encode_delete_if(key, mod_revision)
+        )
+        return bool(response.get("succeeded"))
 
     async def delete_prefix_below(self, prefix: str, end: str) -> int:
-        """Delete the keys in ``[prefix, end)``; return how many there were."""
-        req = self._wire.delete_range(prefix, end)
-        answer = await self._write("delete_range", wire.DELETE_RANGE, req)
-        return wire.number(answer, "deleted")
+        """Delete the keys in ``[prefix, end)``; return their number."""
+        req = self._codec.encode_delete_range(prefix, end)
+        response = await self._write("delete_range", wire.DELETE_RANGE, req)
+        return wire.read_int(response, "deleted")
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Open a lease of at least ``ttl_s`` seconds; return its id."""
-        req = wire.lease_grant(ttl_s)
-        answer = await self._write("grant_lease", wire.LEASE_GRANT, req, spend=Spend.RENEWAL)
-        return wire.number(answer, "ID")
+        """Create a lease of at least ``ttl_s`` seconds; return its id."""
+        req = wire.encode_lease_grant(ttl_s)
+        response = await self._write(
+            "grant_lease", wire.LEASE_GRANT, req, budget_kind=Spend.RENEWAL
+        )
+        return wire.read_int(response, "ID")
 
     async def keep_alive(self, lease_id: int) -> float:
-        """Extend a lease; return the seconds that are left of it.
+        """Extend a lease; return its remaining time in seconds.
 
-        The store began to count at some time between sending and answer. Counting from the
-        answer would let this process act on when others already hold the lease to be over.
+        The store restarts the lease at some time between the request and the response. The
+        remaining time is therefore counted from the request: counted from the response, this
+        process could act on a lease that other processes already consider expired.
         """
-        begun = self._clock.monotonic()
-        req = wire.lease(lease_id)
-        answer = await self._write("keep_alive", wire.LEASE_KEEP_ALIVE, req, spend=Spend.RENEWAL)
-        ttl_s = wire.number(answer.get("result", {}), "TTL")
+        sent_at = self._clock.monotonic()
+        req = wire.encode_lease(lease_id)
+        response = await self._write(
+            "keep_alive", wire.LEASE_KEEP_ALIVE, req, budget_kind=Spend.RENEWAL
+        )
+        ttl_s = wire.read_int(response.get("result", {}), "TTL")
         if ttl_s <= 0:
-            raise LeaseLost(f"lease {lease_id} has lapsed; grant a new one")
-        return ttl_s - (self._clock.monotonic() - begun)
+            raise LeaseLost(f"lease {lease_id} has expired; grant a new one")
+        return ttl_s - (self._clock.monotonic() - sent_at)
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease and delete the keys that hang on it; one that has lapsed is no error."""
+        """Revoke a lease and delete the keys attached to it; an expired lease is not an error."""
         try:
             await self._write(
-                "revoke_lease", wire.LEASE_REVOKE, wire.lease(lease_id), spend=Spend.RENEWAL
+                "revoke_lease",
+                wire.LEASE_REVOKE,
+                wire.encode_lease(lease_id),
+                budget_kind=Spend.RENEWAL,
             )
         except LeaseLost:
             return
@@ -115,17 +133,17 @@
     async def watch(
         self, prefix: str, *, from_revision: int
     ) -> AsyncIterator[tuple[WatchEvent, ...]]:
-        """Yield changes under ``prefix`` from ``from_revision`` on, in order."""
+        """Yield the changes under ``prefix`` from ``from_revision`` on, in order."""
         try:
-            await self._spend(Spend.READ)
+            await self._acquire_budget(Spend.READ)
         except StoreError as exc:
-            raise WatchBroken(f"no watch was begun: {exc}") from exc
+            raise WatchBroken(f"the watch was not started: {exc}") from exc
         CALLS.labels("watch").inc()
-        req = self._wire.watch(prefix, from_revision)
+        req = self._codec.encode_watch(prefix, from_revision)
         try:
             async with aclosing(self._gateway.stream(wire.WATCH, req)) as lines:
                 async for line in lines:
-                    events = self._wire.events(line)
+                    events = self._codec.decode_events(line)
                     if events:
                         yield events
         except StoreError as exc:
@@ -133,7 +151,7 @@
             raise
 
     async def close(self) -> None:
-        """Give up connections; calls in progress fail."""
+        """Close the connections; calls in progress fail."""
         await self._gateway.close()
 
     async def _put(
@@ -141,29 +159,29 @@
     ) -> int | None:
         if len(value) > MAX_VALUE_BYTES:
             raise StoreRefused(
-                f"value of {key} has {len(value)} bytes, over {MAX_VALUE_BYTES}; split it"
+                f"value of {key} has {len(value)} bytes, more than {MAX_VALUE_BYTES}; split it"
             )
-        req = self._wire.put_if(key, value, mod_revision, lease_id)
-        answer = await self._write(kind, wire.TXN, req)
-        return wire.revision(answer) if answer.get("succeeded") else None
+        req = self._codec.encode_put_if(key, value, mod_revision, lease_id)
+        response = await self._write(kind, wire.TXN, req)
+        return wire.response_revision(response) if response.get("succeeded") else None
 
     async def _read(self, kind: str, path: str, body: wire.Json) -> wire.Json:
         return await self._call(kind, path, body, Spend.READ)
 
     async def _write(
-        self, kind: str, path: str, body: wire.Json, *, spend: Spend = Spend.WRITE
+        self, kind: str, path: str, body: wire.Json, *, budget_kind: Spend = Spend.WRITE
     ) -> wire.Json:
-        return await self._call(kind, path, body, spend)
+        return await self._call(kind, path, body, budget_kind)
 
-    async def _call(self, kind: str, path: str, body: wire.Json, spend: Spend) -> wire.Json:
+    async def _call(self, kind: str, path: str, body: wire.Json, budget_kind: Spend) -> wire.Json:
         try:
-            await self._spend(spend)
+            await self._acquire_budget(budget_kind)
             CALLS.labels(kind).inc()
-            return await self._gateway.call(path, body, write=spend is not Spend.READ)
+            return await self._gateway.call(path, body, write=budget_kind is not Spend.READ)
         except StoreError as exc:
             ERRORS.labels(kind, type(exc).__name__).inc()
             raise
 
-    async def _spend(self, spend: Spend) -> None:
+    async def _acquire_budget(self, budget_kind: Spend) -> None:
         if self._budget is not None:
-            await self._budget.spend(spend)
+            await self._budget.spend(budget_kind)
--- a/rhubarbferry/adapters/etcd_wire.py
+++ b/rhubarbferry/adapters/etcd_wire.py
@@ -1,4 +1,4 @@
-"""The JSON messages of the etcd v3 gateway: what is sent, and what the answers mean."""
+"""Encode requests to the etcd v3 JSON gateway and decode its responses."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 ALL_KEYS = b"\x00"
 
 
-def text(raw: bytes) -> str:
-    """Return bytes as the gateway writes them."""
+def encode_base64(raw: bytes) -> str:
+    """Encode bytes in Base64, as the gateway expects them."""
     return b64encode(raw).decode()
 
 
-def number(message: Mapping[str, Any], name: str) -> int:
-    """Return an integer field; the gateway writes 64 bits as text and leaves out 0."""
+def read_int(message: Mapping[str, Any], name: str) -> int:
+    """Return an integer field. The gateway writes 64-bit integers as text and omits 0."""
     return int(message.get(name, 0))
 
 
@@ -41,107 +41,116 @@
     return ALL_KEYS
 
 
-class Wire:
-    """Write requests and read answers for the keys under one prefix.
+class EtcdCodec:
+    """Encode requests and decode responses for the keys under one prefix.
 
-    :param prefix: put before each key sent and taken off each key received.
+    :param prefix: prepended to each key sent and removed from each key received.
     """
 
     def __init__(self, *, prefix: str) -> None:
         self._prefix = prefix.encode()
 
-    def get(self, key: str) -> Json:
-        """Ask for one key."""
-        return {"key": text(self._key(key))}
+    def encode_get(self, key: str) -> Json:
+        """Encode a read of one key."""
+        return {"key": encode_base64(self._full_key(key))}
 
-    def list(self, prefix: str, limit: int) -> Json:
-        """Ask for the keys under a prefix, in order."""
-        start = self._key(prefix)
-        req: Json = {"key": text(start or ALL_KEYS), "range_end": text(prefix_end(start))}
+    def encode_list(self, prefix: str, limit: int) -> Json:
+        """Encode a read of the keys under a prefix, in order."""
+        first_key = self._full_key(prefix)
+        req: Json = {
+            "key": encode_base64(first_key or ALL_KEYS),
+            "range_end": encode_base64(prefix_end(first_key)),
+        }
         if limit:
             req["limit"] = str(limit)
         return req
 
-    def put_if(self, key: str, value: bytes, mod_revision: int, lease_id: int) -> Json:
-        """Write a key when its last write is ``mod_revision``; 0 means that there is none."""
-        put: Json = {"key": text(self._key(key)), "value": text(value)}
+    def encode_put_if(self, key: str, value: bytes, mod_revision: int, lease_id: int) -> Json:
+        """Encode a write on condition that the last write was at ``mod_revision``.
+
+        A ``mod_revision`` of 0 requires that the key does not exist.
+        """
+        put: Json = {"key": encode_base64(self._full_key(key)), "value": encode_base64(value)}
         if lease_id:
             put["lease"] = str(lease_id)
         return self._txn(key, mod_revision, {"request_put": put})
 
-    def delete_if(self, key: str, mod_revision: int) -> Json:
-        """Delete a key when its last write is ``mod_revision``."""
-        delete = {"key": text(self._key(key))}
+    def encode_delete_if(self, key: str, mod_revision: int) -> Json:
+        """Encode a deletion on condition that the last write was at ``mod_revision``."""
+        delete = {"key": encode_base64(self._full_key(key))}
         return self._txn(key, mod_revision, {"request_delete_range": delete})
 
-    def delete_range(self, start: str, end: str) -> Json:
-        """Delete the keys in ``[start, end)``."""
-        return {"key": text(self._key(start)), "range_end": text(self._key(end))}
+    def encode_delete_range(self, first_key: str, end: str) -> Json:
+        """Encode a deletion of the keys in ``[start, end)``."""
+        return {
+            "key": encode_base64(self._full_key(first_key)),
+            "range_end": encode_base64(self._full_key(end)),
+        }
 
-    def watch(self, prefix: str, from_revision: int) -> Json:
-        """Ask for the changes under a prefix, and for word while there is none."""
-        create = self.list(prefix, 0)
+    def encode_watch(self, prefix: str, from_revision: int) -> Json:
+        """Encode a watch of the keys under a prefix, with progress notifications."""
+        create = self.encode_list(prefix, 0)
         create["start_revision"] = str(from_revision)
         create["progress_notify"] = True
         return {"create_request": create}
 
-    def listing(self, answer: Mapping[str, Any]) -> Listing:
-        """Read the answer to a range request."""
-        items = tuple(self.key_value(kv) for kv in answer.get("kvs", ()))
-        return Listing(revision=revision(answer), items=items)
+    def decode_listing(self, response: Mapping[str, Any]) -> Listing:
+        """Decode the response to a range request."""
+        items = tuple(self.decode_key_value(kv) for kv in response.get("kvs", ()))
+        return Listing(revision=response_revision(response), items=items)
 
-    def key_value(self, kv: Mapping[str, Any]) -> KeyValue:
-        """Read one key."""
+    def decode_key_value(self, kv: Mapping[str, Any]) -> KeyValue:
+        """Decode one key with its value."""
         return KeyValue(
-            key=self._name(kv),
+            key=self._strip_prefix(kv),
             value=b64decode(kv.get("value", "")),
-            mod_revision=number(kv, "mod_revision"),
-            create_revision=number(kv, "create_revision"),
-            lease_id=number(kv, "lease"),
+            mod_revision=read_int(kv, "mod_revision"),
+            create_revision=read_int(kv, "create_revision"),
+            lease_id=read_int(kv, "lease"),
         )
 
-    def events(self, line: Mapping[str, Any]) -> tuple[WatchEvent, ...]:
-        """Read one message of a watch; it has no events when it only shows that all is well.
+    def decode_events(self, line: Mapping[str, Any]) -> tuple[WatchEvent, ...]:
+        """Decode one message of a watch; a progress notification has no events.
 
         :raises WatchBroken: when the store has ended the watch.
         """
         result = line.get("result")
         if not isinstance(result, dict) or result.get("canceled"):
-            raise WatchBroken(f"the store ended the watch: {line}; read the prefix again")
-        return tuple(self._event(event) for event in result.get("events", ()))
+            raise WatchBroken(f"the store ended the watch: {line}; list the prefix again")
+        return tuple(self._decode_event(event) for event in result.get("events", ()))
 
-    def _event(self, event: Mapping[str, Any]) -> WatchEvent:
+    def _decode_event(self, event: Mapping[str, Any]) -> WatchEvent:
         kv = event["kv"]
         if event.get("type") == "DELETE":
-            return KeyDeleted(key=self._name(kv), revision=number(kv, "mod_revision"))
-        return KeyPut(kv=self.key_value(kv))
+            return KeyDeleted(key=self._strip_prefix(kv), revision=read_int(kv, "mod_revision"))
+        return KeyPut(kv=self.decode_key_value(kv))
 
     def _txn(self, key: str, mod_revision: int, op: Json) -> Json:
         compare = {
-            "key": text(self._key(key)),
+            "key": encode_base64(self._full_key(key)),
             "target": "MOD",
             "result": "EQUAL",
             "mod_revision": str(mod_revision),
         }
         return {"compare": [compare], "success": [op]}
 
-    def _key(self, key: str) -> bytes:
+    def _full_key(self, key: str) -> bytes:
         return self._prefix + key.encode()
 
-    def _name(self, kv: Mapping[str, Any]) -> str:
+    def _strip_prefix(self, kv: Mapping[str, Any]) -> str:
         return b64decode(kv["key"])[len(self._prefix) :].decode()
 
 
-def revision(answer: Mapping[str, Any]) -> int:
-    """Return the store's revision at the time of an answer."""
-    return number(answer["header"], "revision")
+def response_revision(response: Mapping[str, Any]) -> int:
+    """Return the store's revision at the time of a response."""
+    return read_int(response["header"], "revision")
 
 
-def lease_grant(ttl_s: float) -> Json:
-    """Ask for a lease; the store counts whole seconds."""
+def encode_lease_grant(ttl_s: float) -> Json:
+    """Encode a lease grant, rounded up since the store accepts only whole seconds."""
     return {"TTL": str(math.ceil(ttl_s))}
 
 
-def lease(lease_id: int) -> Json:
-    """Name a lease."""
+def encode_lease(lease_id: int) -> Json:
+    """Encode a request that names an existing lease."""
     return {"ID": str(lease_id)}
--- a/rhubarbferry/adapters/hosts.py
+++ b/rhubarbferry/adapters/hosts.py
@@ -1,4 +1,4 @@
-"""Read the platform's list of hosts: the HTTP service discovery format of Prometheus."""
+"""Poll the platform's list of hosts, in the HTTP service discovery format of Prometheus."""
 
 from __future__ import annotations
 
@@ -16,55 +16,61 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.hosts import Host, HostKind
 
-READS = Counter("rhubarbferry_host_list_reads_total", "Reads of the host list", ["result"])
+POLLS = Counter("rhubarbferry_host_list_reads_total", "Reads of the host list", ["result"])
 SKIPPED = Counter(
     "rhubarbferry_host_list_skipped_total", "Hosts of the list that could not be understood"
 )
 
-TIMEOUT_S = 2.0
-MAX_BYTES = 8 * 1024 * 1024
-LEAVING = "leaving"
+POLL_TIMEOUT_S = 2.0
+MAX_BODY_BYTES = 8 * 1024 * 1024
+LEAVING_STATE = "leaving"
 
 
 class HostListGarbled(Exception):
-    """The answer is no host list; the last good one stays in use. Look at its sender."""
+    """The response is no valid host list; the last valid one stays in use. Check its source."""
 
 
 @frozen(kw_only=True, slots=True)
-class Parsed:
-    """A list that was read; ``skipped`` counts the hosts that could not be understood."""
+class ParsedHostList:
+    """Result of parsing a host list.
+
+    :param hosts: valid hosts, sorted by id.
+    :param skipped: number of entries that were invalid or duplicates.
+    """
 
     hosts: tuple[Host, ...]
     skipped: int
 
 
-def parse_hosts(body: bytes) -> Parsed:
-    """Read the JSON of a list: groups of ``targets`` with ``labels``.
+def parse_hosts(body: bytes) -> ParsedHostList:
+    """Parse the JSON of a host list: groups of ``targets`` with ``labels``.
 
-    A single host that can't be understood is left out; the others must go on being used.
+    An invalid entry is skipped, so that the other hosts stay in use.
 
-    :raises HostListGarbled: when the whole is no such list.
+    :raises HostListGarbled: when the body is no host list, or all its entries are invalid.
     """
     try:
         groups = json.loads(body)
     except ValueError as exc:
-        raise HostListGarbled(f"no JSON: {exc}") from exc
+        raise HostListGarbled(f"not JSON: {exc}") from exc
     if not isinstance(groups, list):
-        raise HostListGarbled("no JSON list of groups")
+        raise HostListGarbled("not a JSON list of groups")
     hosts: dict[str, Host] = {}
     skipped = 0
     for group in groups:
-        host = _host(group)
+        host = _parse_host(group)
         if host is None or host.id in hosts:
             skipped += 1
         else:
             hosts[host.id] = host
     if groups and not hosts:
-        raise HostListGarbled(f"none of {len(groups)} hosts can be understood")
-    return Parsed(hosts=tuple(sorted(hosts.values(), key=lambda host: host.id)), skipped=skipped)
+        raise HostListGarbled(f"none of {len(groups)} entries is valid")
+    return ParsedHostList(
+        hosts=tuple(sorted(hosts.values(), key=lambda host: host.id)), skipped=skipped
+    )
 
 
-def _host(group: Any) -> Host | None:
+def _parse_host(group: Any) -> Host | None:
     try:
         labels: Mapping[str, str] = group["labels"]
         targets: Sequence[str] = group["targets"]
@@ -77,28 +83,28 @@
             failure_domain=labels.get("failure_domain", ""),
             rack=labels.get("rack", ""),
             service=labels.get("service", ""),
-            leaving=labels.get("state", "live") == LEAVING,
+            leaving=labels.get("state", "live") == LEAVING_STATE,
         )
     except (KeyError, TypeError, ValueError, AttributeError):
         return None
-    return host if _usable(host) else None
+    return host if _is_valid(host) else None
 
 
-def _usable(host: Host) -> bool:
+def _is_valid(host: Host) -> bool:
     texts = (host.id, host.address, host.region, host.failure_domain, host.rack, host.service)
     if not all(isinstance(text, str) for text in texts):
         return False
     _, colon, port = host.address.rpartition(":")
-    place = host.rack if host.kind is HostKind.WORKER else host.service
-    named = host.id and host.region and place and "/" not in host.region
+    rack_or_service = host.rack if host.kind is HostKind.WORKER else host.service
+    named = host.id and host.region and rack_or_service and "/" not in host.region
     return bool(colon and port.isdigit() and named)
 
 
 class HttpHostList:
-    """Poll the list; implements ``ports.hosts.HostList``.
+    """Poll the host list; implements :class:`~rhubarbferry.ports.hosts.HostList`.
 
     :param url: address of the list.
-    :param poll_s: seconds between two reads.
+    :param poll_s: seconds between two polls.
     """
 
     def __init__(self, *, url: str, poll_s: float, clock: Clock) -> None:
@@ -106,29 +112,29 @@
         self._poll_s = poll_s
         self._clock = clock
         self._hosts: tuple[Host, ...] = ()
-        self._changes = Signal()
-        self._seen = 0
-        self._good = True
+        self._change_notifier = Signal()
+        self._seen_version = 0
+        self._last_poll_ok = True
         self._task: asyncio.Task[None] | None = None
         self._session: aiohttp.ClientSession | None = None
 
     def hosts(self) -> tuple[Host, ...]:
-        """Return the hosts of the last list that was read, also while it can't be read."""
+        """Return the hosts of the last valid list, also while the list can't be read."""
         return self._hosts
 
     async def changed(self) -> None:
-        """Return when the list has changed since the last call."""
-        await self._changes.changed(self._seen)
-        self._seen = self._changes.version
+        """Wait until the list has changed since the last call."""
+        await self._change_notifier.changed(self._seen_version)
+        self._seen_version = self._change_notifier.version
 
     async def start(self) -> None:
-        """Read the list once, then go on in the background."""
-        self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=TIMEOUT_S))
+        """Poll the list once, then continue in the background."""
+        self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=POLL_TIMEOUT_S))
         await self.poll()
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop reading."""
+        """Stop polling and close the connections."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -136,19 +142,19 @@
             await self._session.close()
 
     async def poll(self) -> None:
-        """Read the list now; a failure is counted and leaves the last good list in use."""
+        """Poll the list once; a failure is counted, and the last valid list stays in use."""
         try:
             parsed = parse_hosts(await self._fetch())
         except (aiohttp.ClientError, OSError, TimeoutError, HostListGarbled) as exc:
-            READS.labels("failed").inc()
-            self._note(good=False, reason=repr(exc))
+            POLLS.labels("failed").inc()
+            self._log_transition(ok=False, reason=repr(exc))
             return
-        READS.labels("good").inc()
+        POLLS.labels("good").inc()
         SKIPPED.inc(parsed.skipped)
-        self._note(good=True, reason="")
+        self._log_transition(ok=True, reason="")
         if parsed.hosts != self._hosts:
             self._hosts = parsed.hosts
-            self._changes.notify()
+            self._change_notifier.notify()
 
     async def _run(self) -> None:
         while True:
@@ -159,18 +165,20 @@
         assert self._session is not None
         async with self._session.get(self._url) as resp:
             resp.raise_for_status()
-            # A list without end would fill the memory of this host.
-            body = await resp.content.read(MAX_BYTES + 1)
-            while len(body) <= MAX_BYTES and (more := await resp.content.read(MAX_BYTES)):
-                body += more
-        if len(body) > MAX_BYTES:
-            raise HostListGarbled(f"over {MAX_BYTES} bytes")
+            # Bounded, since an endless response would fill the memory of this process.
+            body = await resp.content.read(MAX_BODY_BYTES + 1)
+            while len(body) <= MAX_BODY_BYTES and (
+                chunk := await resp.content.read(MAX_BODY_BYTES)
+            ):
+                body += chunk
+        if len(body) > MAX_BODY_BYTES:
+            raise HostListGarbled(f"longer than {MAX_BODY_BYTES} bytes")
         return body
 
-    def _note(self, *, good: bool, reason: str) -> None:
-        if good != self._good:
-            self._good = good
-            if good:
-                logger.info("the host list can be read again")
+    def _log_transition(self, *, ok: bool, reason: str) -> None:
+        if ok != self._last_poll_ok:
+            self._last_poll_ok = ok
+            if ok:
+                logger.info("the host list is readable again")
             else:
-                logger.warning("the host list can't be read, the last one stays: {}", reason)
+                logger.warning("cannot read the host list, keeping the last valid one: {}", reason)
--- a/rhubarbferry/adapters/runners.py
+++ b/rhubarbferry/adapters/runners.py
@@ -1,4 +1,4 @@
-"""Ask runners for their state over HTTP: ``GET /rhubarbferry/status``."""
+"""Read the state of runners over HTTP, from ``GET /rhubarbferry/status``."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 
 
 class HttpRunnerReports:
-    """Reports over HTTP/1.1; the HTTP library is loaded with the first question.
+    """Read runner reports over HTTP/1.1.
 
-    :param timeout_s: for one question.
+    The HTTP library is imported with the first request.
+
+    :param timeout_s: timeout of one request in seconds.
     """
 
     def __init__(self, *, timeout_s: float = 0.5) -> None:
@@ -24,7 +26,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def report(self, *, runner_id: str, address: str) -> RunnerReport:
-        """Ask one runner; see :class:`~rhubarbferry.ports.runners.RunnerReports`."""
+        """Return the report of one runner; implements ``RunnerReports.report``."""
         import aiohttp
 
         if self._session is None:
@@ -34,24 +36,27 @@
             async with self._session.get(f"http://{address}{STATUS_PATH}") as resp:
                 resp.raise_for_status()
                 body = await resp.json(content_type=None)
-            report = read_report(body)
+            report = parse_report(body)
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as exc:
-            raise RunnerUnreachable(f"no report of runner {runner_id} at {address}: {exc}") from exc
+            raise RunnerUnreachable(
+                f"no report from runner {runner_id} at {address}: {exc}"
+            ) from exc
         if report.runner_id != runner_id:
-            # The address has gone to another runner. Its word must not free this one's slots.
-            raise RunnerUnreachable(f"runner {report.runner_id} answers at {address}")
+            # The address now belongs to another runner, whose report must not free this runner's
+            # slots.
+            raise RunnerUnreachable(f"runner {report.runner_id} now has the address {address}")
         return report
 
     async def close(self) -> None:
-        """Give up connections."""
+        """Close the connections."""
         if self._session is not None:
             await self._session.close()
 
 
-def read_report(body: Any) -> RunnerReport:
-    """Read the JSON form.
+def parse_report(body: Any) -> RunnerReport:
+    """Parse the JSON of a report.
 
-    :raises ValueError: when it has another form.
+    :raises ValueError: when a field is missing or invalid.
     """
     try:
         return RunnerReport(
@@ -62,4 +67,4 @@
             leaving=bool(body.get("leaving", False)),
         )
     except (KeyError, TypeError, AttributeError) as exc:
-        raise ValueError(f"not a runner's report: {exc}") from exc
+        raise ValueError(f"invalid runner report: {exc}") from exc
--- a/rhubarbferry/adapters/store_metrics.py
+++ b/rhubarbferry/adapters/store_metrics.py
@@ -1,4 +1,4 @@
-"""Counters of what a process asks of the store."""
+"""Metrics of the calls that a process makes to the store."""
 
 from __future__ import annotations
 
--- a/tests/adapters/test_etcd.py
+++ b/tests/adapters/test_etcd.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of failures on the way to the store."""
+"""Errors that the etcd adapter raises for failures between it and the store."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from rhubarbferry.test.store import StoreGateway
 
 WAIT_S = 5.0
-LOOKS = 500
+MAX_POLLS = 500
 
 
 def _store(address: str, *, timeout_s: float = 0.3, silence_s: float = 0.3) -> EtcdStore:
@@ -43,7 +43,7 @@
 
 
 @asynccontextmanager
-async def _stand_in() -> AsyncIterator[tuple[EtcdStore, MemoryStore]]:
+async def _serve_memory_store() -> AsyncIterator[tuple[EtcdStore, MemoryStore]]:
     memory = MemoryStore(clock=SystemClock())
     async with serving(StoreGateway(store=memory).app()) as address:
         store = _store(address)
@@ -55,7 +55,7 @@
 
 
 async def test_a_refused_connection_changes_nothing() -> None:
-    """No store listens at the address. A write is known not to stand."""
+    """No store listens at the address, so the write can't have taken effect."""
     sock = bind()
     address = address_of(sock)
     sock.close()
@@ -69,24 +69,24 @@
 
 
 @pytest.mark.parametrize("fault", ["slow_s", "slow_reply_s"])
-async def test_a_slow_write_is_unclear_and_a_slow_read_is_not(fault: str) -> None:
-    """The store answers after the timeout. The write may stand, before or after we look."""
-    async with _stand_in() as (store, memory):
+async def test_a_slow_write_is_unclear_but_a_slow_read_is_not(fault: str) -> None:
+    """The store responds after the timeout. The write may take effect before or after that."""
+    async with _serve_memory_store() as (store, memory):
         setattr(memory.faults, fault, 0.6)
         with pytest.raises(StoreUnclear):
             await store.create("a", b"")
         with pytest.raises(StoreUnavailable):
             await store.get("a")
-        for _ in range(LOOKS):
+        for _ in range(MAX_POLLS):
             if memory.engine.get("cell/a") is not None:
                 break
             await asyncio.sleep(0.01)
         assert memory.engine.get("cell/a") is not None
 
 
-async def test_a_silent_watch_is_found() -> None:
-    """Something on the way forgets the connection of a watch. No change would ever come."""
-    async with _stand_in() as (store, memory):
+async def test_a_silent_watch_is_closed() -> None:
+    """A middlebox drops the state of a watch's connection, so no change would ever arrive."""
+    async with _serve_memory_store() as (store, memory):
         memory.faults.silent_watches = True
         with pytest.raises(WatchBroken):
             async with (
@@ -97,8 +97,11 @@
                     pass
 
 
-async def test_an_idle_watch_is_kept_by_the_progress_of_the_store() -> None:
-    async with _stand_in() as (_, memory), serving(StoreGateway(store=memory).app()) as address:
+async def test_progress_notifications_keep_an_idle_watch_open() -> None:
+    async with (
+        _serve_memory_store() as (_, memory),
+        serving(StoreGateway(store=memory).app()) as address,
+    ):
         store = _store(address, silence_s=1.5)
         watch = store.watch("", from_revision=memory.engine.revision + 1)
         async with aclosing(watch):
@@ -110,7 +113,7 @@
         await store.close()
 
 
-ANSWERS = [
+ERROR_RESPONSES = [
     (500, {"error": "x"}, StoreUnclear, StoreUnavailable),
     (502, None, StoreUnclear, StoreUnavailable),
     (200, None, StoreUnclear, StoreUnavailable),
@@ -122,16 +125,16 @@
 ]
 
 
-@pytest.mark.parametrize(("status", "body", "for_write", "for_read"), ANSWERS)
-async def test_an_error_of_the_store_is_told_as_what_it_means(
+@pytest.mark.parametrize(("status", "body", "for_write", "for_read"), ERROR_RESPONSES)
+async def test_an_error_response_is_mapped_to_its_exception(
     status: int, body: object, for_write: type[StoreError], for_read: type[StoreError]
 ) -> None:
-    """The store or a proxy answers with an error. Only some say that nothing was changed."""
+    """The store or a proxy returns an error. Only some errors prove that nothing was changed."""
 
-    async def answer(_req: Request) -> Response:
+    async def respond(_req: Request) -> Response:
         return JSONResponse(body, status) if body else Response("<html>", status)
 
-    app = Starlette(routes=[Route("/{path:path}", answer, methods=["POST"])])
+    app = Starlette(routes=[Route("/{path:path}", respond, methods=["POST"])])
     async with serving(app) as address:
         store = _store(address)
         with pytest.raises(for_write) as write:
@@ -142,18 +145,18 @@
     assert (type(write.value), type(read.value)) == (for_write, for_read)
 
 
-class _Spending:
+class _RecordingBudget:
     def __init__(self) -> None:
-        self.spent: list[Spend] = []
+        self.acquired: list[Spend] = []
 
     async def spend(self, spend: Spend) -> None:
-        self.spent.append(spend)
+        self.acquired.append(spend)
         if spend is Spend.WRITE:
             raise StoreRateLimited("no budget")
 
 
-async def test_each_call_asks_the_budget_first() -> None:
-    budget = _Spending()
+async def test_each_call_first_acquires_budget() -> None:
+    budget = _RecordingBudget()
     memory = MemoryStore(clock=SystemClock())
     async with serving(StoreGateway(store=memory).app()) as address:
         store = EtcdStore(
@@ -164,5 +167,5 @@
         await store.get("a")
         await store.grant_lease(1.0)
         await store.close()
-    assert budget.spent == [Spend.WRITE, Spend.READ, Spend.RENEWAL]
+    assert budget.acquired == [Spend.WRITE, Spend.READ, Spend.RENEWAL]
     assert memory.counters.calls["txn"] == 0
--- a/tests/adapters/test_hosts.py
+++ b/tests/adapters/test_hosts.py
@@ -12,7 +12,7 @@
 from rhubarbferry.test.serving import serving
 
 
-def worker(name: str, **changes) -> Host:
+def make_worker(name: str, **changes) -> Host:
     fields = {
         "address": "10.0.0.1:80",
         "kind": HostKind.WORKER,
@@ -24,11 +24,11 @@
     return Host(id=name, **fields)
 
 
-OLD = worker("w1")
-NEW = worker("w2", leaving=True)
+OLD = make_worker("w1")
+NEW = make_worker("w2", leaving=True)
 
 
-async def test_reads_the_list():
+async def test_hosts_are_read_from_the_list():
     async with serving(HostsStandIn.of(NEW, OLD).app()) as address:
         hosts = HttpHostList(url=f"http://{address}/hosts", poll_s=60, clock=SystemClock())
         await hosts.start()
@@ -46,41 +46,41 @@
     ],
 )
 async def test_last_good_list_stays_in_use(monkeypatch, faults):
-    """The platform's list can't be read, is garbled, or lags. The hosts known before stay in
-    use, and the new list is taken once it can be read."""
-    monkeypatch.setattr(adapter, "TIMEOUT_S", 0.2)
-    stand_in = HostsStandIn.of(OLD)
-    async with serving(stand_in.app()) as address:
+    """The host list can't be read, is garbled, or is outdated. The hosts of the last valid list
+    stay in use until a newer list can be read."""
+    monkeypatch.setattr(adapter, "POLL_TIMEOUT_S", 0.2)
+    fake_list = HostsStandIn.of(OLD)
+    async with serving(fake_list.app()) as address:
         hosts = HttpHostList(url=f"http://{address}/hosts", poll_s=60, clock=SystemClock())
         await hosts.start()
-        stand_in.set_faults(faults)
-        stand_in.put([group_of(NEW)])
+        fake_list.set_faults(faults)
+        fake_list.put([group_of(NEW)])
         await hosts.poll()
         assert hosts.hosts() == (OLD,)
-        stand_in.set_faults(HostFaults())
+        fake_list.set_faults(HostFaults())
         await hosts.poll()
         assert hosts.hosts() == (NEW,)
         await hosts.close()
 
 
-GOOD = group_of(OLD)
+ENTRY = group_of(OLD)
 
 
 @pytest.mark.parametrize(
     ("groups", "count", "skipped"),
     [
         ([], 0, 0),
-        ([GOOD], 1, 0),
-        ([GOOD, GOOD], 1, 1),
-        ([GOOD, {}], 1, 1),
-        ([GOOD, "text"], 1, 1),
-        ([GOOD, {"targets": ["a:1", "b:1"], "labels": GOOD["labels"]}], 1, 1),
-        ([GOOD, {**GOOD, "labels": {**GOOD["labels"], "id": "x", "kind": "cat"}}], 1, 1),
-        ([GOOD, {**GOOD, "labels": {**GOOD["labels"], "id": "x", "region": 3}}], 1, 1),
-        ([GOOD, {"targets": ["nowhere"], "labels": {**GOOD["labels"], "id": "x"}}], 1, 1),
+        ([ENTRY], 1, 0),
+        ([ENTRY, ENTRY], 1, 1),
+        ([ENTRY, {}], 1, 1),
+        ([ENTRY, "text"], 1, 1),
+        ([ENTRY, {"targets": ["a:1", "b:1"], "labels": ENTRY["labels"]}], 1, 1),
+        ([ENTRY, {**ENTRY, "labels": {**ENTRY["labels"], "id": "x", "kind": "cat"}}], 1, 1),
+        ([ENTRY, {**ENTRY, "labels": {**ENTRY["labels"], "id": "x", "region": 3}}], 1, 1),
+        ([ENTRY, {"targets": ["nowhere"], "labels": {**ENTRY["labels"], "id": "x"}}], 1, 1),
     ],
 )
-def test_host_that_is_not_understood_is_left_out(groups, count, skipped):
+def test_invalid_host_is_skipped(groups, count, skipped):
     parsed = parse_hosts(json.dumps(groups).encode())
     assert (len(parsed.hosts), parsed.skipped) == (count, skipped)
 
--- a/tests/adapters/test_store_contract.py
+++ b/tests/adapters/test_store_contract.py
@@ -1,4 +1,4 @@
-"""One table of promises of the store port, kept by the stand-in's engine and by the adapter."""
+"""Contract tests of the store port, run on the simulated store and on the etcd adapter."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 from rhubarbferry.test.store_engine import Engine
 
 WAIT_S = 5.0
-LOOKS = 500
+MAX_POLLS = 500
 TIMEOUT_S = 2.0
 
 
 class ShiftedClock:
-    """The system's clock, moved forward by the test."""
+    """System clock that the test can move forward."""
 
     def __init__(self) -> None:
         self.shift_s = 0.0
@@ -50,27 +50,27 @@
 
 
 @frozen(kw_only=True)
-class Rig:
+class Harness:
     store: Store
     memory: MemoryStore
     clock: ShiftedClock
 
 
 @pytest.fixture(params=["memory", "etcd"])
-async def rig(request: pytest.FixtureRequest) -> AsyncIterator[Rig]:
+async def harness(request: pytest.FixtureRequest) -> AsyncIterator[Harness]:
     clock = ShiftedClock()
     memory = MemoryStore(clock=clock, engine=Engine(history=50))
     if request.param == "memory":
-        yield Rig(store=memory, memory=memory, clock=clock)
+        yield Harness(store=memory, memory=memory, clock=clock)
         return
     async with serving(StoreGateway(store=memory).app()) as address:
         store = EtcdStore(url=f"http://{address}", prefix="cell/", clock=clock, timeout_s=TIMEOUT_S)
-        yield Rig(store=store, memory=memory, clock=clock)
+        yield Harness(store=store, memory=memory, clock=clock)
         await store.close()
 
 
-async def test_writes_stand_only_on_the_revision_they_name(rig: Rig) -> None:
-    store = rig.store
+async def test_writes_succeed_only_at_the_given_revision(harness: Harness) -> None:
+    store = harness.store
     first = await store.create("a", b"1")
     assert first is not None
     assert await store.create("a", b"2") is None
@@ -85,57 +85,57 @@
     assert await store.get("a") is None
 
 
-async def test_list_is_in_order_and_keeps_to_its_prefix(rig: Rig) -> None:
+async def test_list_is_sorted_and_limited_to_its_prefix(harness: Harness) -> None:
     for key in ("p/2", "p/10", "p/1", "q/1", "p"):
-        await rig.store.create(key, key.encode())
-    listing = await rig.store.list("p/")
+        await harness.store.create(key, key.encode())
+    listing = await harness.store.list("p/")
     assert [kv.key for kv in listing.items] == ["p/1", "p/10", "p/2"]
-    assert listing.revision == rig.memory.engine.revision
-    assert [kv.key for kv in (await rig.store.list("p/", limit=2)).items] == ["p/1", "p/10"]
-    assert len((await rig.store.list("")).items) == 5
+    assert listing.revision == harness.memory.engine.revision
+    assert [kv.key for kv in (await harness.store.list("p/", limit=2)).items] == ["p/1", "p/10"]
+    assert len((await harness.store.list("")).items) == 5
 
 
-async def test_a_range_is_deleted_up_to_its_end(rig: Rig) -> None:
+async def test_a_range_is_deleted_without_its_end(harness: Harness) -> None:
     for key in ("s/1", "s/2", "s/3", "t/1"):
-        await rig.store.create(key, b"")
-    assert await rig.store.delete_prefix_below("s/1", "s/3") == 2
-    assert [kv.key for kv in (await rig.store.list("")).items] == ["s/3", "t/1"]
-
-
-async def test_a_lapsed_lease_takes_its_keys_along(rig: Rig) -> None:
-    """A process stops renewing. Its record goes, and its next renewal tells it so."""
-    lease = await rig.store.grant_lease(3.0)
-    await rig.store.create("m/1", b"x", lease_id=lease)
-    rig.clock.shift_s += 2.0
-    assert 0 < await rig.store.keep_alive(lease) <= 3.0
-    rig.clock.shift_s += 2.0
-    found = await rig.store.get("m/1")
+        await harness.store.create(key, b"")
+    assert await harness.store.delete_prefix_below("s/1", "s/3") == 2
+    assert [kv.key for kv in (await harness.store.list("")).items] == ["s/3", "t/1"]
+
+
+async def test_an_expired_lease_deletes_its_keys(harness: Harness) -> None:
+    """A process stops renewing its lease. Its record is deleted, and its next renewal fails."""
+    lease = await harness.store.grant_lease(3.0)
+    await harness.store.create("m/1", b"x", lease_id=lease)
+    harness.clock.shift_s += 2.0
+    assert 0 < await harness.store.keep_alive(lease) <= 3.0
+    harness.clock.shift_s += 2.0
+    found = await harness.store.get("m/1")
     assert found is not None and found.lease_id == lease
-    rig.clock.shift_s += 2.0
-    assert await rig.store.get("m/1") is None
+    harness.clock.shift_s += 2.0
+    assert await harness.store.get("m/1") is None
     with pytest.raises(LeaseLost):
-        await rig.store.keep_alive(lease)
+        await harness.store.keep_alive(lease)
     with pytest.raises(LeaseLost):
-        await rig.store.create("m/1", b"x", lease_id=lease)
+        await harness.store.create("m/1", b"x", lease_id=lease)
 
 
-async def test_a_renewal_counts_from_before_it_was_sent(rig: Rig) -> None:
-    """The reply to a renewal takes long. Counted from the reply the lease would seem to run
-    on after others already hold it to be over."""
-    lease = await rig.store.grant_lease(3.0)
-    rig.memory.faults.slow_reply_s = 0.3
-    assert 2.0 < await rig.store.keep_alive(lease) <= 2.7
+async def test_a_renewed_lease_is_counted_from_the_request(harness: Harness) -> None:
+    """The response to a renewal is slow. If the lease were counted from the response, it would
+    seem valid after other processes already consider it expired."""
+    lease = await harness.store.grant_lease(3.0)
+    harness.memory.faults.slow_reply_s = 0.3
+    assert 2.0 < await harness.store.keep_alive(lease) <= 2.7
 
 
-async def test_a_revoked_lease_takes_its_keys_along(rig: Rig) -> None:
-    lease = await rig.store.grant_lease(30.0)
-    await rig.store.create("m/1", b"x", lease_id=lease)
-    await rig.store.revoke_lease(lease)
-    assert await rig.store.get("m/1") is None
+async def test_a_revoked_lease_deletes_its_keys(harness: Harness) -> None:
+    lease = await harness.store.grant_lease(30.0)
+    await harness.store.create("m/1", b"x", lease_id=lease)
+    await harness.store.revoke_lease(lease)
+    assert await harness.store.get("m/1") is None
 
 
-async def test_a_watch_yields_every_change_in_order(rig: Rig) -> None:
-    store = rig.store
+async def test_a_watch_yields_every_change_in_order(harness: Harness) -> None:
+    store = harness.store
     lease = await store.grant_lease(3.0)
     first = await store.create("w/a", b"1", lease_id=lease)
     await store.create("other", b"1")
@@ -151,7 +151,7 @@
                         seen.append((key, None))
             if len(seen) == 1:
                 await store.create("w/b", b"2")
-                rig.clock.shift_s += 5.0
+                harness.clock.shift_s += 5.0
             if len(seen) == 3:
                 break
     assert seen == [("w/a", b"1"), ("w/b", b"2"), ("w/a", None)]
@@ -163,40 +163,40 @@
             return
 
 
-async def test_a_watch_from_a_forgotten_revision_breaks(rig: Rig) -> None:
-    """A process was cut off for longer than the store keeps changes. It must read again."""
+async def test_a_watch_from_a_compacted_revision_breaks(harness: Harness) -> None:
+    """A process was disconnected for longer than the store keeps changes. It must list again."""
     for number in range(60):
-        await rig.store.create(f"k/{number}", b"")
+        await harness.store.create(f"k/{number}", b"")
     with pytest.raises(WatchBroken):
-        await _first_change(rig.store, 2)
+        await _first_change(harness.store, 2)
 
 
 @pytest.mark.parametrize("fault", ["drop", "down"])
-async def test_a_watch_that_the_store_ends_breaks(rig: Rig, fault: str) -> None:
-    """The store ends watches or goes down. The process hears it instead of waiting for good."""
+async def test_a_watch_that_the_store_ends_breaks(harness: Harness, fault: str) -> None:
+    """The store ends watches or goes down. The watcher must fail instead of waiting forever."""
 
-    async def cause() -> None:
-        for _ in range(LOOKS):
-            if rig.memory.counters.calls["watch"]:
+    async def cause_fault() -> None:
+        for _ in range(MAX_POLLS):
+            if harness.memory.counters.calls["watch"]:
                 break
             await asyncio.sleep(0.01)
         if fault == "drop":
-            rig.memory.faults.drop_watches()
+            harness.memory.faults.drop_watches()
         else:
-            rig.memory.faults.down = True
+            harness.memory.faults.down = True
 
-    task = asyncio.create_task(cause())
+    task = asyncio.create_task(cause_fault())
     with pytest.raises(WatchBroken):
-        await _first_change(rig.store, rig.memory.engine.revision + 1)
+        await _first_change(harness.store, harness.memory.engine.revision + 1)
     await task
 
 
-async def test_a_value_over_the_limit_is_refused(rig: Rig) -> None:
-    """A value grows past what the store holds. The write is refused and nothing changes."""
-    assert await rig.store.create("big", bytes(MAX_VALUE_BYTES)) is not None
+async def test_a_value_over_the_limit_is_refused(harness: Harness) -> None:
+    """A value exceeds the store's size limit. The write is refused and nothing changes."""
+    assert await harness.store.create("big", bytes(MAX_VALUE_BYTES)) is not None
     with pytest.raises(StoreRefused):
-        await rig.store.create("bigger", bytes(MAX_VALUE_BYTES + 1))
-    assert await rig.store.get("bigger") is None
+        await harness.store.create("bigger", bytes(MAX_VALUE_BYTES + 1))
+    assert await harness.store.get("bigger") is None
 
 
 Call = Callable[[Store], Awaitable[object]]
@@ -237,68 +237,68 @@
 @pytest.mark.parametrize("call", WRITES + READS)
 @pytest.mark.parametrize("fault", [{"down": True}, {"fail_next": 1}])
 async def test_a_call_that_fails_before_its_effect_changes_nothing(
-    rig: Rig, call: Call, fault: dict[str, int]
+    harness: Harness, call: Call, fault: dict[str, int]
 ) -> None:
-    """The store is down or drops one call. The caller hears that nothing was changed."""
-    await rig.store.create("old", b"o")
-    before = await _state(rig.memory)
+    """The store is down or drops one call. The error must state that nothing was changed."""
+    await harness.store.create("old", b"o")
+    before = await _state(harness.memory)
     for name, value in fault.items():
-        setattr(rig.memory.faults, name, value)
+        setattr(harness.memory.faults, name, value)
     with pytest.raises(StoreUnavailable):
-        await call(rig.store)
-    assert await _state(rig.memory) == before
+        await call(harness.store)
+    assert await _state(harness.memory) == before
 
 
 @pytest.mark.parametrize("call", WRITES)
-async def test_a_lost_reply_to_a_write_is_unclear(rig: Rig, call: Call) -> None:
-    """A write takes effect and its reply is lost. The caller must not take it as undone."""
-    await rig.store.create("old", b"o")
-    before = await _state(rig.memory)
-    rig.memory.faults.lose_replies = 1
+async def test_a_lost_response_to_a_write_is_unclear(harness: Harness, call: Call) -> None:
+    """A write takes effect but its response is lost. The caller must not assume that it failed."""
+    await harness.store.create("old", b"o")
+    before = await _state(harness.memory)
+    harness.memory.faults.lose_replies = 1
     with pytest.raises(StoreUnclear):
-        await call(rig.store)
-    assert await _state(rig.memory) != before
+        await call(harness.store)
+    assert await _state(harness.memory) != before
 
 
 @pytest.mark.parametrize(("call", "limit"), [(_create, "writes_per_s"), (_get, "reads_per_s")])
 async def test_calls_over_the_rate_are_refused_until_the_window_has_passed(
-    rig: Rig, call: Call, limit: str
+    harness: Harness, call: Call, limit: str
 ) -> None:
-    """A process sends too much. The surplus is refused as such, and later calls pass again."""
-    rates = rig.memory.gate.rates
-    rig.memory.gate.rates = type(rates)(**{limit: 5})
+    """A process exceeds the call rate. Excess calls are refused as such; later calls succeed."""
+    rates = harness.memory.gate.rates
+    harness.memory.gate.rates = type(rates)(**{limit: 5})
     refused = 0
     for _ in range(8):
         try:
-            await call(rig.store)
+            await call(harness.store)
         except StoreRateLimited:
             refused += 1
     assert refused == 3
-    rig.clock.shift_s += 1.1
-    await call(rig.store)
+    harness.clock.shift_s += 1.1
+    await call(harness.store)
 
 
-async def test_a_stale_answer_shows_its_revision(rig: Rig) -> None:
-    """After an outage the store answers out of the past. The revision tells."""
-    await rig.store.create("a", b"1")
-    await rig.store.create("b", b"1")
-    await rig.store.delete_prefix_below("a", "b")
-    rig.memory.faults.stale_revisions = 2
-    listing = await rig.store.list("")
+async def test_a_stale_response_shows_its_revision(harness: Harness) -> None:
+    """After an outage the store returns outdated data, which its revision shows."""
+    await harness.store.create("a", b"1")
+    await harness.store.create("b", b"1")
+    await harness.store.delete_prefix_below("a", "b")
+    harness.memory.faults.stale_revisions = 2
+    listing = await harness.store.list("")
     assert [kv.key for kv in listing.items] == ["a"]
-    assert listing.revision == rig.memory.engine.revision - 2
-    assert await rig.store.get("b") is None
+    assert listing.revision == harness.memory.engine.revision - 2
+    assert await harness.store.get("b") is None
 
 
-async def test_every_call_is_counted_by_kind_and_a_watch_once(rig: Rig) -> None:
-    store = rig.store
+async def test_every_call_is_counted_by_kind_and_a_watch_once(harness: Harness) -> None:
+    store = harness.store
     await store.create("a", b"")
     await store.get("a")
     await store.list("")
     await store.keep_alive(await store.grant_lease(5.0))
     await _first_change(store, 2)
     await store.delete_prefix_below("a", "b")
-    counted = {kind.value: count for kind, count in rig.memory.counters.calls.items()}
+    counted = {kind.value: count for kind, count in harness.memory.counters.calls.items()}
     assert counted == {
         "txn": 1,
         "get": 1,
@@ -308,4 +308,4 @@
         "watch": 1,
         "delete_range": 1,
     }
-    assert (rig.memory.counters.writes, rig.memory.counters.reads) == (4, 3)
+    assert (harness.memory.counters.writes, harness.memory.counters.reads) == (4, 3)
