--- a/rhubarbferry/rpc/__init__.py
+++ b/rhubarbferry/rpc/__init__.py
@@ -1,4 +1,4 @@
-"""Typed calls between processes: thrift messages in frames on TCP, with heartbeats."""
+"""RPC between processes: Thrift messages in frames over TCP, with heartbeats."""
 
 from rhubarbferry.rpc.connection import Connection, Timing
 from rhubarbferry.rpc.errors import (
--- a/rhubarbferry/rpc/codec.py
+++ b/rhubarbferry/rpc/codec.py
@@ -1,4 +1,7 @@
-"""Thrift messages as frames: TBinaryProtocol with a length prefix, as TFramedTransport writes."""
+"""Encode and decode Thrift messages as frames.
+
+The format is that of TBinaryProtocol over TFramedTransport: each message has a length prefix.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Method:
-    """One method of a service with its generated argument and result classes."""
+    """Method of a service with its generated argument and result classes."""
 
     name: str
     args: type
@@ -29,14 +32,14 @@
 
 @frozen(kw_only=True, slots=True)
 class Service:
-    """The methods of one service of the IDL, by name."""
+    """Service of the IDL with its methods by name."""
 
     name: str
     methods: Mapping[str, Method]
 
 
 def service_of(module: ModuleType) -> Service:
-    """Collect the methods of a module that the thrift compiler wrote."""
+    """Return the service of a module that the Thrift compiler generated."""
     names = [name for name in vars(module.Iface) if not name.startswith("_")]
     methods = {
         name: Method(
@@ -51,7 +54,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Call:
-    """A call that came in; ``req`` is the request struct."""
+    """Received call; ``req`` is the request struct."""
 
     method: str
     seqid: int
@@ -60,7 +63,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Reply:
-    """An answer that came in; ``error`` is set when the peer could not serve the call."""
+    """Received reply; ``error`` is set when the peer could not serve the call."""
 
     seqid: int
     value: Any
@@ -68,13 +71,13 @@
 
 
 class MalformedFrame(Exception):
-    """The bytes are no message of this service. Check that both ends run the same version."""
+    """The bytes are no message of this service. Check that both processes run the same version."""
 
 
-def _frame(name: str, kind: int, seqid: int, body: Any) -> bytes:
+def _encode_frame(name: str, message_type: int, seqid: int, body: Any) -> bytes:
     transport = TMemoryBuffer()
     protocol = TBinaryProtocolAccelerated(transport)
-    protocol.writeMessageBegin(name, kind, seqid)
+    protocol.writeMessageBegin(name, message_type, seqid)
     body.write(protocol)
     protocol.writeMessageEnd()
     payload = transport.getvalue()
@@ -83,63 +86,65 @@
 
 def encode_call(method: Method, seqid: int, req: Any) -> bytes:
     """Return the frame of a call."""
-    return _frame(method.name, TMessageType.CALL, seqid, method.args(req))
+    return _encode_frame(method.name, TMessageType.CALL, seqid, method.args(req))
 
 
 def encode_reply(method: Method, seqid: int, value: Any) -> bytes:
-    """Return the frame of an answer."""
-    return _frame(method.name, TMessageType.REPLY, seqid, method.result(value))
+    """Return the frame of a reply."""
+    return _encode_frame(method.name, TMessageType.REPLY, seqid, method.result(value))
 
 
 def encode_error(name: str, seqid: int, text: str) -> bytes:
-    """Return the frame that says that a call could not be served."""
+    """Return the frame that reports that a call could not be served."""
     exc = TApplicationException(TApplicationException.INTERNAL_ERROR, text)
-    return _frame(name, TMessageType.EXCEPTION, seqid, exc)
+    return _encode_frame(name, TMessageType.EXCEPTION, seqid, exc)
 
 
 def check_required(struct: Any) -> None:
-    """Refuse a struct that lacks a required field, as one from a newer or broken peer may.
+    """Check that a struct has all its required fields.
+
+    A peer that runs another version or is faulty may omit one.
 
-    :raises MalformedFrame: naming the field.
+    :raises MalformedFrame: when a field is missing; the message names it.
     """
     for name in REQUIRED.get(type(struct).__name__, ()):
         if getattr(struct, name) is None:
-            raise MalformedFrame(f"{type(struct).__name__} without {name}")
+            raise MalformedFrame(f"{type(struct).__name__} lacks the required field {name}")
 
 
 def decode_call(service: Service, payload: bytes) -> Call:
-    """Read a call.
+    """Decode a call.
 
-    :raises MalformedFrame: when it is none of this service.
+    :raises MalformedFrame: when the payload is no call of this service.
     """
     protocol = TBinaryProtocolAccelerated(TMemoryBuffer(payload))
     try:
-        name, kind, seqid = protocol.readMessageBegin()
+        name, message_type, seqid = protocol.readMessageBegin()
         method = service.methods.get(name)
-        if method is None or kind != TMessageType.CALL:
-            raise MalformedFrame(f"no call of {service.name}: {name!r}")
+        if method is None or message_type != TMessageType.CALL:
+            raise MalformedFrame(f"not a call of {service.name}: {name!r}")
         args = method.args()
         args.read(protocol)
         req = args.req
         if req is None:
-            raise MalformedFrame(f"call of {name!r} without a request")
+            raise MalformedFrame(f"call of {name!r} has no request")
         check_required(req)
     except MalformedFrame:
         raise
     except Exception as exc:
-        raise MalformedFrame(f"cannot read a call of {service.name}: {exc}") from exc
+        raise MalformedFrame(f"cannot decode a call of {service.name}: {exc}") from exc
     return Call(method=name, seqid=seqid, req=req)
 
 
 def decode_reply(service: Service, payload: bytes) -> Reply:
-    """Read an answer.
+    """Decode a reply.
 
-    :raises MalformedFrame: when it is none of this service.
+    :raises MalformedFrame: when the payload is no reply of this service.
     """
     protocol = TBinaryProtocolAccelerated(TMemoryBuffer(payload))
     try:
-        name, kind, seqid = protocol.readMessageBegin()
-        if kind == TMessageType.EXCEPTION:
+        name, message_type, seqid = protocol.readMessageBegin()
+        if message_type == TMessageType.EXCEPTION:
             exc = TApplicationException()
             exc.read(protocol)
             return Reply(seqid=seqid, value=None, error=str(exc))
@@ -147,5 +152,5 @@
         result.read(protocol)
         check_required(result.success)
     except Exception as exc:
-        raise MalformedFrame(f"cannot read an answer of {service.name}: {exc}") from exc
+        raise MalformedFrame(f"cannot decode a reply of {service.name}: {exc}") from exc
     return Reply(seqid=seqid, value=result.success)
--- a/rhubarbferry/rpc/connection.py
+++ b/rhubarbferry/rpc/connection.py
@@ -1,4 +1,4 @@
-"""One connection to another process: correlated calls and a heartbeat."""
+"""Connection to another process, with correlated calls and a heartbeat."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 )
 BYTES_OUT = Counter("rhubarbferry_rpc_sent_bytes_total", "Bytes of frames sent", ["peer_region"])
 
-PING = "ping"
-MIN_PAUSE_S = 0.01
+PING_METHOD = "ping"
+MIN_SLEEP_S = 0.01
 SEQID_LIMIT = 2**31 - 1
 
 
 @frozen(kw_only=True, slots=True)
 class Timing:
-    """Bounds of a connection, in seconds.
+    """Timeouts and intervals of a connection, in seconds.
 
-    :param connect_s: to open it.
-    :param heartbeat_s: between two pings.
-    :param silence_s: without any frame while a ping is open, until it counts as silent.
+    :param connect_s: timeout for opening the connection.
+    :param heartbeat_s: interval between pings.
+    :param silence_s: the connection is closed when no frame has been received for this long.
     """
 
     connect_s: float = 1.0
@@ -50,12 +50,12 @@
 
 
 class Connection:
-    """Calls on one TCP connection; replies are matched to calls by sequence id.
+    """One TCP connection for calls; replies are matched to calls by sequence id.
 
-    A connection can go silent for good while new ones work, when something between the ends
-    has lost track of it. Nothing tells the sockets. So a ping goes out each ``heartbeat_s``,
-    and when no frame has come for ``silence_s`` the connection is closed and its calls fail
-    with :class:`PeerSilent`; the pool opens a new one.
+    A middlebox can drop the state of a connection. It then carries no data any more, although new
+    connections work, and the sockets report no error. Therefore a ping is sent every
+    ``heartbeat_s``, and when no frame has been received for ``silence_s``, the connection is
+    closed and its calls fail with :class:`PeerSilent`. The pool then opens a new connection.
     """
 
     def __init__(
@@ -69,16 +69,16 @@
     ) -> None:
         self._service = service
         self._reader = reader
-        self._out = FrameWriter(writer)
+        self._frame_writer = FrameWriter(writer)
         self._timing = timing
-        self._waiting: dict[int, asyncio.Future[Reply]] = {}
+        self._pending: dict[int, asyncio.Future[Reply]] = {}
         self._seqids = itertools.count(1)
         self._bytes_out = BYTES_OUT.labels(peer_region)
-        self._heard = asyncio.get_running_loop().time()
+        self._last_received_at = asyncio.get_running_loop().time()
         self.closed = False
         self._tasks = [
             asyncio.create_task(self._read()),
-            asyncio.create_task(self._beat()),
+            asyncio.create_task(self._send_heartbeats()),
         ]
 
     @classmethod
@@ -87,15 +87,15 @@
     ) -> Connection:
         """Connect to ``address``.
 
-        :raises PeerRefused: when nothing listens there.
-        :raises PeerUnreachable: when that fails otherwise or takes too long.
+        :raises PeerRefused: when no process listens there.
+        :raises PeerUnreachable: when the attempt fails otherwise or times out.
         """
         host, port = split_address(address)
         try:
             async with asyncio.timeout(timing.connect_s):
                 reader, writer = await asyncio.open_connection(host, port)
         except ConnectionRefusedError as exc:
-            raise PeerRefused(f"nothing listens at {address}") from exc
+            raise PeerRefused(f"no process listens at {address}") from exc
         except (OSError, TimeoutError) as exc:
             raise PeerUnreachable(f"cannot connect to {address}: {exc or 'timeout'}") from exc
         return cls(
@@ -103,11 +103,11 @@
         )
 
     async def call(self, method: str, req: Any, *, timeout_s: float) -> Any:
-        """Send ``req`` and return the reply struct.
+        """Send a request and return the reply struct.
 
-        :raises PeerUnreachable: the connection is closed; nothing was sent.
-        :raises CallUnclear: sent, but no reply; see its subclasses.
-        :raises CallRejected: the peer could not serve it.
+        :raises PeerUnreachable: when the connection is closed; nothing was sent.
+        :raises CallUnclear: when the request was sent but no reply received; see its subclasses.
+        :raises CallRejected: when the peer could not serve the call.
         """
         if self.closed:
             raise PeerUnreachable("the connection is closed")
@@ -115,10 +115,10 @@
         frame = encode_call(self._service.methods[method], seqid, req)
         loop = asyncio.get_running_loop()
         fut: asyncio.Future[Reply] = loop.create_future()
-        self._waiting[seqid] = fut
-        expiry = loop.call_later(timeout_s, _expire, fut)
+        self._pending[seqid] = fut
+        timeout_handle = loop.call_later(timeout_s, _time_out, fut)
         try:
-            self._out.write(frame)
+            self._frame_writer.write(frame)
             self._bytes_out.inc(len(frame))
             reply = await fut
         except TimeoutError as exc:
@@ -126,8 +126,8 @@
         except (ConnectionError, RuntimeError) as exc:
             raise CallUnclear(f"connection lost during {method}: {exc}") from exc
         finally:
-            expiry.cancel()
-            self._waiting.pop(seqid, None)
+            timeout_handle.cancel()
+            self._pending.pop(seqid, None)
         if reply.error is not None:
             raise CallRejected(reply.error)
         return reply.value
@@ -136,55 +136,56 @@
         error: RpcError = CallUnclear("the peer closed the connection")
         try:
             while (payload := await read_frame(self._reader)) is not None:
-                self._heard = asyncio.get_running_loop().time()
-                self._settle(decode_reply(self._service, payload))
+                self._last_received_at = asyncio.get_running_loop().time()
+                self._complete(decode_reply(self._service, payload))
         except (OSError, EOFError, RpcError, MalformedFrame) as exc:
             error = CallUnclear(f"connection lost: {exc}")
         finally:
-            self._fail(error)
+            self._close_with(error)
 
-    def _settle(self, reply: Reply) -> None:
-        fut = self._waiting.get(reply.seqid)
+    def _complete(self, reply: Reply) -> None:
+        fut = self._pending.get(reply.seqid)
         if fut is None or fut.done():
-            # The caller has given up on this call; its reply must not reach another one.
+            # The caller has timed out. The reply must not be matched to another call.
             LATE_REPLIES.inc()
             return
         fut.set_result(reply)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         loop = asyncio.get_running_loop()
         while not self.closed:
-            # The last reply comes a little after a ping, so a look at each ping alone would miss
-            # the end of the silence by nearly a whole interval; callers would wait that longer.
-            due = self._heard + self._timing.silence_s - loop.time()
-            await asyncio.sleep(min(self._timing.heartbeat_s, max(due, MIN_PAUSE_S)))
-            if loop.time() - self._heard >= self._timing.silence_s:
+            # The last reply arrives shortly after a ping. If the silence were checked only at each
+            # ping, it would be detected up to one heartbeat interval late, and callers would wait
+            # that much longer.
+            remaining_s = self._last_received_at + self._timing.silence_s - loop.time()
+            await asyncio.sleep(min(self._timing.heartbeat_s, max(remaining_s, MIN_SLEEP_S)))
+            if loop.time() - self._last_received_at >= self._timing.silence_s:
                 SILENT_CONNECTIONS.inc()
-                self._fail(PeerSilent(f"nothing heard for {self._timing.silence_s} s"))
+                self._close_with(PeerSilent(f"nothing received for {self._timing.silence_s} s"))
                 return
-            ping = encode_call(self._service.methods[PING], 0, PingRequest())
+            ping = encode_call(self._service.methods[PING_METHOD], 0, PingRequest())
             try:
-                self._out.write(ping)
+                self._frame_writer.write(ping)
             except (ConnectionError, RuntimeError):
                 return
 
-    def _fail(self, error: RpcError) -> None:
+    def _close_with(self, error: RpcError) -> None:
         self.closed = True
-        for fut in self._waiting.values():
+        for fut in self._pending.values():
             if not fut.done():
                 fut.set_exception(error)
-        # abort(), not close(): bytes still buffered here must not leave later, when the caller
-        # has been told that the call is unclear and may have acted on it.
-        self._out.abort()
+        # abort() rather than close(): buffered bytes must not be sent later, when the caller has
+        # been notified that the call is unclear and may already have acted on that.
+        self._frame_writer.abort()
 
     async def close(self) -> None:
         """Close the connection; calls in progress fail as unclear."""
-        self._fail(CallUnclear("the connection was closed here"))
+        self._close_with(CallUnclear("the connection was closed locally"))
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-def _expire(fut: asyncio.Future[Reply]) -> None:
+def _time_out(fut: asyncio.Future[Reply]) -> None:
     if not fut.done():
         fut.set_exception(TimeoutError())
--- a/rhubarbferry/rpc/errors.py
+++ b/rhubarbferry/rpc/errors.py
@@ -1,35 +1,38 @@
-"""What can go wrong with a call to another process."""
+"""Errors of calls to other processes."""
 
 from __future__ import annotations
 
 
 class RpcError(Exception):
-    """Base of the errors of a call."""
+    """Base class of the errors of a call."""
 
 
 class PeerUnreachable(RpcError):
-    """The call was never sent: it had no effect. Look up the owner again, then retry."""
+    """The call was not sent and had no effect. Look up the owner again, then retry."""
 
 
 class PeerRefused(PeerUnreachable):
-    """Nothing listens at the address: the process there has ended, or has not begun."""
+    """No process listens at the address: it has ended or has not started yet."""
 
 
 class CallUnclear(RpcError):
-    """Sent, but no reply will come: it may have had effect. Ask before repeating."""
+    """The call was sent without a reply and may have had an effect. Check before repeating it."""
 
 
 class CallTimeout(CallUnclear):
-    """No reply within the time the caller gave. Ask before repeating."""
+    """No reply within the caller's timeout. Check for an effect before repeating the call."""
 
 
 class PeerSilent(CallUnclear):
-    """The connection went silent and was closed. Ask on a new connection before repeating."""
+    """The connection received nothing for too long and was closed.
+
+    Check for an effect over a new connection before repeating the call.
+    """
 
 
 class CallRejected(RpcError):
-    """The peer could not read or serve the call; the message is the peer's own words."""
+    """The peer could not decode or serve the call; the message is the one that the peer sent."""
 
 
 class FrameTooLarge(RpcError):
-    """A frame is over the limit. Send smaller batches."""
+    """A frame exceeds the size limit. Send smaller batches."""
--- a/rhubarbferry/rpc/framing.py
+++ b/rhubarbferry/rpc/framing.py
@@ -9,10 +9,11 @@
 
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes | None:
-    """Return the next frame, or ``None`` when the peer closed between two frames.
+    """Return the next frame, or ``None`` when the peer closed the connection between frames.
 
-    :raises FrameTooLarge: when the prefix is over the limit; the connection is of no more use.
-    :raises asyncio.IncompleteReadError: when the peer closed within a frame.
+    :raises FrameTooLarge: when the length exceeds the limit. The connection can't be used after
+        that, since the rest of the frame is unread.
+    :raises asyncio.IncompleteReadError: when the peer closed the connection within a frame.
     """
     try:
         prefix = await reader.readexactly(LENGTH.size)
@@ -22,14 +23,14 @@
         raise
     (length,) = LENGTH.unpack(prefix)
     if length > MAX_FRAME_BYTES:
-        raise FrameTooLarge(f"frame of {length} bytes, the limit is {MAX_FRAME_BYTES}")
+        raise FrameTooLarge(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
     return await reader.readexactly(length)
 
 
 class FrameWriter:
-    """Send the frames of one turn of the event loop with one system call.
+    """Write the frames of one iteration of the event loop with one system call.
 
-    Under load many calls or replies are ready in the same turn.
+    Under load many calls or replies are ready in the same iteration.
 
     :param writer: the stream to the peer.
     """
@@ -40,13 +41,13 @@
         self._frames: list[bytes] = []
 
     def write(self, frame: bytes) -> None:
-        """Keep a frame until the end of this turn."""
+        """Buffer a frame until the end of this iteration of the event loop."""
         if not self._frames:
             self._loop.call_soon(self.flush)
         self._frames.append(frame)
 
     async def drain(self) -> None:
-        """Return once the peer takes what was written; at once unless it falls behind.
+        """Wait until the transport can take more data; return at once if nothing is buffered.
 
         :raises ConnectionError: when the connection is lost.
         """
@@ -54,18 +55,18 @@
             await self._writer.drain()
 
     def abort(self) -> None:
-        """Close the connection at once; what is kept here never leaves."""
+        """Close the connection at once; buffered frames are discarded."""
         self._frames.clear()
         self._writer.transport.abort()
 
     def flush(self) -> None:
-        """Send what is kept, before the end of this turn."""
+        """Write the buffered frames without waiting for the end of the iteration."""
         frames, self._frames = self._frames, []
         if frames and not self._writer.transport.is_closing():
             self._writer.write(b"".join(frames))
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split ``ip:port``."""
+    """Split an address of the form ``ip:port``."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/rhubarbferry/rpc/idl/rhubarbferry.thrift
+++ b/rhubarbferry/rpc/idl/rhubarbferry.thrift
@@ -1,10 +1,10 @@
 /*
  * Messages between the processes of rhubarbferry, and the worker interface.
  *
- * Transport: TFramedTransport frames, TBinaryProtocol, one request struct per
- * method. Durations are relative milliseconds, so that hosts need no common
- * clock. `epoch` is the ownership epoch the sender acts under; receivers refuse
- * an epoch lower than the highest they have seen for that partition.
+ * Transport: TFramedTransport with TBinaryProtocol; each method takes one request
+ * struct. Durations are relative and in milliseconds, so that hosts need no
+ * synchronized clocks. `epoch` is the ownership epoch under which the sender acts.
+ * Receivers refuse an epoch lower than the highest one seen for that partition.
  */
 namespace py rhubarbferry.rpc.gen
 
@@ -12,7 +12,7 @@
 
 enum Priority { URGENT = 0, NORMAL = 1, BATCH = 2 }
 
-/* Sizes of one task or one worker. */
+/* Resources that a task requires or a worker has. */
 struct Resources {
   1: required i64 millicores,
   2: required i64 memory_bytes,
@@ -62,8 +62,8 @@
   6: optional i64 usable_ms,
   7: optional i64 retry_after_ms,
   8: optional string reason,
-  9: optional i64 waited_ms,  /* from the arrival of this request to the grant */
-  10: optional i64 expected_wait_ms,  /* of a further request of this account and priority */
+  9: optional i64 waited_ms,  /* time from the arrival of this request to the grant */
+  10: optional i64 expected_wait_ms,  /* estimate for a further request of this account and priority */
 }
 
 enum GrantEnd { DONE = 0, NOT_SENT = 1, REFUSED_BY_RUNNER = 2, FAILED = 3, UNKNOWN = 4 }
@@ -84,7 +84,7 @@
 }
 struct ReleaseReply { 1: required i64 epoch, 2: required bool accepted }
 
-/* How long requests of some classes would wait here; frontends choose a region by it. */
+/* Requests the estimated wait of each class; frontends choose a region by these estimates. */
 struct WaitClass { 1: required string account, 2: required Priority priority }
 struct WaitsRequest {
   1: required string partition,
@@ -94,10 +94,10 @@
 struct WaitsReply {
   1: required bool owner,
   2: required i64 epoch,
-  3: required list<i64> waits_ms,  /* one for each class; -1: can't say, or no slots */
+  3: required list<i64> waits_ms,  /* one for each class; -1: no estimate, or no slots */
 }
 
-/* A waiting grant request whose caller has gone. */
+/* Cancels a waiting grant request whose caller has disconnected. */
 struct AbandonRequest {
   1: required string partition,
   2: required i64 epoch,
@@ -132,14 +132,14 @@
   1: required string partition,
   2: required i64 epoch,
   3: required string owner_id,
-  4: required i64 duration_ms,    /* 0: the owner acts no more and gives its promise up */
-  5: optional i64 guard_version,  /* of the guard set that the owner counts by */
+  4: required i64 duration_ms,    /* 0: the owner has stopped acting and releases its promise */
+  5: optional i64 guard_version,  /* version of the guard set whose majority the owner uses */
 }
 struct PromiseReply {
   1: required bool given,
   2: required i64 highest_epoch,
   3: optional string guard_id,
-  4: optional i64 limit_ms,  /* refused for asking for more; the guard never gives less than asked */
+  4: optional i64 limit_ms,  /* refused since more than this was requested; a guard never grants a shorter promise */
 }
 
 // ---------------------------------------------------------------- intents
@@ -218,7 +218,7 @@
   10: optional string reason,
   11: required i64 waited_ms,
 }
-/* UNCLEAR: the job may be on record and may run; UNAVAILABLE: it is not and never will be. */
+/* UNCLEAR: the job may be recorded and may run. UNAVAILABLE: it is not recorded and never will be. */
 enum SubmitVerdict {
   ACCEPTED = 0, DUPLICATE = 1, REFUSED = 2, NOT_OWNER = 3, UNAVAILABLE = 4, UNCLEAR = 5
 }
@@ -287,7 +287,8 @@
   5: optional string reason,
 }
 struct AccountUsage { 1: required string account, 2: required Resources used }
-/* What one worker partition holds; free sizes are per worker, largest first. */
+/* Summary of one worker partition. `largest_free` holds the maximum of each resource over the
+   workers; no single worker need have all of them free. */
 struct PartitionDigest {
   1: required string partition,
   2: required i64 epoch,
@@ -299,7 +300,7 @@
   8: required list<AccountUsage> usage,
   9: required i32 workers,
 }
-/* Claims of a gang are first reserved (reserve_ms > 0), then committed or given back. */
+/* Claims of a gang are first reserved (reserve_ms > 0), then committed or released. */
 struct ClaimRequest {
   1: required string partition,
   2: required i64 epoch,
@@ -339,12 +340,12 @@
 struct StopTasksReply { 1: required bool owner, 2: required i64 epoch, 3: required list<string> held }
 
 /*
- * Requests of one home to one worker partition carry a rising `number`. The partition refuses a
- * number lower than the highest seen under that home epoch, so a request that was held up on the
- * way can't act after the home has gone on from the answer to a later one.
+ * Requests from one home to one worker partition carry an increasing `number`. The partition
+ * refuses a number lower than the highest one seen under that home epoch. A delayed request can
+ * therefore have no effect after the home has acted on the reply to a later one.
  */
 
-/* How one attempt ended, as a worker said it or as a lapsed lease proves it. */
+/* How one attempt ended, as reported by its worker or as proven by its expired lease. */
 enum TaskEnd { DONE = 0, FAILED = 1, STOPPED = 2, LEASE_LAPSED = 3, NOT_STARTED = 4, PREEMPTED = 5 }
 struct TaskEvent {
   1: required string task_id,
@@ -363,7 +364,7 @@
 }
 struct TaskEventsReply { 1: required bool owner, 2: required i64 epoch, 3: required list<string> recorded }
 
-/* A recovering home asks what a worker partition holds for it. */
+/* Sent by a recovering home to list the tasks that a worker partition holds for it. */
 struct HeldTasksRequest {
   1: required string partition,
   2: required i64 epoch,
@@ -382,14 +383,14 @@
 struct HeldTasksReply {
   1: required bool owner,
   2: required i64 epoch,
-  3: required bool complete,      /* false while some worker may hold tasks not heard of */
+  3: required bool complete,      /* false while some worker may hold tasks that it has not reported */
   4: required list<HeldTask> tasks,
-  5: optional list<string> unheard, /* the workers that may */
-  6: optional list<string> heard, /* the workers that were adopted: nothing else runs there */
-  7: optional bool over, /* nothing runs on workers that are not listed here either */
+  5: optional list<string> unheard, /* the workers that may hold unreported tasks */
+  6: optional list<string> heard, /* the adopted workers, which run no other tasks */
+  7: optional bool over, /* workers that are in neither list run no tasks */
 }
 
-/* Served by every scheduler; each call names the partition whose owner must answer. */
+/* Served by every scheduler; each call names the partition whose owner must reply. */
 service Scheduler {
   PingReply ping(1: PingRequest req),
   StatusReply status(1: StatusRequest req),
@@ -411,14 +412,14 @@
   HeldTasksReply held_tasks(1: HeldTasksRequest req),
 }
 
-/* Asked of a majority of a guard set before the next version replaces it. */
+/* Sent to a majority of a guard set before the next version replaces it. */
 struct CloseGuardSetRequest {
   1: required string region,
   2: required i64 version,        /* promises under a lower version are refused from now on */
 }
 struct CloseGuardSetReply {
   1: required bool closed,
-  2: required i64 promise_left_ms,  /* longest promise still open for the region */
+  2: required i64 promise_left_ms,  /* longest remaining promise for the region */
   3: optional string guard_id,
 }
 
@@ -434,10 +435,11 @@
 // ---------------------------------------------------------------- workers (outside)
 
 /*
- * Each answer of a worker has a `number`; a request says in `answered` which answer its sender had
- * last. The worker counts a lease from the moment it gave THAT answer, and refuses a request that
- * names one from before the last adoption or whose lease would be over already. So however long a
- * request is held up on the way, no lease runs longer than lease_ms after the owner got the answer.
+ * Each reply of a worker has a `number`; a request names in `answered` the last reply that its
+ * sender received. The worker counts a lease from the time at which it sent THAT reply. It refuses
+ * a request that names a reply from before the last adoption, or whose lease would already have
+ * expired. However long a request is delayed, no lease therefore lasts longer than lease_ms after
+ * the owner received the reply.
  */
 struct WorkerAdoptRequest {
   1: required string partition,
@@ -471,7 +473,7 @@
   4: required list<WorkerHeldTask> tasks,
   5: required i64 longest_lease_ms,
   6: optional i64 number,
-  7: optional i64 settled_epoch, /* highest epoch of an owner that said `settled` */
+  7: optional i64 settled_epoch, /* highest epoch of an owner that sent `settled` */
 }
 struct StartRequest {
   1: required string partition,
@@ -492,7 +494,7 @@
 enum TaskAction { STOP = 0, CHECKPOINT = 1, THROTTLE = 2 }
 struct TaskOrder { 1: required string task_id, 2: required TaskAction action }
 struct TaskUsage { 1: required string task_id, 2: required Resources used }
-/* The heartbeat: extends every task lease on the worker, gives orders, takes news. */
+/* Heartbeat: extends all task leases on the worker, sends orders and returns task events. */
 struct RenewRequest {
   1: required string partition,
   2: required i64 epoch,
@@ -501,7 +503,7 @@
   5: required list<string> acknowledged,
   6: required list<TaskOrder> orders,
   7: optional i64 answered,
-  8: optional bool settled, /* the owner counts this worker among those that may extend it */
+  8: optional bool settled, /* the owner counts this worker in the majority that extends its promise */
 }
 struct RenewReply {
   1: required bool accepted,
@@ -522,8 +524,8 @@
 
 struct PendingRequest { 1: required string queue }
 struct PendingReply {
-  1: required bool owner, /* whether the process owns the cell's work and could count */
-  2: required i64 pending, /* jobs of the queue with no task started */
+  1: required bool owner, /* whether the process owns the cell's work and could count its jobs */
+  2: required i64 pending, /* number of jobs in the queue with no started task */
 }
 struct ApprovalRequest {
   1: required string job,
@@ -534,33 +536,33 @@
 }
 struct HostApproval { 1: required string host, 2: required string ticket }
 struct ApprovalReply {
-  1: required bool answered, /* whether the policy service gave an answer */
+  1: required bool answered, /* whether the policy service replied */
   2: required list<HostApproval> approvals,
   3: required i64 valid_ms,
   4: optional string detail,
 }
-/* Job calls of clients, passed on by a process that the store turns away. */
+/* Job calls of clients, relayed by a process to which the store does not respond. */
 enum Acceptance { ACCEPTED = 0, NOT_ACCEPTED = 1, UNCLEAR = 2 }
 struct RelayedSubmit { 1: required binary record, 2: required i32 timeout_ms }
 struct RelayedSubmitReply { 1: required Acceptance accepted }
 struct RelayedPhase { 1: required string job }
 struct RelayedPhaseReply {
   1: required bool read, /* whether the store could be read */
-  2: optional string phase, /* absent when there is no such job */
+  2: optional string phase, /* absent when the job does not exist */
 }
 struct RelayedCancel { 1: required string job, 2: required i32 timeout_ms }
 struct RelayedCancelReply { 1: required bool recorded, 2: required bool known }
-/* A job that now stands in the store, told to the owner of the work at once. */
+/* Notifies the owner of the work of a job that has just been stored. */
 struct JobNotice {
   1: required string job,
   2: required binary record,
-  3: required i64 revision, /* of the store, that holds the job */
-  4: required i64 fence, /* the ownership in force at that revision */
+  3: required i64 revision, /* revision of the store that contains the job */
+  4: required i64 fence, /* ownership in force at that revision */
 }
 struct JobNoticeReply { 1: required bool taken }
 struct OwnedPhaseRequest { 1: required string job }
-struct OwnedPhaseReply { 1: optional string phase /* absent when the process can't say */ }
-/* An owner that the store has stopped answering looks for one that it answers. */
+struct OwnedPhaseReply { 1: optional string phase /* absent when the process does not know it */ }
+/* Sent by an owner to which the store no longer responds, to find a process that can reach it. */
 struct StoreReachRequest { 1: optional string sender }
 struct StoreReachReply { 1: required bool reached }
 struct TakeOverRequest { 1: required i64 fence /* revision of the owner's key */ }
--- a/rhubarbferry/rpc/server.py
+++ b/rhubarbferry/rpc/server.py
@@ -1,4 +1,4 @@
-"""Serve the methods of one service of the IDL."""
+"""Server for one service of the IDL."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class Server:
-    """Accept connections and run a handler task for each call, in any order.
+    """Accept connections and run a task for each call, so that replies may be sent in any order.
 
-    :param service: the service, as the IDL has it.
-    :param handlers: an awaitable function for each method.
+    :param service: the service from the IDL.
+    :param handlers: an async function for each method.
     """
 
     def __init__(self, *, service: Service, handlers: Mapping[str, Handler]) -> None:
@@ -45,28 +45,28 @@
         self.address = ""
 
     async def start(self, host: str, port: int) -> None:
-        """Listen; ``port`` 0 takes a free one. ``address`` then says which."""
+        """Start listening and set ``address``; with ``port`` 0 a free port is chosen."""
         self._server = await asyncio.start_server(self._accept, host, port, backlog=1024)
-        bound = self._server.sockets[0].getsockname()
-        self.address = f"{bound[0]}:{bound[1]}"
+        listen_address = self._server.sockets[0].getsockname()
+        self.address = f"{listen_address[0]}:{listen_address[1]}"
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._conns.add(task)
         calls: set[asyncio.Task[None]] = set()
-        # A peer that sends faster than its calls are served is not read further: TCP then
-        # slows it down, and the memory for waiting calls stays bounded.
-        out = FrameWriter(writer)
-        room = asyncio.Semaphore(MAX_CALLS_PER_CONNECTION)
+        # When calls arrive faster than they are served, reading stops at this limit. TCP flow
+        # control then slows the peer down, and the memory for pending calls stays bounded.
+        frame_writer = FrameWriter(writer)
+        call_slots = asyncio.Semaphore(MAX_CALLS_PER_CONNECTION)
         try:
             while (payload := await read_frame(reader)) is not None:
                 call = decode_call(self._service, payload)
-                await room.acquire()
-                serving = asyncio.create_task(self._serve(call, out))
-                calls.add(serving)
-                serving.add_done_callback(calls.discard)
-                serving.add_done_callback(lambda _: room.release())
+                await call_slots.acquire()
+                call_task = asyncio.create_task(self._serve(call, frame_writer))
+                calls.add(call_task)
+                call_task.add_done_callback(calls.discard)
+                call_task.add_done_callback(lambda _: call_slots.release())
         except (OSError, EOFError, RpcError):
             pass
         except MalformedFrame as exc:
@@ -74,14 +74,14 @@
         except asyncio.CancelledError:
             pass
         finally:
-            # A reply can't be sent any more, so nobody waits for these calls.
-            for serving in calls:
-                serving.cancel()
-            out.flush()
-            out.abort()
+            # Replies can't be sent any more, so the calls are cancelled.
+            for call_task in calls:
+                call_task.cancel()
+            frame_writer.flush()
+            frame_writer.abort()
             self._conns.discard(task)
 
-    async def _serve(self, call: Call, out: FrameWriter) -> None:
+    async def _serve(self, call: Call, frame_writer: FrameWriter) -> None:
         method = self._service.methods[call.method]
         CALLS.labels(call.method).inc()
         try:
@@ -92,8 +92,8 @@
             logger.opt(exception=exc).error("handler of {} failed", call.method)
             frame = encode_error(call.method, call.seqid, f"{type(exc).__name__}: {exc}")
         try:
-            out.write(frame)
-            await out.drain()
+            frame_writer.write(frame)
+            await frame_writer.drain()
         except (ConnectionError, RuntimeError):
             pass
 
--- a/rhubarbferry/rpc/services.py
+++ b/rhubarbferry/rpc/services.py
@@ -1,4 +1,4 @@
-"""The services of the IDL."""
+"""Services of the IDL."""
 
 from __future__ import annotations
 
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames that leave together."""
+"""Tests of how frames are combined and written."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FakeTransport:
-    """Count writes; no socket."""
+    """Transport without a socket that records writes."""
 
     def __init__(self) -> None:
         self.writes: list[bytes] = []
@@ -27,7 +27,7 @@
 
 
 class FakeStream:
-    """A stream writer over :class:`FakeTransport`."""
+    """Stream writer over a :class:`FakeTransport`."""
 
     def __init__(self) -> None:
         self.transport = FakeTransport()
@@ -37,37 +37,37 @@
 
 
 @pytest.mark.parametrize("frames", [[b"a"], [b"a", b"bc"], [b"a", b"bc", b"d"]])
-async def test_frames_of_one_turn_leave_in_one_write(frames: list[bytes]) -> None:
+async def test_frames_of_one_iteration_are_sent_in_one_write(frames: list[bytes]) -> None:
     stream = FakeStream()
-    out = FrameWriter(stream)  # type: ignore[arg-type]
+    frame_writer = FrameWriter(stream)  # type: ignore[arg-type]
     for frame in frames:
-        out.write(frame)
+        frame_writer.write(frame)
     assert stream.transport.writes == []
     await asyncio.sleep(0)
     assert stream.transport.writes == [b"".join(frames)]
-    out.write(b"next")
+    frame_writer.write(b"next")
     await asyncio.sleep(0)
     assert stream.transport.writes[1:] == [b"next"]
 
 
-async def test_frames_of_a_failed_connection_never_leave() -> None:
-    """A connection fails in the turn in which a call was made on it. The caller is told that the
-    call is unclear and may ask elsewhere. Were the frame sent after that, the peer would act on
-    a call that its caller has given up."""
+async def test_frames_of_a_failed_connection_are_never_sent() -> None:
+    """A connection fails in the loop iteration in which a call was made on it. The caller is
+    notified that the call is unclear and may repeat it elsewhere. If the frame were sent after
+    that, the peer would execute a call that its caller has abandoned."""
     stream = FakeStream()
-    out = FrameWriter(stream)  # type: ignore[arg-type]
-    out.write(b"call")
-    out.abort()
+    frame_writer = FrameWriter(stream)  # type: ignore[arg-type]
+    frame_writer.write(b"call")
+    frame_writer.abort()
     await asyncio.sleep(0)
     assert stream.transport.writes == []
 
 
-async def test_replies_leave_before_a_server_closes() -> None:
-    """A server is stopped in the turn in which it answered. Were the answer dropped, its caller
-    would have to treat a call that was answered as unclear."""
+async def test_replies_are_sent_before_a_server_closes() -> None:
+    """A server is stopped in the loop iteration in which it replied. If the reply were dropped,
+    its caller would have to treat an executed call as unclear."""
     stream = FakeStream()
-    out = FrameWriter(stream)  # type: ignore[arg-type]
-    out.write(b"reply")
-    out.flush()
-    out.abort()
+    frame_writer = FrameWriter(stream)  # type: ignore[arg-type]
+    frame_writer.write(b"reply")
+    frame_writer.flush()
+    frame_writer.abort()
     assert stream.transport.writes == [b"reply"]
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -8,8 +8,8 @@
 from rhubarbferry.rpc.gen import ttypes as t
 from rhubarbferry.rpc.services import SCHEDULER
 
-FAST = Timing(connect_s=1.0, heartbeat_s=0.05, silence_s=0.2)
-BOUND_S = 5.0
+FAST_TIMING = Timing(connect_s=1.0, heartbeat_s=0.05, silence_s=0.2)
+TEST_TIMEOUT_S = 5.0
 
 
 async def ping(req: t.PingRequest) -> t.PingReply:
@@ -45,7 +45,7 @@
     try:
         replies = await asyncio.gather(
             *(
-                pool.call(server.address, "grant", grant_request(str(i)), timeout_s=BOUND_S)
+                pool.call(server.address, "grant", grant_request(str(i)), timeout_s=TEST_TIMEOUT_S)
                 for i in range(50)
             )
         )
@@ -55,10 +55,10 @@
         await server.close()
 
 
-async def test_a_late_reply_reaches_no_other_call() -> None:
-    """A peer answers after its caller has given up.
+async def test_a_late_reply_is_not_matched_to_another_call() -> None:
+    """A peer replies after its caller has timed out.
 
-    Without correlation the next caller would be handed the answer to another's request.
+    Without correlation the next caller would receive the reply to another request.
     """
     release = asyncio.Event()
 
@@ -73,38 +73,40 @@
         with pytest.raises(CallTimeout):
             await pool.call(server.address, "grant", grant_request("slow"), timeout_s=0.05)
         release.set()
-        reply = await pool.call(server.address, "grant", grant_request("next"), timeout_s=BOUND_S)
+        reply = await pool.call(
+            server.address, "grant", grant_request("next"), timeout_s=TEST_TIMEOUT_S
+        )
         assert reply.reason == "next"
     finally:
         await pool.close()
         await server.close()
 
 
-async def test_a_silent_connection_is_found_and_replaced() -> None:
-    """Something between two processes forgets a connection: bytes vanish, no error comes.
+async def test_a_silent_connection_is_detected_and_replaced() -> None:
+    """A middlebox drops the state of a connection: bytes are lost without an error.
 
-    A call would hang until its deadline although a new connection works.
+    A call would wait until its deadline although a new connection works.
     """
-    silent: list[asyncio.StreamWriter] = []
+    accepted: list[asyncio.StreamWriter] = []
 
-    async def swallow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        silent.append(writer)
+    async def discard(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        accepted.append(writer)
         while await reader.read(65536):
             pass
 
-    hole = await asyncio.start_server(swallow, "127.0.0.1", 0)
-    address = f"127.0.0.1:{hole.sockets[0].getsockname()[1]}"
-    pool = Pool(service=SCHEDULER, timing=FAST)
+    black_hole = await asyncio.start_server(discard, "127.0.0.1", 0)
+    address = f"127.0.0.1:{black_hole.sockets[0].getsockname()[1]}"
+    pool = Pool(service=SCHEDULER, timing=FAST_TIMING)
     try:
         with pytest.raises(CallUnclear):
-            async with asyncio.timeout(BOUND_S):
-                await pool.call(address, "ping", t.PingRequest(), timeout_s=BOUND_S * 2)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await pool.call(address, "ping", t.PingRequest(), timeout_s=TEST_TIMEOUT_S * 2)
         with pytest.raises(CallUnclear):
             await pool.call(address, "ping", t.PingRequest(), timeout_s=0.05)
-        assert len(silent) == 2
+        assert len(accepted) == 2
     finally:
         await pool.close()
-        hole.close()
+        black_hole.close()
 
 
 @pytest.mark.parametrize(
@@ -118,13 +120,13 @@
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(len(payload).to_bytes(4, "big") + payload)
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             try:
                 assert await reader.read() == b""
             except ConnectionResetError:
                 pass
         writer.close()
-        reply = await pool.call(server.address, "ping", t.PingRequest(), timeout_s=BOUND_S)
+        reply = await pool.call(server.address, "ping", t.PingRequest(), timeout_s=TEST_TIMEOUT_S)
         assert reply.member_id == "m"
     finally:
         await pool.close()
