--- a/rhubarbferry/adapters/etcd.py
+++ b/rhubarbferry/adapters/etcd.py
@@ -22,7 +22,7 @@
     WatchEvent,
 )
 
-WATCH_SILENCE_S = 3.0
+WATCH_SILENCE_TIMEOUT_S = 3.0
 
 
 class EtcdStore:
@@ -44,7 +44,7 @@
         clock: Clock,
         timeout_s: float,
         budget: CallBudget | None = None,
-        watch_silence_s: float = WATCH_SILENCE_S,
+        watch_silence_s: float = WATCH_SILENCE_TIMEOUT_S,
     ) -> None:
         self._clock = clock
         self._budget = budget
--- a/rhubarbferry/management/commands/losses.py
+++ b/rhubarbferry/management/commands/losses.py
@@ -8,7 +8,7 @@
 
 from rhubarbferry.management.exits import Exit
 from rhubarbferry.management.output import Format, print_rows
-from rhubarbferry.reports.losses import LossRow, count_omitted_lines, losses, parse_lines
+from rhubarbferry.reports.losses import LossRow, count_omitted_lines, find_losses, parse_lines
 
 
 def report_losses(*files: Path, total: bool = False, format: Format = "table") -> int:
@@ -25,7 +25,7 @@
     omitted = count_omitted_lines(lines)
     if omitted:
         print(f"the processes omitted {omitted} log lines; the sums are too low", file=sys.stderr)
-    print_rows(losses(lines, total=total), kind=LossRow, format=format)
+    print_rows(find_losses(lines, total=total), kind=LossRow, format=format)
     return Exit.OK
 
 
--- a/rhubarbferry/management/commands/report.py
+++ b/rhubarbferry/management/commands/report.py
@@ -28,7 +28,7 @@
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.reports.burn import Alarm, Window
 from rhubarbferry.reports.scrape import scrape_all
-from rhubarbferry.reports.slo import MemberLine, SloLine, SloReport, assemble
+from rhubarbferry.reports.slo import MemberLine, SloLine, SloReport, assemble_report
 
 ReportFormat = Literal["table", "json", "html"]
 BURNING_ALARMS = (Alarm.SLOW, Alarm.FAST)
@@ -82,7 +82,7 @@
     async with open_store(url=url, config=config) as store:
         state = await read_cell(store)
     scrapes = await scrape_all(state.members.values())
-    return assemble(cell=_parse_cell(state), scrapes=scrapes, taken_at=SystemClock().wall())
+    return assemble_report(cell=_parse_cell(state), scrapes=scrapes, taken_at=SystemClock().wall())
 
 
 def _parse_cell(state: State) -> Cell:
--- a/rhubarbferry/reports/burn.py
+++ b/rhubarbferry/reports/burn.py
@@ -36,7 +36,7 @@
     UNKNOWN = "unknown"
 
 
-KINDS = tuple(EventKind)
+EVENT_KINDS = tuple(EventKind)
 
 
 class Window(StrEnum):
@@ -100,7 +100,7 @@
         """Return the number of all events."""
         return self.good + self.bad
 
-    def of(self, kind: EventKind) -> int:
+    def of_kind(self, kind: EventKind) -> int:
         """Return the number of events of one kind."""
         return int(getattr(self, kind.value))
 
@@ -128,7 +128,7 @@
     return 1.0 - burn_rate(counts, objective)
 
 
-def alarm(burn: dict[Window, float], events: int) -> Alarm:
+def alarm_level(burn: dict[Window, float], events: int) -> Alarm:
     """Return the alarm level for the burn rates of the four windows.
 
     :param burn: the burn rate of each window.
@@ -151,7 +151,7 @@
     """
 
     def __init__(self) -> None:
-        self._counts = array("I", bytes(4 * SLOT_COUNT * len(KINDS)))
+        self._counts = array("I", bytes(4 * SLOT_COUNT * len(EVENT_KINDS)))
         self._newest_slot = -1
         self.last_event_at = 0.0
 
@@ -159,17 +159,17 @@
         """Count events that occur at ``now``."""
         self._advance(now)
         self.last_event_at = now
-        start = self._newest_slot % SLOT_COUNT * len(KINDS) + KINDS.index(kind)
+        start = self._newest_slot % SLOT_COUNT * len(EVENT_KINDS) + EVENT_KINDS.index(kind)
         self._counts[start] = min(2**32 - 1, self._counts[start] + count)
 
     def counts(self, window: Window, *, now: float) -> Counts:
         """Return the counts of a window that ends at ``now``."""
         self._advance(now)
         slot_count = min(SLOT_COUNT, int(window.seconds // SLOT_S) + 1)
-        totals = [0] * len(KINDS)
+        totals = [0] * len(EVENT_KINDS)
         for offset in range(slot_count):
-            start = (self._newest_slot - offset) % SLOT_COUNT * len(KINDS)
-            for index in range(len(KINDS)):
+            start = (self._newest_slot - offset) % SLOT_COUNT * len(EVENT_KINDS)
+            for index in range(len(EVENT_KINDS)):
                 totals[index] += self._counts[start + index]
         return counts_from_values(totals)
 
@@ -179,11 +179,11 @@
         if self._newest_slot < 0:
             self._newest_slot = slot
         for begun_slot in range(max(self._newest_slot + 1, slot - SLOT_COUNT + 1), slot + 1):
-            start = begun_slot % SLOT_COUNT * len(KINDS)
-            self._counts[start : start + len(KINDS)] = array("I", bytes(4 * len(KINDS)))
+            start = begun_slot % SLOT_COUNT * len(EVENT_KINDS)
+            self._counts[start : start + len(EVENT_KINDS)] = array("I", bytes(4 * len(EVENT_KINDS)))
         self._newest_slot = max(self._newest_slot, slot)
 
 
 def counts_from_values(values: Sequence[int]) -> Counts:
     """Return the counts given as numbers in the order of the event kinds."""
-    return Counts(**{kind.value: value for kind, value in zip(KINDS, values, strict=True)})
+    return Counts(**{kind.value: value for kind, value in zip(EVENT_KINDS, values, strict=True)})
--- a/rhubarbferry/reports/events.py
+++ b/rhubarbferry/reports/events.py
@@ -13,7 +13,7 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.ownership import CellView
 from rhubarbferry.reports.burn import (
-    KINDS,
+    EVENT_KINDS,
     Counts,
     EventKind,
     EventRing,
@@ -75,7 +75,7 @@
     def _remove_least_recent(self) -> None:
         account, work = min(self._rings, key=lambda key: self._rings[key].last_event_at)
         del self._rings[account, work]
-        for kind in KINDS:
+        for kind in EVENT_KINDS:
             try:
                 EVENTS.remove(account, work.value, kind.value)
             except KeyError:
@@ -122,8 +122,8 @@
             labels = [account, configured.template, work.value]
             for window in Window:
                 counts = self._counters.counts(account, work, window, now=now)
-                for kind in KINDS:
-                    events.add_metric([*labels, window.value, kind.value], counts.of(kind))
+                for kind in EVENT_KINDS:
+                    events.add_metric([*labels, window.value, kind.value], counts.of_kind(kind))
                 burn.add_metric([*labels, window.value], burn_rate(counts, configured.objective))
             budget.add_metric(labels, budget_left(counts, configured.objective))
         return iter((events, burn, budget, covered_time))
--- a/rhubarbferry/reports/html.py
+++ b/rhubarbferry/reports/html.py
@@ -149,7 +149,7 @@
     target_text = f"{100 * objective.target:.4g}% in {objective.wait_ms} ms" if line.account else ""
     texts = [line.account or "(all)", line.template or "–", line.work.value, target_text]
     longest = line.counts[Window.H6]
-    numbers = [f"{longest.of(kind):,}" for kind in EventKind]
+    numbers = [f"{longest.of_kind(kind):,}" for kind in EventKind]
     numbers += [format_rate(line.burn[window]) for window in Window]
     numbers += [
         _format_percent(line.budget_left),
@@ -242,9 +242,9 @@
 def _kind_segments(counts: Counts, name: str) -> list[BarSegment]:
     return [
         BarSegment(
-            value=counts.of(kind),
+            value=counts.of_kind(kind),
             colour=COLOURS[kind],
-            title=f"{name}: {counts.of(kind):,} {kind.value}",
+            title=f"{name}: {counts.of_kind(kind):,} {kind.value}",
         )
         for kind in EventKind
     ]
--- a/rhubarbferry/reports/losses.py
+++ b/rhubarbferry/reports/losses.py
@@ -331,7 +331,7 @@
     return list(traces.values())
 
 
-def losses(lines: list[LogLine], *, total: bool = False) -> list[LossRow]:
+def find_losses(lines: list[LogLine], *, total: bool = False) -> list[LossRow]:
     """Return the lost jobs, one row for each window, queue and cause.
 
     The numbers of all rows add up to the number of lost jobs.
--- a/rhubarbferry/reports/slo.py
+++ b/rhubarbferry/reports/slo.py
@@ -11,7 +11,7 @@
     Alarm,
     Counts,
     Window,
-    alarm,
+    alarm_level,
     budget_left,
     burn_rate,
     sum_counts,
@@ -77,7 +77,7 @@
         return sum(1 for member in self.members if member.problem)
 
 
-def assemble(*, cell: Cell, scrapes: Sequence[Scrape], taken_at: float) -> SloReport:
+def assemble_report(*, cell: Cell, scrapes: Sequence[Scrape], taken_at: float) -> SloReport:
     """Add up the counts of all members and compare them with the cell's objectives."""
     answered = [scrape for scrape in scrapes if not scrape.problem]
     all_series = sorted({series for scrape in answered for series, _ in scrape.events})
@@ -111,7 +111,7 @@
         counts=counts,
         burn=burn,
         budget_left=budget_left(counts[Window.H6], account.objective),
-        alarm=alarm(burn, counts[Window.H6].total),
+        alarm=alarm_level(burn, counts[Window.H6].total),
         p50_s=quantile(waits, 0.50),
         p99_s=quantile(waits, 0.99),
     )
@@ -140,7 +140,7 @@
         counts=counts,
         burn=burn,
         budget_left=1.0 - burn[Window.H6],
-        alarm=alarm(burn, counts[Window.H6].total),
+        alarm=alarm_level(burn, counts[Window.H6].total),
     )
 
 
--- a/rhubarbferry/rpc/codec.py
+++ b/rhubarbferry/rpc/codec.py
@@ -38,7 +38,7 @@
     methods: Mapping[str, Method]
 
 
-def service_of(module: ModuleType) -> Service:
+def load_service(module: ModuleType) -> Service:
     """Return the service of a module that the Thrift compiler generated."""
     names = [name for name in vars(module.Iface) if not name.startswith("_")]
     methods = {
--- a/rhubarbferry/rpc/services.py
+++ b/rhubarbferry/rpc/services.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from rhubarbferry.rpc.codec import service_of
+from rhubarbferry.rpc.codec import load_service
 from rhubarbferry.rpc.gen import Guard, Peer, Scheduler, Worker
 
-SCHEDULER = service_of(Scheduler)
-GUARD = service_of(Guard)
-WORKER = service_of(Worker)
-PEER = service_of(Peer)
+SCHEDULER = load_service(Scheduler)
+GUARD = load_service(Guard)
+WORKER = load_service(Worker)
+PEER = load_service(Peer)
--- a/tests/reports/test_burn.py
+++ b/tests/reports/test_burn.py
@@ -9,7 +9,7 @@
     EventKind,
     EventRing,
     Window,
-    alarm,
+    alarm_level,
     budget_left,
     burn_rate,
 )
@@ -52,7 +52,7 @@
     m5: float, m30: float, h1: float, h6: float, events: int, expected: Alarm
 ) -> None:
     burn = {Window.M5: m5, Window.M30: m30, Window.H1: h1, Window.H6: h6}
-    assert alarm(burn, events) is expected
+    assert alarm_level(burn, events) is expected
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
         first = int(now // MINUTE) - int(window.seconds // MINUTE)
         kept = [kind for at, kind in events if at // MINUTE >= first]
         counts = ring.counts(window, now=now)
-        assert [counts.of(kind) for kind in EventKind] == [kept.count(k) for k in EventKind]
+        assert [counts.of_kind(kind) for kind in EventKind] == [kept.count(k) for k in EventKind]
 
 
 def test_ring_does_not_grow_or_overflow() -> None:
--- a/tests/reports/test_losses.py
+++ b/tests/reports/test_losses.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rhubarbferry.management.app import run_command
-from rhubarbferry.reports.losses import Cause, Verdict, losses, parse_lines, trace_jobs
+from rhubarbferry.reports.losses import Cause, Verdict, find_losses, parse_lines, trace_jobs
 
 OBJECTIVE_S = 2.0
 TAKEN = {"event": "job.taken", "job": "j", "tasks": [1], "objective_s": OBJECTIVE_S}
@@ -141,7 +141,7 @@
     lines = parse_lines(log_lines(events))
     (trace,) = trace_jobs(lines)
     assert trace.verdict(lines[-1].at) is verdict
-    rows = losses(lines)
+    rows = find_losses(lines)
     assert [row.cause for row in rows] == ([cause.value] if cause else [])
     assert sum(row.lost for row in rows) == (verdict is not Verdict.IN_TIME)
 
@@ -154,8 +154,8 @@
         for text in events
     ]
     lines = parse_lines(renamed)
-    (total,) = losses(lines, total=True)
-    rows = losses(lines)
+    (total,) = find_losses(lines, total=True)
+    rows = find_losses(lines)
     assert total.cause == Cause.ROOM.value
     assert total.lost == sum(row.lost for row in rows) == len(event_lists)
 
--- a/tests/reports/test_slo.py
+++ b/tests/reports/test_slo.py
@@ -10,7 +10,7 @@
 from rhubarbferry.reports.burn import Counts, EventKind, Window
 from rhubarbferry.reports.events import EventCounters, SloCollector, Work, judge_start
 from rhubarbferry.reports.scrape import Scrape, parse_metrics
-from rhubarbferry.reports.slo import SloReport, assemble, quantile
+from rhubarbferry.reports.slo import SloReport, assemble_report, quantile
 from rhubarbferry.test.fake_clock import FakeClock
 
 HTML_INJECTION = '<script>"x"</script>'
@@ -44,7 +44,7 @@
 
 
 def make_report(*scrapes: Scrape) -> SloReport:
-    return assemble(cell=CELL, scrapes=scrapes, taken_at=1.0e9)
+    return assemble_report(cell=CELL, scrapes=scrapes, taken_at=1.0e9)
 
 
 def test_report_adds_up_the_counts_of_all_members() -> None:
