--- a/rhubarbferry/reports/burn.py
+++ b/rhubarbferry/reports/burn.py
@@ -16,10 +16,10 @@
 
 from rhubarbferry.core.cell import Objective
 
-SLOT_S = 60.0
+SLOT_DURATION_S = 60.0
 SLOT_COUNT = 361
-FAST_BURN = 14.4
-SLOW_BURN = 6.0
+FAST_BURN_RATE = 14.4
+SLOW_BURN_RATE = 6.0
 
 
 class EventKind(StrEnum):
@@ -57,7 +57,11 @@
 
 
 class Alarm(StrEnum):
-    """Alarm level computed from the burn rates of the four windows."""
+    """Alarm level computed from the burn rates of the four windows.
+
+    ``FAST`` requires a high rate in the 5 min and 1 h windows, ``SLOW`` a lower one in the 30 min
+    and 6 h windows.
+    """
 
     NO_EVENTS = "no events"
     OK = "ok"
@@ -136,9 +140,9 @@
     """
     if events == 0:
         return Alarm.NO_EVENTS
-    if burn[Window.M5] >= FAST_BURN and burn[Window.H1] >= FAST_BURN:
+    if burn[Window.M5] >= FAST_BURN_RATE and burn[Window.H1] >= FAST_BURN_RATE:
         return Alarm.FAST
-    if burn[Window.M30] >= SLOW_BURN and burn[Window.H6] >= SLOW_BURN:
+    if burn[Window.M30] >= SLOW_BURN_RATE and burn[Window.H6] >= SLOW_BURN_RATE:
         return Alarm.SLOW
     return Alarm.OK
 
@@ -159,28 +163,30 @@
         """Count events that occur at ``now``."""
         self._advance(now)
         self.last_event_at = now
-        start = self._newest_slot % SLOT_COUNT * len(EVENT_KINDS) + EVENT_KINDS.index(kind)
-        self._counts[start] = min(2**32 - 1, self._counts[start] + count)
+        array_index = self._newest_slot % SLOT_COUNT * len(EVENT_KINDS) + EVENT_KINDS.index(kind)
+        self._counts[array_index] = min(2**32 - 1, self._counts[array_index] + count)
 
     def counts(self, window: Window, *, now: float) -> Counts:
         """Return the counts of a window that ends at ``now``."""
         self._advance(now)
-        slot_count = min(SLOT_COUNT, int(window.seconds // SLOT_S) + 1)
+        slot_count = min(SLOT_COUNT, int(window.seconds // SLOT_DURATION_S) + 1)
         totals = [0] * len(EVENT_KINDS)
         for offset in range(slot_count):
-            start = (self._newest_slot - offset) % SLOT_COUNT * len(EVENT_KINDS)
+            array_index = (self._newest_slot - offset) % SLOT_COUNT * len(EVENT_KINDS)
             for index in range(len(EVENT_KINDS)):
-                totals[index] += self._counts[start + index]
+                totals[index] += self._counts[array_index + index]
         return counts_from_values(totals)
 
     def _advance(self, now: float) -> None:
         """Clear the slots whose time has begun since the last access."""
-        slot = int(now // SLOT_S)
+        slot = int(now // SLOT_DURATION_S)
         if self._newest_slot < 0:
             self._newest_slot = slot
-        for begun_slot in range(max(self._newest_slot + 1, slot - SLOT_COUNT + 1), slot + 1):
-            start = begun_slot % SLOT_COUNT * len(EVENT_KINDS)
-            self._counts[start : start + len(EVENT_KINDS)] = array("I", bytes(4 * len(EVENT_KINDS)))
+        for new_slot in range(max(self._newest_slot + 1, slot - SLOT_COUNT + 1), slot + 1):
+            array_index = new_slot % SLOT_COUNT * len(EVENT_KINDS)
+            self._counts[array_index : array_index + len(EVENT_KINDS)] = array(
+                "I", bytes(4 * len(EVENT_KINDS))
+            )
         self._newest_slot = max(self._newest_slot, slot)
 
 
--- a/rhubarbferry/reports/html.py
+++ b/rhubarbferry/reports/html.py
@@ -10,8 +10,8 @@
 from attrs import frozen
 
 from rhubarbferry.reports.burn import (
-    FAST_BURN,
-    SLOW_BURN,
+    FAST_BURN_RATE,
+    SLOW_BURN_RATE,
     Alarm,
     Counts,
     EventKind,
@@ -117,7 +117,7 @@
     return [
         "<h2>Burn rate</h2>",
         "<p>1 uses the allowance up exactly. The lines mark the alarms: "
-        f"{SLOW_BURN:g} over 30 min and 6 h, {FAST_BURN:g} over 5 min and 1 h.</p>",
+        f"{SLOW_BURN_RATE:g} over 30 min and 6 h, {FAST_BURN_RATE:g} over 5 min and 1 h.</p>",
         _legend([(f"last {window.value}", WINDOW_COLOURS[window]) for window in Window]),
         burn_plot(lines),
         "<h2>How work came out in the last 6 h</h2>",
@@ -199,7 +199,9 @@
     step = BAR_HEIGHT * len(Window) + 12
     height = step * len(lines) + 40
     grid_rates = [
-        grid_rate for grid_rate in (0.0, 1.0, SLOW_BURN, FAST_BURN, 50.0) if grid_rate <= scale
+        grid_rate
+        for grid_rate in (0.0, 1.0, SLOW_BURN_RATE, FAST_BURN_RATE, 50.0)
+        if grid_rate <= scale
     ]
     parts = [
         _grid_line(_burn_x(grid_rate, scale), height, format_rate(grid_rate))
--- a/rhubarbferry/reports/losses.py
+++ b/rhubarbferry/reports/losses.py
@@ -18,13 +18,19 @@
 from rhubarbferry.dispatch.messages import EndKind
 from rhubarbferry.dispatch.objective import LATE_FACTOR
 
-WINDOW_S = 2.0
+REPORT_WINDOW_S = 2.0
 # Tasks with any other outcome have to be started again.
 SUCCESSFUL_OUTCOMES = (EndKind.DONE.value,)
 
 
 class Cause(StrEnum):
-    """Reasons for which a job waits."""
+    """Reasons for which a job waits.
+
+    ``ACCEPTANCE``: no process has accepted it. ``OWNER``: no process owns the work.
+    ``APPROVAL``: the policy service has not approved a step. ``ROOM``: no host has free capacity.
+    ``START``: a host has not answered a start order. ``RESTART``: a run that ended without success
+    is repeated. ``RECORD``: its end has not been recorded. ``WORK``: its tasks are running.
+    """
 
     ACCEPTANCE = "not accepted"
     OWNER = "no owner"
@@ -37,7 +43,11 @@
 
 
 class Verdict(StrEnum):
-    """Outcome of a job for its client."""
+    """Outcome of a job for its client.
+
+    A job is ``LATE`` when it takes longer than its objective, and ``MISSED`` when it takes longer
+    than ``LATE_FACTOR`` times its objective. It is ``OPEN`` when its end is not known.
+    """
 
     IN_TIME = "in time"
     LATE = "late"
@@ -349,7 +359,7 @@
         verdict = trace.verdict(last_at, lines_complete=lines_complete)
         if verdict not in LOST_VERDICTS:
             continue
-        window_s = (trace.first_at - first_at) // WINDOW_S * WINDOW_S
+        window_s = (trace.first_at - first_at) // REPORT_WINDOW_S * REPORT_WINDOW_S
         key = (0.0, "", trace.cause()) if total else (window_s, trace.queue, trace.cause())
         counts[key][verdict] += 1
         waited[key] += trace.waited[trace.cause()]
--- a/rhubarbferry/reports/metric_table.py
+++ b/rhubarbferry/reports/metric_table.py
@@ -14,7 +14,7 @@
 
 from rhubarbferry.reports.events import SloCollector
 
-PACKAGES = ("adapters", "coordination", "frontend", "reports", "rpc", "scheduler")
+METRIC_PACKAGES = ("adapters", "coordination", "frontend", "reports", "rpc", "scheduler")
 DAEMON_BY_PACKAGE = {"frontend": "frontend", "scheduler": "scheduler"}
 ALL_DAEMONS = "both"
 NAME_SUFFIXES = {"counter": "_total"}
@@ -33,21 +33,21 @@
 
 def collect_metrics() -> list[MetricRow]:
     """Return all metrics sorted by name."""
-    found = {row.name: row for row in _declared_metrics()}
+    metrics = {row.name: row for row in _declared_metrics()}
     for family in SloCollector.empty_families():
         labels = ", ".join(family._labelnames)
-        found[family.name] = MetricRow(
+        metrics[family.name] = MetricRow(
             name=family.name,
             kind=family.type,
             labels=labels,
             daemon=ALL_DAEMONS,
             help=family.documentation,
         )
-    return sorted(found.values())
+    return sorted(metrics.values())
 
 
 def _declared_metrics() -> Iterator[MetricRow]:
-    for package in PACKAGES:
+    for package in METRIC_PACKAGES:
         for name in _module_names(f"rhubarbferry.{package}"):
             module = importlib.import_module(name)
             for value in vars(module).values():
--- a/rhubarbferry/reports/slo.py
+++ b/rhubarbferry/reports/slo.py
@@ -27,7 +27,7 @@
     :param account: empty in the line of a template.
     :param budget_left: unused fraction of the budget for the events in the longest window.
     :param p50_s: median wait since the members started, in seconds; ``None`` without data.
-    :param p99_s: 99th percentile of the same waits.
+    :param p99_s: 99th percentile of the same waits, in seconds.
     """
 
     account: str
--- a/rhubarbferry/rpc/pool.py
+++ b/rhubarbferry/rpc/pool.py
@@ -55,7 +55,7 @@
             await replaced.close()
         return conn
 
-    async def forget(self, address: str) -> None:
+    async def close_connection(self, address: str) -> None:
         """Close the connection to a process that has ended."""
         conn = self._conns.pop(address, None)
         if conn is not None:
@@ -64,4 +64,4 @@
     async def close(self) -> None:
         """Close all connections."""
         for address in list(self._conns):
-            await self.forget(address)
+            await self.close_connection(address)
--- a/tests/reports/test_slo.py
+++ b/tests/reports/test_slo.py
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bounds", "part", "expected"),
+    ("buckets", "fraction", "expected"),
     [
         ({}, 0.5, None),
         ({1.0: 0.0, float("inf"): 0.0}, 0.5, None),
@@ -119,8 +119,8 @@
         ({1.0: 5.0, float("inf"): 10.0}, 0.99, 1.0),
     ],
 )
-def test_quantile(bounds: dict[float, float], part: float, expected: float | None) -> None:
-    assert quantile(bounds, part) == (None if expected is None else pytest.approx(expected))
+def test_quantile(buckets: dict[float, float], fraction: float, expected: float | None) -> None:
+    assert quantile(buckets, fraction) == (None if expected is None else pytest.approx(expected))
 
 
 def test_renamed_accounts_do_not_grow_the_memory(
