--- a/rhubarbferry/adapters/etcd_wire.py
+++ b/rhubarbferry/adapters/etcd_wire.py
@@ -81,7 +81,7 @@
         return self._txn(key, mod_revision, {"request_delete_range": delete})
 
     def encode_delete_range(self, first_key: str, end: str) -> Json:
-        """Encode a deletion of the keys in ``[start, end)``."""
+        """Encode a deletion of the keys in ``[first_key, end)``."""
         return {
             "key": encode_base64(self._full_key(first_key)),
             "range_end": encode_base64(self._full_key(end)),
--- a/rhubarbferry/reports/events.py
+++ b/rhubarbferry/reports/events.py
@@ -41,9 +41,9 @@
 class EventCounters:
     """Event counts of each account in one process.
 
-    At most 512 rings of 5.8 kB each are kept (3 MB). Beyond that the ring without events for the
-    longest time is removed, so that memory stays bounded when accounts are created and deleted
-    over time.
+    At most ``MAX_SERIES`` rings of 5.8 kB each are kept (3 MB). Beyond that the ring without events
+    for the longest time is removed, so that memory stays bounded when accounts are created and
+    deleted over time.
     """
 
     def __init__(self) -> None:
--- a/rhubarbferry/reports/losses.py
+++ b/rhubarbferry/reports/losses.py
@@ -284,8 +284,8 @@
     def cause(self) -> Cause:
         """Return the cause of the largest wait.
 
-        The run itself counts as the cause when it exceeds the objective by more than the largest
-        wait.
+        The run itself is the cause when it exceeds the objective by at least the largest wait, or
+        when the job waited for nothing else.
         """
         other_waits: dict[Cause, float] = {
             cause: s for cause, s in self.waited.items() if cause is not Cause.WORK
--- a/rhubarbferry/rpc/idl/rhubarbferry.thrift
+++ b/rhubarbferry/rpc/idl/rhubarbferry.thrift
@@ -142,7 +142,7 @@
   4: optional i64 limit_ms,  /* refused since more than this was requested; a guard never grants a shorter promise */
 }
 
-// ---------------------------------------------------------------- intents
+// ---------------------------------------------------------------- intents (requests with an idempotency key)
 
 enum IntentVerdict {
   COMMITTED = 0, RUNNING = 1, RECORDED = 2, UNKNOWN = 3,
@@ -432,7 +432,7 @@
   CloseGuardSetReply close_guard_set(1: CloseGuardSetRequest req),
 }
 
-// ---------------------------------------------------------------- workers (outside)
+// ---------------------------------------------------------------- workers (external interface)
 
 /*
  * Each reply of a worker has a `number`; a request names in `answered` the last reply that its
--- a/tests/adapters/test_etcd.py
+++ b/tests/adapters/test_etcd.py
@@ -28,7 +28,7 @@
 from rhubarbferry.test.serving import address_of, bind, serving
 from rhubarbferry.test.store import StoreGateway
 
-WAIT_S = 5.0
+WAIT_TIMEOUT_S = 5.0
 MAX_POLLS = 500
 
 
@@ -90,7 +90,7 @@
         memory.faults.silent_watches = True
         with pytest.raises(WatchBroken):
             async with (
-                asyncio.timeout(WAIT_S),
+                asyncio.timeout(WAIT_TIMEOUT_S),
                 aclosing(store.watch("", from_revision=1)) as watch,
             ):
                 async for _ in watch:
@@ -109,7 +109,7 @@
             done, _ = await asyncio.wait([waiting], timeout=2.5)
             assert not done
             await store.create("a", b"")
-            assert len(await asyncio.wait_for(waiting, WAIT_S)) == 1
+            assert len(await asyncio.wait_for(waiting, WAIT_TIMEOUT_S)) == 1
         await store.close()
 
 
--- a/tests/adapters/test_store_contract.py
+++ b/tests/adapters/test_store_contract.py
@@ -28,7 +28,7 @@
 from rhubarbferry.test.store import StoreGateway
 from rhubarbferry.test.store_engine import Engine
 
-WAIT_S = 5.0
+WAIT_TIMEOUT_S = 5.0
 MAX_POLLS = 500
 TIMEOUT_S = 2.0
 
@@ -141,7 +141,10 @@
     await store.create("other", b"1")
     assert first is not None
     seen = []
-    async with asyncio.timeout(WAIT_S), aclosing(store.watch("w/", from_revision=first)) as watch:
+    async with (
+        asyncio.timeout(WAIT_TIMEOUT_S),
+        aclosing(store.watch("w/", from_revision=first)) as watch,
+    ):
         async for events in watch:
             for event in events:
                 match event:
@@ -158,7 +161,10 @@
 
 
 async def _first_change(store: Store, from_revision: int) -> None:
-    async with asyncio.timeout(WAIT_S), aclosing(store.watch("", from_revision=from_revision)) as w:
+    async with (
+        asyncio.timeout(WAIT_TIMEOUT_S),
+        aclosing(store.watch("", from_revision=from_revision)) as w,
+    ):
         async for _ in w:
             return
 
