--- a/rhubarbferry/adapters/etcd_http.py
+++ b/rhubarbferry/adapters/etcd_http.py
@@ -172,7 +172,7 @@
 
 def _transport_error(exc: Exception, *, may_have_effect: bool) -> StoreError:
     if may_have_effect:
-        return StoreUnclear(f"incomplete response ({exc!r}); check its effect before repeating it")
+        return StoreUnclear(f"the write may have taken effect ({exc!r}); check before repeating it")
     return StoreUnavailable(f"the store is unreachable ({exc!r}); check [store] url and try again")
 
 
@@ -187,5 +187,7 @@
     if code in (INVALID_ARGUMENT, PERMISSION_DENIED, UNAUTHENTICATED):
         return StoreRefused(f"{message}; check the request and the permissions of this process")
     if write and not (code == UNAVAILABLE and NO_LEADER_MESSAGE in message):
-        return StoreUnclear(f"{message}; check its effect before repeating it")
+        return StoreUnclear(
+            f"{message}; the write may have taken effect, check before repeating it"
+        )
     return StoreUnavailable(f"{message}; try again later")
