--- a/rhubarbferry/reports/losses.py
+++ b/rhubarbferry/reports/losses.py
@@ -297,7 +297,7 @@
 
 @frozen(kw_only=True)
 class LossRow:
-    """Jobs of one window that were lost for one cause.
+    """Jobs of one window that were late, missed, refused or failed for one cause.
 
     :param window_s: start of the window in seconds after the first line.
     :param queue: queue of the jobs.
