--- a/rhubarbferry/dispatch/__init__.py
+++ b/rhubarbferry/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Decide where the tasks of jobs run: pure code without I/O or a clock of its own."""
+"""Choose hosts for the tasks of jobs; pure code that does no I/O and reads no clock."""
--- a/rhubarbferry/dispatch/approvals.py
+++ b/rhubarbferry/dispatch/approvals.py
@@ -1,4 +1,4 @@
-"""What is known of the hosts that a policy lets run one step."""
+"""Approvals of hosts to run a step, as decided by the policy service."""
 
 from __future__ import annotations
 
@@ -6,16 +6,18 @@
 
 from rhubarbferry.dispatch.messages import Advice
 
-# A ticket must still be good when the start arrives: one way between regions takes 20 ms, and
-# the order may wait for its turn in a busy process.
+# A ticket must still be valid when the start order arrives: the one-way latency between regions is
+# 20 ms, and a busy process may delay the order.
 TICKET_MARGIN_S = 0.25
 
 
 @frozen(kw_only=True, slots=True)
 class Ticket:
-    """A proof of approval.
+    """Proof of an approval, to be presented to the host.
 
-    :param incarnation: the life of the host that it is good for.
+    :param text: value that the host verifies.
+    :param expires_at: when it stops being used, a margin before it becomes invalid.
+    :param incarnation: incarnation of the host that it is valid for.
     """
 
     text: str
@@ -25,9 +27,10 @@
 
 @define(kw_only=True, eq=False, slots=True)
 class StepApprovals:
-    """Which hosts may run a step. The verdict on a host never changes; only tickets age.
+    """Approved and denied hosts of one step. A decision on a host is final; tickets expire.
 
-    :ivar asking: hosts that a question is under way for.
+    :ivar asking: hosts named in a pending approval request.
+    :ivar failed_at: when the last approval request failed.
     """
 
     approved: set[str] = Factory(set)
@@ -37,9 +40,9 @@
     failed_at: float = -1.0
 
     def learn(self, advice: Advice, incarnations: dict[str, int]) -> None:
-        """Take in an answer.
+        """Record the response to an approval request.
 
-        :param incarnations: the present life of each known host.
+        :param incarnations: current incarnation of each known host.
         """
         self.asking.difference_update(advice.asked)
         named = {approval.host: approval.ticket for approval in advice.approvals}
@@ -48,8 +51,8 @@
                 self.denied.add(host)
                 continue
             self.approved.add(host)
-            # The policy service stamps the ticket when it answers. Counting from the answer's
-            # arrival would be too late by the way back, so the margin covers it.
+            # The validity starts when the policy service issues the ticket, which is earlier than
+            # the arrival of the response by one network trip. The margin covers the difference.
             self.tickets[host] = Ticket(
                 text=named[host],
                 expires_at=advice.answered_at + advice.valid_s - TICKET_MARGIN_S,
@@ -57,13 +60,13 @@
             )
 
     def ticket(self, host: str, incarnation: int, now: float) -> str:
-        """Return a ticket that is still good, or an empty string."""
+        """Return a valid ticket, or an empty string."""
         if self.lapses_at(host, incarnation) <= now:
             return ""
         return self.tickets[host].text
 
     def lapses_at(self, host: str, incarnation: int) -> float:
-        """Return until when the ticket for this life of a host is good; in the past if none is."""
+        """Return when the ticket for a host's incarnation expires; ``-inf`` if there is none."""
         ticket = self.tickets.get(host)
         if ticket is None or ticket.incarnation != incarnation:
             return float("-inf")
@@ -71,17 +74,17 @@
 
     @property
     def awaiting_first(self) -> bool:
-        """Whether a question is under way and no host has been approved yet."""
+        """Whether a request is pending and no host has been approved yet."""
         return bool(self.asking) and not self.approved
 
     def allows(self, host: str) -> bool:
-        """Tell whether a host may be used now, or may be asked about now.
+        """Return whether a host is approved, or may be named in an approval request now.
 
-        While a question is under way no other is asked for the step, so a host that nobody has
-        asked about is of no use to it until then.
+        Only one request for a step is pending at a time. Until its response arrives, hosts that no
+        request has named can't be used.
         """
         return host in self.approved or not (self.asking or host in self.denied)
 
     def unknown(self, host: str) -> bool:
-        """Tell whether nobody has asked about a host."""
+        """Return whether the policy service has not decided on a host yet."""
         return host not in self.approved and host not in self.denied
--- a/rhubarbferry/dispatch/candidates.py
+++ b/rhubarbferry/dispatch/candidates.py
@@ -1,4 +1,4 @@
-"""Which waiting steps a decision tries to place, and in which order."""
+"""Select the waiting steps that a decision tries to place, and their order."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @define(kw_only=True, eq=False)
 class Candidates:
-    """The waiting steps that something has happened to, or that a changed host may have room for.
+    """Waiting steps that have changed, or that may fit on a host that has changed.
 
-    Those of one moment all get their turn before those of a later one are found. Otherwise steps
-    that come first in the order and find no room could keep the others from ever being tried.
+    All candidates that were collected together are tried before new ones are collected. Otherwise
+    steps that come first in the order and find no room could starve the others.
     """
 
     waiting: WaitingSteps
@@ -28,17 +28,17 @@
         return bool(self._found)
 
     def touch(self, step: Step) -> None:
-        """Try a step the next time that candidates are found."""
+        """Include a step the next time that candidates are collected."""
         self._touched[step] = None
 
     def touch_all(self) -> None:
-        """Try all waiting steps the next time that candidates are found."""
+        """Include all waiting steps the next time that candidates are collected."""
         self._touched.update(dict.fromkeys(self.waiting.in_order()))
 
     def find(self, changed: Sequence[Host]) -> None:
-        """Find candidates, in their order.
+        """Collect candidates and sort them by their position in the queue.
 
-        :param changed: hosts whose room or state has changed since the last time.
+        :param changed: hosts whose free room or state has changed since the last call.
         """
         found = {step for step in self._touched if step in self.waiting}
         self._touched.clear()
@@ -52,7 +52,7 @@
         self._found.extend(sorted(found, key=self.waiting.order))
 
     def pop(self) -> Step | None:
-        """Return the next candidate that still waits, ``None`` when there is none left."""
+        """Return the next candidate that still waits, or ``None`` if none is left."""
         while self._found:
             step = self._found.popleft()
             if step in self.waiting:
@@ -60,7 +60,8 @@
         return None
 
     def put_back(self) -> None:
-        """Order those that are left anew the next time: what comes then may be more urgent."""
+        """Return the remaining candidates, to be sorted again together with more urgent new ones.
+        """
         self._touched.update(dict.fromkeys(self._found))
         self._found.clear()
 
--- a/rhubarbferry/dispatch/dispatcher.py
+++ b/rhubarbferry/dispatch/dispatcher.py
@@ -1,7 +1,8 @@
-"""Decide which task runs where: jobs and host reports come in, orders go out.
+"""Assign tasks to hosts.
 
-The dispatcher does no I/O and reads no clock. Its caller hands in what happened, with the time,
-takes the orders from :meth:`Dispatcher.decide`, and writes the jobs in ``dirty`` to the store.
+The dispatcher does no I/O and reads no clock. Its caller passes in events (new jobs, host reports,
+answers to orders) with the current time, carries out the orders that :meth:`Dispatcher.decide`
+returns, and writes the jobs in :attr:`Dispatcher.dirty` to the store.
 """
 
 from __future__ import annotations
@@ -43,20 +44,21 @@
 from rhubarbferry.dispatch.tracker import Outcome, RunEnded, RunRefused, Tracker
 from rhubarbferry.dispatch.waiting import WaitingSteps
 
-# A host that refused a start for its own state gets no new task for this long.
+# A host that refused a start because of its own state receives no new task for this long.
 REFUSED_PAUSE_S = 0.5
-# A host on which a task hung gets no new task for this long.
+# A host on which a task hung receives no new task for this long.
 HUNG_PAUSE_S = 4.0
-# Tasks fail by their own fault in a few percent of runs, so a host is taken out of use only
-# after failures of this many jobs with no success between.
+# A few percent of all runs fail because of the task itself, so a host is ejected only after tasks
+# of this many different jobs have failed on it with no success in between.
 HOST_RULES = EjectionRules(distinct_failures=3, window_s=10.0, eject_s=3.0, max_eject_s=12.0)
-# One decision places at most this many steps. The rest is left to the next one, so that the caller
-# gets to answer other processes between the two.
+# Maximum number of steps that one call of `decide` tries to place. The next call continues with the
+# rest, so the caller can serve other processes between the two calls.
 STEPS_PER_DECISION = 32
-# Between two walks through all hosts for what time alone changes: leases that lapse, and hosts that
-# take tasks again. Hosts that something has happened to are looked at in each decision.
+# Minimum interval between two passes over all hosts that look for changes due to time alone:
+# expired task leases, and hosts that accept tasks again. Hosts that have changed in another way are
+# processed by every decision.
 HOST_REVIEW_S = 0.05
-# Reasons that lie with the host, so that the next task would be refused as well.
+# Refusals that are caused by the state of the host, which would refuse the next task as well.
 HOST_REFUSALS = (
     Refusal.NO_ROOM,
     Refusal.UNHEALTHY,
@@ -67,13 +69,14 @@
 
 @define(kw_only=True, eq=False)
 class Dispatcher:
-    """The owner's view of the jobs and hosts of a cell.
-
-    :param succession: what must be known before inherited jobs go on.
-    :param lease_s: longest task lease that a host grants.
-    :ivar dirty: jobs whose recorded state is behind, in the order of change.
-    :ivar ended: jobs whose end is on record, with the phase that they ended in.
-    :ivar notes: outcomes since the last look, for the log.
+    """State of the jobs and hosts of a cell, as held by the owner.
+
+    :param takeover: hosts that may still run tasks for an earlier owner; inherited jobs wait for
+        them.
+    :param lease_s: maximum task lease that a host grants, in seconds.
+    :ivar dirty: jobs whose state in the store is out of date, in the order of their first change.
+    :ivar ended: final phase of each job whose end has been written to the store.
+    :ivar run_events: ended and refused runs that the caller has not logged yet.
     """
 
     succession: Succession
@@ -103,7 +106,7 @@
     # ------------------------------------------------------------ jobs
 
     def add_job(self, job: Job, *, now: float, wall_s: float) -> None:
-        """Take on a job that was accepted, new or inherited."""
+        """Add an accepted job, either a new one or one inherited from an earlier owner."""
         self.jobs[job.id] = job
         if job.inherited:
             self._unsettled[job.id] = job
@@ -119,13 +122,13 @@
         self._finish_if_done(job)
 
     def cancel_job(self, id: str) -> None:
-        """Stop a job for good; one that has ended stays as it is."""
+        """Cancel a job; do nothing if it has ended."""
         job = self.jobs.get(id)
         if job is not None and not job.phase.final:
             self._finish(job, JobPhase.CANCELLED, "cancelled by its client")
 
     def recorded(self, job: Job) -> None:
-        """Note that a job's last state stands in the store; one that has ended is dropped."""
+        """Record that the store holds a job's current state; remove the job if it has ended."""
         if job.phase.final:
             self.jobs.pop(job.id, None)
             self._unsettled.pop(job.id, None)
@@ -133,7 +136,8 @@
             self.ended[job.id] = job.phase
 
     def configure(self, queues: Mapping[str, Queue], *, now: float) -> None:
-        """Apply a configuration: what is not in it keeps its last form."""
+        """Apply a new configuration. A queue that it does not contain keeps its previous settings.
+        """
         if queues is self._queues:
             return
         self._queues = queues
@@ -147,28 +151,28 @@
                     self._enqueue(step, now)
 
     def pending(self, queue: str) -> int:
-        """Return how many jobs of a queue have not started a task."""
+        """Return the number of jobs in a queue that have not started any task."""
         return sum(1 for job in self.jobs.values() if job.queue.name == queue and not job.started)
 
     # ------------------------------------------------------------ hosts
 
     def host_listed(self, entry: HostEntry, *, now: float) -> None:
-        """Take in an entry of the host list."""
+        """Add or update a host from its entry in the host list."""
         self._apply(self.tracker.host_listed(entry, now), now)
 
     def host_unlisted(self, id: str) -> None:
-        """Note that the host list no longer shows a host."""
+        """Record that the host list no longer contains a host."""
         self.tracker.host_unlisted(id)
 
     def host_gone(self, id: str, *, now: float) -> None:
-        """Note that a host's life is over for sure."""
+        """Record that the current incarnation of a host has certainly ended."""
         self.succession.note_report(id)
         host = self.tracker.hosts.get(id)
         if host is not None:
             self._apply(self.tracker.host_gone(host), now)
 
     def reported(self, id: str, report: HostReport, *, sent_at: float, now: float) -> None:
-        """Work in a host's report; the answer must be to a call under our fence number."""
+        """Process a host's report, which must answer a call under the current owner's fence."""
         host = self.tracker.hosts.get(id)
         if host is None:
             return
@@ -182,19 +186,19 @@
     def start_answered(
         self, id: str, task: TaskId, attempt: int, result: OrderResult, *, now: float
     ) -> None:
-        """Work in the answer to a start."""
+        """Process the result of a start order."""
         run = self.tracker.run(id, task, attempt)
         if run is not None:
             host = self.tracker.hosts[id]
             self._apply(self.tracker.start_answered(host, run, result, now=now), now)
 
     def unclear(self, id: str, task: TaskId, attempt: int) -> bool:
-        """Tell whether it is still open what has become of a start."""
+        """Return whether a start was not answered and the run may still exist or begin."""
         run = self.tracker.run(id, task, attempt)
         return run is not None and run.phase is RunPhase.UNCLEAR
 
     def stop_answered(self, id: str, task: TaskId, attempt: int, clock_s: float) -> None:
-        """Note that a host took a stop."""
+        """Record that a host has accepted a stop order."""
         run = self.tracker.run(id, task, attempt)
         if run is not None:
             self.tracker.stop_answered(run, clock_s)
@@ -202,17 +206,17 @@
     def pace_answered(
         self, id: str, task: TaskId, attempt: int, percent: int, *, now: float
     ) -> None:
-        """Note that a host lets a run work at a pace."""
+        """Record that a host has applied a pace to a run."""
         run = self.tracker.run(id, task, attempt)
         if run is not None:
             run.pace = percent
-            # From here on it must show progress, if it is to work at all.
+            # Restart the hang detection, since a run at pace 0 has made no progress until now.
             run.progress_at = now
 
     # ------------------------------------------------------------ approvals
 
     def advised(self, advice: Advice, *, now: float) -> None:
-        """Work in the answer to a question for approval."""
+        """Process the response to an approval request."""
         step = self._step(advice.step)
         if step is None:
             return
@@ -225,11 +229,12 @@
         self._look_at(step, now)
 
     def approved_share(self, queue: Queue) -> ApprovedShare:
-        """Return what is known of how many hosts the policy approves for steps of a queue."""
+        """Return the estimate of the share of hosts that the policy approves for steps of a queue.
+        """
         return self._shares.setdefault(queue.name, ApprovedShare())
 
     def advice_failed(self, order: AdviceOrder, *, now: float) -> None:
-        """Note that a question got no answer."""
+        """Record that an approval request failed, and schedule a retry."""
         step = self._step(order.step)
         if step is None:
             return
@@ -240,11 +245,11 @@
     # ------------------------------------------------------------ decisions
 
     def decide(self, *, now: float, wall_s: float, starts: float = math.inf) -> list[Order]:
-        """Return the orders to carry out now; more may follow while :attr:`undecided`.
+        """Return the orders to carry out now; call again while :attr:`has_more` is true.
 
-        :param wall_s: time of day, for jobs that start by it.
-        :param starts: once so many starts have been ordered, what else waits is left to a later
-            decision. The tasks of the last step may exceed it.
+        :param wall_s: Unix time, for jobs that start at a time of day.
+        :param starts: limit on start orders. Once it is reached, the remaining steps are left to a
+            later decision. The tasks of the last step may exceed it.
         """
         orders: list[Order] = []
         self._review_hosts(now)
@@ -254,7 +259,7 @@
         self._give_up_reservations(now)
         self.waiting.reorder(now)
         if self.holds.expire(now):
-            # Any step may take the room that was kept.
+            # The room of the expired hold is free for any step.
             self.retry()
         self.tracker.note_opened(now)
         for step in [step for step, at in self._ask_again.items() if now >= at]:
@@ -276,16 +281,16 @@
 
     @property
     def undecided(self) -> bool:
-        """Whether there are steps that the last decision has left to the next one."""
+        """Whether candidate steps remain that the last decision did not process."""
         return bool(self._candidates)
 
     def retry(self) -> None:
-        """Look at all hosts and waiting steps at the next decision."""
+        """Reconsider all hosts and all waiting steps in the next decision."""
         self._hosts_reviewed_at = float("-inf")
         self._candidates.touch_all()
 
     def _place_candidates(self, now: float, starts: float) -> list[Order]:
-        """Place the next candidates; those that this decision does not get to are left over."""
+        """Place the next candidate steps, up to the limit of one decision."""
         if not self._candidates:
             self._candidates.find(self.tracker.take_changed())
         if not self._candidates:
@@ -302,7 +307,7 @@
             step = self._candidates.pop()
             if step is None:
                 break
-            # A host on probation takes one task at a time.
+            # A host on probation after its ejection receives one task at a time.
             ejected = self._ejector.unusable(now=now)
             if ejected != unusable:
                 unusable = ejected
@@ -342,9 +347,10 @@
         return orders
 
     def _may_make_room(self, step: Step, allowed: list[Host], open_hosts: list[Host]) -> bool:
-        """Tell whether others may give way to a step that has found no room.
+        """Return whether tasks of lower priority may be preempted for a step that found no room.
 
-        They do so only once it is known that no host with free room may be used.
+        Preemption has to wait until no host that still has free room could be approved for the
+        step.
         """
         if not allowed or self.waiting.urgency(step) is not Urgency.IN_TIME:
             return False
@@ -356,7 +362,8 @@
         placed = place(step, allowed, now, self.holds.kept(but=step))
         if len(placed) == len(step.waiting()):
             return placed
-        # Steps that go before those with a hold take its room only where there is no other.
+        # A step with precedence over the holders of held room may use that room, but only if there
+        # is no other.
         order = self.waiting.order(step)
         return place(step, allowed, now, self.holds.kept_from(order, self.waiting.orders))
 
@@ -385,7 +392,7 @@
         return self._start_reserved(step, now)
 
     def _start_reserved(self, step: Step, now: float) -> list[Order]:
-        """Start the reserved runs of a step that have a ticket, or need none."""
+        """Start the reserved runs of a step that have a valid ticket or need none."""
         ready = reservations.redeemable(step, self.tracker.hosts, now)
         if step.req.gang and len(ready) < len(step.tasks):
             return []
@@ -399,7 +406,7 @@
         return orders
 
     def _look_at(self, step: Step, now: float) -> None:
-        """Look at a step at the next decision, though it may wait for tickets only."""
+        """Reconsider a step in the next decision, even if it only waits for tickets."""
         self._candidates.touch(step)
         self.waiting.add(step, now)
 
@@ -465,7 +472,7 @@
     def _task_done(self, task: Task, now: float) -> None:
         step = task.step
         job = step.job
-        # The end of one member of a gang stands for all.
+        # A gang is done as soon as one of its members is done.
         for member in step.tasks if step.req.gang else [task]:
             self._set_done(member)
         self._mark(job)
@@ -488,14 +495,14 @@
             self.tracker.stop(run, "the task is done")
 
     def _settle(self, now: float) -> None:
-        """Resume the inherited jobs whose runs are all confirmed or over."""
+        """Resume the inherited jobs that no unconfirmed host can still be running."""
         if not self._unsettled:
             return
         self.succession.pass_time(now)
         for job in [job for job in self._unsettled.values() if self.succession.settled(job.id)]:
             del self._unsettled[job.id]
             for step in job.steps():
-                # An earlier owner may have started only some members of a gang.
+                # An earlier owner may have failed after it had started only some members of a gang.
                 for attempt in step.incomplete_attempts():
                     self.tracker.stop_gang(step, attempt, "the gang was found incomplete")
                 if step in self.waiting:
@@ -518,7 +525,7 @@
         return job.step(id) if job is not None and not job.phase.final else None
 
     def _open_steps(self, job: Job, now: float) -> None:
-        """Let the steps wait for room whose earlier steps are done."""
+        """Queue the steps whose predecessors are all done."""
         if job.phase.final:
             return
         for step in job.open_steps(now):
--- a/rhubarbferry/dispatch/evacuation.py
+++ b/rhubarbferry/dispatch/evacuation.py
@@ -1,4 +1,4 @@
-"""Find the runs that a leaving host would take with it, while they can still be ended in order."""
+"""Select the runs to stop on a host that is about to leave."""
 
 from __future__ import annotations
 
@@ -6,22 +6,23 @@
 from rhubarbferry.dispatch.job import Run, RunPhase
 from rhubarbferry.dispatch.messages import HostPhase
 
-# A run that will take this many times as long as its host stays, and this much longer, is given up
-# at once: what is left of it is known to a few tenths, more roughly where it goes by its estimate.
+# A run is stopped at once if its remaining time exceeds the remaining time of its host by this
+# factor plus this margin. The tolerance is needed because the estimate of a run's remaining time is
+# accurate to a few tenths at best, and less so if it is based on the client's estimate.
 TOO_LONG_TIMES = 1.5
 TOO_LONG_S = 0.5
-# So long before the host leaves, all that will not end in time is stopped: a stop takes a while to
-# be reported, and the host's entry may be old.
+# This long before the host leaves, every run that will not end in time is stopped. Reporting a stop
+# takes time, and the host's entry in the host list may be out of date.
 LAST_CALL_S = 1.5
 
 
 def runs_to_leave(host: Host, now: float) -> list[Run]:
-    """Return the runs to stop on a host that is about to leave.
+    """Return the runs to stop on a draining host.
 
-    What still runs when it leaves is gone, with all that was done since the last saved point, and
-    since a host that has left looks like one that is cut off, its tasks may start elsewhere only
-    when their leases have ended, 6 s later. A run that is stopped before is saved if it can be,
-    and begins again elsewhere within a second.
+    A run that is still active when its host leaves loses all work since its last checkpoint. As a
+    host that has left can't be told from one that is partitioned from the network, its tasks may
+    start elsewhere only after their leases have expired, 6 s later. A run that is stopped before
+    writes a checkpoint if it can, and its task starts elsewhere within a second.
     """
     if host.entry.phase is not HostPhase.DRAINING or host.leaves_at is None:
         return []
--- a/rhubarbferry/dispatch/holds.py
+++ b/rhubarbferry/dispatch/holds.py
@@ -1,4 +1,4 @@
-"""Room that is kept for a step while tasks that matter less give way to it."""
+"""Room held for a step while tasks of lower priority are preempted for it."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from rhubarbferry.dispatch.placement import could_run, slots_on
 from rhubarbferry.dispatch.waiting import Order
 
-# A stopped task is gone within a second, and its end is reported soon after. Room that was not
-# taken by then is given back to others.
+# A preempted task stops within a second, and its end is reported soon after. Room that the step has
+# not used by this timeout is released to other steps.
 HOLD_S = 2.5
-# After a hold that came to nothing, before the next one for the same step.
+# Minimum time between the expiry of an unused hold and the next hold for the same step.
 HOLD_PAUSE_S = 1.0
-# Tasks that are expected to end within this time are waited for and not stopped.
+# Tasks whose expected remaining time is at most this are not preempted; the step waits for them.
 DRAIN_S = 2.0
-# A run that is stopped counts as much as this time that the step waits, when hosts are compared.
+# Cost of one preempted run when hosts are compared, expressed as time that the step waits.
 VICTIM_COST_S = 0.5
-# At most this share of the hosts is held for gangs and urgent steps at a time.
+# Maximum share of all hosts that may be held at one time.
 MOST_HELD_SHARE = 0.5
 
 
 @frozen(kw_only=True, slots=True)
 class Hold:
-    """Room kept for the waiting tasks of a step.
+    """Room held for the waiting tasks of a step.
 
-    :param slots: how many of its tasks each host is to take.
-    :param until: when it is given up.
+    :param slots: number of tasks that each host, by id, is to receive.
+    :param until: when the hold expires.
     """
 
     step: Step
@@ -41,10 +41,11 @@
 
 @frozen(kw_only=True, slots=True)
 class _Offer:
-    """What a host can give to a step.
+    """The room that a host could provide for a step.
 
-    :param ending: runs that are expected to end soon, with the seconds until then.
-    :param victims: runs that can be stopped, in the order to do so.
+    :param slots: number of tasks of the step that would fit.
+    :param ending: runs that are expected to end soon, each with its remaining seconds.
+    :param victims: runs that can be preempted, in the order of preemption.
     """
 
     host: Host
@@ -54,14 +55,14 @@
 
     @property
     def cost(self) -> tuple[float, str]:
-        """Sort key: what it takes to free a slot here."""
+        """Sort key: the cost to free one slot, then the host's id."""
         longest = self.ending[-1][0] if self.ending else 0.0
         return (longest + VICTIM_COST_S * len(self.victims) / self.slots, self.host.id)
 
 
 @frozen(kw_only=True, slots=True)
 class _Share:
-    """What is taken of an offer: the runs to stop, and how long the others will take."""
+    """The runs to preempt on one host, and how long to wait for the runs that end by themselves."""
 
     victims: tuple[Run, ...]
     wait_s: float
@@ -69,7 +70,7 @@
 
 @define(kw_only=True, eq=False)
 class Holds:
-    """All holds at present."""
+    """All current holds."""
 
     _holds: dict[Step, Hold] = Factory(dict)
     _not_before: dict[Step, float] = Factory(dict)
@@ -78,21 +79,21 @@
         return bool(self._holds)
 
     def hosts(self, step: Step) -> frozenset[str]:
-        """Return the hosts that are held for a step."""
+        """Return the ids of the hosts held for a step."""
         hold = self._holds.get(step)
         return frozenset(hold.slots) if hold is not None else frozenset()
 
     def drop(self, step: Step) -> None:
-        """Give up the hold of a step."""
+        """Release the hold of a step."""
         self._holds.pop(step, None)
 
     def expire(self, now: float) -> bool:
-        """Give up what was held for too long; return whether there was any."""
+        """Release the holds that have timed out; return whether there were any."""
         over = [step for step, hold in self._holds.items() if now >= hold.until]
         for step in over:
             del self._holds[step]
             self._not_before[step] = now + HOLD_PAUSE_S
-        # All pauses are of one length, so those that end first come first.
+        # All retry intervals have the same length, so the entries are sorted by the time they end.
         while self._not_before:
             step, until = next(iter(self._not_before.items()))
             if now < until:
@@ -101,22 +102,23 @@
         return bool(over)
 
     def kept(self, *, but: Step) -> dict[str, Sizes]:
-        """Return what each host keeps for other steps."""
+        """Return the room held on each host for other steps."""
         return _sum(hold for step, hold in self._holds.items() if step is not but)
 
     def kept_from(self, order: Order, orders: Mapping[Step, Order]) -> dict[str, Sizes]:
-        """Return what each host keeps for steps that go before ``order``."""
+        """Return the room held on each host for steps that precede ``order``."""
         return _sum(hold for step, hold in self._holds.items() if orders.get(step, order) < order)
 
     def make_room(self, step: Step, hosts: Iterable[Host], *, total: int, now: float) -> list[Run]:
-        """Hold room for the waiting tasks of a step; return the runs to stop for it.
+        """Hold room for the waiting tasks of a step; return the runs to preempt for it.
 
-        A gang needs room for all its tasks at once. Where small tasks take whatever comes free it
-        would wait until it is late, and so would urgent tasks in a full cell. Tasks of a lower
-        priority that can resume where they were stopped lose a second by giving way.
+        A gang needs room for all its tasks at once. In a cell where small tasks take all room that
+        becomes free, it would wait past its objective, and so would urgent tasks in a full cell.
+        Preemption costs tasks of lower priority about a second if they can resume from a
+        checkpoint.
 
-        :param hosts: those that may run the step now.
-        :param total: number of hosts in all.
+        :param hosts: hosts that may run the step now.
+        :param total: total number of hosts.
         """
         if step in self._holds or step in self._not_before:
             return []
@@ -187,7 +189,10 @@
 
 
 def _share(step: Step, offer: _Offer, slots: int) -> _Share:
-    """Return the runs that must end for ``slots``: those that do soon before any is stopped."""
+    """Select the runs to end so that ``slots`` slots become free.
+
+    Runs that are expected to end soon are selected before runs to preempt.
+    """
     room = offer.host.room
     wait_s = 0.0
     victims: list[Run] = []
--- a/rhubarbferry/dispatch/hosts.py
+++ b/rhubarbferry/dispatch/hosts.py
@@ -1,4 +1,4 @@
-"""The hosts as the owner of the work knows them: room, clock, task leases."""
+"""Hosts as tracked by the owner: free room, clock, task leases."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 from rhubarbferry.dispatch.job import Run
 from rhubarbferry.dispatch.messages import HostEntry, HostPhase, HostReport, Sizes, TaskId
 
-# A host's clock may run this much slower than ours, by the platform's word.
+# A host's clock may run slower than this process's clock by up to this share, as the platform
+# documents.
 CLOCK_DRIFT = 0.02
-# Added to a lapse that is worked out from clocks: the kill itself takes a moment.
+# Added to an expiry time that is computed from clocks, since killing a task takes time.
 LAPSE_MARGIN_S = 0.3
 
 
@@ -17,9 +18,9 @@
 class HostClock:
     """One reading of a host's clock.
 
-    :param clock_s: what it showed when it answered.
-    :param sent_at: our time before the call was sent.
-    :param received_at: our time when the answer arrived.
+    :param clock_s: time on the host's clock when it answered.
+    :param sent_at: local time before the call was sent.
+    :param received_at: local time when the answer arrived.
     """
 
     clock_s: float
@@ -27,19 +28,19 @@
     received_at: float
 
     def estimate(self, now: float) -> float:
-        """Return about what it shows now; it may show a little more, by the way back."""
+        """Estimate the host's current time, which may be later by the latency of the answer."""
         return self.clock_s + now - self.received_at
 
     def lower_bound(self, now: float) -> float:
-        """Return what it shows at least, even where it runs slow."""
+        """Return the earliest possible current time on the host's clock, which may run slow."""
         return self.clock_s + (now - self.received_at) * (1 - CLOCK_DRIFT)
 
 
-# How long a look at a host waits for an end. Shorter finds a silent host sooner, longer costs fewer
-# calls.
+# How long a host may hold back its answer to a poll until a run ends. A shorter wait detects a
+# silent host sooner, a longer one costs fewer calls.
 LOOK_S = 0.7
 LONGEST_LOOK_S = 1.4
-# Beyond two looks, the time that their answers take.
+# Latency of the answers, added to the wait time of two polls.
 SILENT_MARGIN_S = 0.1
 
 RunKey = tuple[TaskId, int]
@@ -47,23 +48,26 @@
 
 @define(kw_only=True, eq=False, slots=True)
 class Host:
-    """One life of a host.
-
-    :param listed: whether the host list shows it.
-    :param adopted: whether it has answered under the present owner's fence number. Before
-        that an earlier owner's orders may still be carried out, so it gets no tasks.
-    :param held_until_s: on its own clock, the end of the task leases that were asked for.
-    :param seen_end: highest number of an end that has been worked in.
-    :param recorded_end: highest number whose ends stand in the store.
-    :param unknown_runs: runs of jobs that have ended or are unknown, with the time of the last
-        order to stop them. What they take up is not known, so until they are gone the host gets no
-        tasks; it would be given more than it holds.
-    :param closed: it gets no orders to start tasks, as the next owner may take it for idle.
-    :param blocked_until: it gets no new tasks before this time.
-    :param leaves_at: while it is draining, until when it stays at least; it is the earliest time
-        given by its entries, as each is up to a heartbeat old when it is read.
-    :param look_s: how long looks at it wait at present.
-    :param is_open: whether it takes tasks, as of the last decision.
+    """One incarnation of a host.
+
+    :param listed: whether the host list contains it.
+    :param adopted: whether it has answered under the current owner's fence. Until then it may still
+        carry out an earlier owner's orders, so it receives no tasks.
+    :param closed: whether it receives no start orders because its roster entry says so; the next
+        owner may rely on that entry and assume that the host is idle.
+    :param used: room taken by its runs, including reserved ones.
+    :param unknown_runs: runs of jobs that have ended or are unknown, each with the time of the last
+        stop order. Their size is unknown, so the host receives no tasks until they have ended; it
+        could be overcommitted otherwise.
+    :param held_until_s: time on its clock until which task leases have been requested.
+    :param seen_end: number of the last end that has been processed.
+    :param recorded_end: number of the last end whose effect has been written to the store.
+    :param last_report_at: when its last report arrived.
+    :param blocked_until: it receives no new tasks before this time.
+    :param leaves_at: earliest time at which it may leave, while it is draining. It is the minimum
+        over its entries in the host list, as each may be out of date by one heartbeat.
+    :param look_s: current wait time of a poll.
+    :param is_open: whether it accepts tasks, as of the last decision.
     """
 
     entry: HostEntry
@@ -93,10 +97,10 @@
 
     @property
     def room(self) -> Sizes:
-        """What is left of its capacity.
+        """Free room: its capacity minus what its runs use.
 
-        Kept until something changes: with a backlog it is looked at for each waiting step, which
-        took a third of all time.
+        The value is cached, since every decision reads it for each waiting step; with a backlog,
+        computing it took a third of all processor time.
         """
         capacity = self.entry.capacity
         if self._room_used is not self.used or self._room_capacity is not capacity:
@@ -107,11 +111,14 @@
 
     @property
     def silent_s(self) -> float:
-        """After how long without an answer it gets no new tasks: it may be gone, or cut off."""
+        """Time without an answer after which the host is silent.
+
+        A silent host may be down or partitioned, so it receives no new tasks.
+        """
         return 2 * self.look_s + SILENT_MARGIN_S
 
     def takes_tasks(self, now: float) -> bool:
-        """Tell whether it may get a task now."""
+        """Return whether it accepts a task now."""
         return (
             self.listed
             and self.adopted
@@ -124,12 +131,12 @@
         )
 
     def hold(self, now: float, hold_s: float) -> float | None:
-        """Return the time on its clock until which its task leases are to run.
+        """Extend its task leases; return the time on its clock until which they are to run.
 
-        ``None`` when they are not to be extended: before its clock is known, and while it is
-        silent. What is returned counts as ordered from here on, since a call without an answer
-        may have been carried out. Were a silent host's leases extended with each try, they
-        would never count as over, and the tasks of a host that has died would wait for ever.
+        Return ``None`` if they must not be extended: while its clock is unknown, and while it is
+        silent. The returned time counts as requested even if the call fails, since a call without
+        an answer may have been carried out. If each attempt extended the leases of a silent host,
+        they would never count as expired, and the tasks of a dead host would never start elsewhere.
         """
         if self.clock is None or now - self.last_report_at >= self.silent_s:
             return None
@@ -138,7 +145,7 @@
         return until
 
     def note_leaving(self, now: float) -> None:
-        """Work in how long its entry says that it stays."""
+        """Update :attr:`leaves_at` from its entry in the host list."""
         if self.entry.phase is not HostPhase.DRAINING:
             self.leaves_at = None
         elif self.entry.remaining_s is not None:
@@ -146,34 +153,34 @@
             self.leaves_at = min(leaves_at, self.leaves_at or leaves_at)
 
     def add(self, run: Run) -> None:
-        """Count a run against the room."""
+        """Add a run and take its room."""
         self.runs[(run.task.id, run.attempt)] = run
         self.used = self.used.plus(run.task.step.req.room)
 
     def remove(self, run: Run) -> None:
-        """Give the room of a run back."""
+        """Remove a run and release its room."""
         if self.runs.pop((run.task.id, run.attempt), None) is not None:
             self.used = self.used.minus(run.task.step.req.room)
 
     def note_report(
         self, report: HostReport, *, sent_at: float, now: float, lease_s: float
     ) -> None:
-        """Note that it answered.
+        """Record the time and the clock reading of a report.
 
-        :param lease_s: longest lease that the host grants.
+        :param lease_s: maximum lease that the host grants, in seconds.
         """
         self.last_report_at = now
         if self.clock is None:
-            # What it runs may have been ordered by an earlier owner, whose deadlines this one
-            # has not seen. Taken for lapsed too early, those tasks would run twice.
+            # Its runs may be orders of an earlier owner, whose lease requests are unknown here. If
+            # these leases were considered expired too early, the tasks would run twice.
             self.held_until_s = max(self.held_until_s, report.clock_s + lease_s)
         self.clock = HostClock(clock_s=report.clock_s, sent_at=sent_at, received_at=now)
 
     def leases_lapsed(self, now: float) -> bool:
-        """Tell whether nothing that was ordered here can be running any more.
+        """Return whether all task leases requested from it have certainly expired.
 
-        A host that has gone silent may be cut off and run on. Its tasks may start elsewhere
-        only once their leases have ended by its own clock, or a task would run twice.
+        A silent host may be partitioned and still run its tasks. They may start elsewhere only
+        after their leases have expired on its own clock, or a task would run twice.
         """
         if self.clock is None:
             return False
--- a/rhubarbferry/dispatch/hung.py
+++ b/rhubarbferry/dispatch/hung.py
@@ -1,4 +1,4 @@
-"""Find tasks that stand still though their host goes on reporting."""
+"""Detect runs that make no progress although their host still reports them."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 from rhubarbferry.dispatch.job import Run, RunPhase
 from rhubarbferry.dispatch.messages import FULL_PERCENT
 
-# A task whose progress has not moved for this long hangs, unless it is so long that so many percent
-# of it take more time: progress is reported in whole percent, and estimates may be far too low.
+# A run hangs if its progress has not changed for the first of these times, or for the time that the
+# second, a percentage of its work, takes if that is longer. Progress is reported in whole percent,
+# and estimates may be far too low.
 HUNG_S = 2.5
 HUNG_PERCENT = 4.0
 
@@ -15,7 +16,7 @@
 def hung_runs(host: Host, now: float) -> list[Run]:
     """Return the runs of a host that make no progress.
 
-    A hung task never ends by itself: its job would stand still for ever and its room be lost.
+    A hung run never ends by itself: its job would never complete and its room would be lost.
     """
     return [run for run in host.runs.values() if _is_hung(run, now)]
 
@@ -26,13 +27,13 @@
     if run.task.step.req.lasting or now - run.progress_at < _patience_s(run):
         return False
     if run.task.step.req.filling and run.pace != FULL_PERCENT:
-        # Its pace was reduced on purpose.
+        # A filling task makes little or no progress while its pace is reduced.
         return False
     return not _waits_for_gang(run, now)
 
 
 def _patience_s(run: Run) -> float:
-    """Return how long the progress of a run may stand still."""
+    """Return how long the progress of a run may stay unchanged."""
     length_s = run.task.step.req.estimate_s
     if run.percent > 0:
         length_s = max(length_s, (run.progress_at - run.ordered_at) * 100 / run.percent)
@@ -40,7 +41,8 @@
 
 
 def _waits_for_gang(run: Run, now: float) -> bool:
-    """Tell whether a gang's run may stand still since other members are not there yet."""
+    """Return whether a run may make no progress because other members of its gang have not started.
+    """
     step = run.task.step
     if not step.req.gang:
         return False
--- a/rhubarbferry/dispatch/job.py
+++ b/rhubarbferry/dispatch/job.py
@@ -1,4 +1,4 @@
-"""The state of a job while it is being worked on."""
+"""State of jobs, their steps, tasks and runs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 )
 from rhubarbferry.dispatch.objective import Standing, Urgency, standing, tails
 
-# From this progress on, what is left of a run is worked out from it; before, from its estimate.
+# From this progress on, the remaining time of a run is extrapolated from its progress; below it,
+# the estimate of the client is used.
 TELLING_PERCENT = 10.0
 
 
@@ -33,16 +34,18 @@
 
     @property
     def final(self) -> bool:
-        """Whether the job will not change any more."""
+        """Whether the job has ended."""
         return self in (JobPhase.COMPLETE, JobPhase.FAILED, JobPhase.CANCELLED)
 
 
 class RunPhase(StrEnum):
-    """How far one run of a task is.
+    """State of one run of a task.
 
-    RESERVED holds room while a ticket is fetched. UNCLEAR is a run whose start was not
-    answered: it may run, or may yet start, so it keeps its room until the host's own word
-    settles it.
+    * RESERVED: room is reserved while a ticket is requested.
+    * ORDERED: the start order has been sent.
+    * RUNNING: the host has confirmed the run.
+    * UNCLEAR: the start order was not answered. The run may exist or may still begin, so it keeps
+      its room until a report of the host shows whether it does.
     """
 
     RESERVED = "reserved"
@@ -53,17 +56,18 @@
 
 @define(kw_only=True, eq=False, slots=True)
 class Run:
-    """One attempt of a task on one host.
-
-    :param deadline_s: on the host's clock; an order that is carried out later is refused.
-    :param percent: progress as last reported.
-    :param progress_at: when ``percent`` last rose.
-    :param tail_s: tail latency of its users as last reported, of a task that serves.
-    :param pace: the share of its speed in percent that its host has confirmed; ``None`` for a run
-        that was found, as an earlier owner may have changed it.
-    :param pace_sent_at: when its pace was last ordered.
-    :param order: the start as last sent; ``None`` for a run that was found.
-    :param unanswered: whether a copy of the start was sent and not answered.
+    """One attempt to run a task on one host.
+
+    :param deadline_s: time on the host's clock: for an order, after which the host refuses it; for
+        a running task, at which it was last known to run.
+    :param percent: last reported progress.
+    :param progress_at: when ``percent`` last changed.
+    :param tail_s: last reported tail latency of the task's users, for a serving task.
+    :param pace: processor share in percent that the host has confirmed; ``None`` for an adopted
+        run, whose pace an earlier owner may have changed.
+    :param pace_sent_at: when the last pace order was sent.
+    :param order: last start order that was sent; ``None`` for an adopted run.
+    :param unanswered: whether any copy of the start order was sent and not answered.
     """
 
     task: Task
@@ -83,11 +87,11 @@
     unanswered: bool = False
 
     def left_s(self, now: float) -> float:
-        """Return about how long it will still take; it gets nowhere as long as it is stopping."""
+        """Return the estimated remaining time; 0 for a run that is being stopped."""
         if self.stopping:
             return 0.0
         if self.task.step.req.lasting:
-            # It reports all of its work as done once it is up, and goes on until it is cancelled.
+            # A lasting task reports 100 percent once it is up, and runs until its job is cancelled.
             return math.inf
         spent_s = now - self.ordered_at
         if self.percent >= TELLING_PERCENT:
@@ -97,12 +101,13 @@
 
 @define(kw_only=True, eq=False, slots=True)
 class Task:
-    """One task: what is recorded of it, and its run if it has one.
+    """One task, its recorded progress, and its current run if there is one.
 
-    :param attempt: highest number that a run of it has used.
-    :param failed_attempts: attempts that ended through a failure. A host lists an end until it
-        may forget it, so a new owner may see one that its predecessor has counted.
-    :param checkpoint: where the next run resumes, empty for the start.
+    :param attempt: highest attempt number used so far.
+    :param failed_attempts: attempts that ended in a failure. It is a set, since a host lists an end
+        until it is told to forget it, so a new owner may see an end that its predecessor has
+        already counted.
+    :param checkpoint: where the next run resumes; empty to start from the beginning.
     """
 
     id: TaskId
@@ -114,30 +119,31 @@
     run: Run | None = None
 
     def next_attempt(self) -> int:
-        """Return the number of its next run, above all that any owner has used."""
+        """Return the next attempt number, higher than any that an owner has used."""
         return max(self.attempt + 1, self.step.job.first_attempt)
 
     def has_failed(self, attempt: int) -> bool:
-        """Count a failed run; return whether its job has failed by it."""
+        """Record a failed attempt; return whether the job fails because of it."""
         if self.step.req.lasting:
             return False
-        # Members of a gang's attempt may fail together; the gang has failed once.
+        # Several members of a gang may fail in one attempt, which counts as one failure of the
+        # gang.
         failed = self.step.failed_attempts if self.step.req.gang else self.failed_attempts
         failed.add(attempt)
         return len(failed) >= self.step.job.queue.attempts
 
     @property
     def waits(self) -> bool:
-        """Whether it has neither ended nor a run."""
+        """Whether it is not done and has no run."""
         return not self.done and self.run is None
 
 
 @define(kw_only=True, eq=False, slots=True)
 class Step:
-    """One step of one occurrence.
+    """One step of one occurrence of a job.
 
-    :param failed_attempts: of the whole gang, where the step is one.
-    :param ready_at: when the steps before it were done, ``None`` before that.
+    :param failed_attempts: failed attempts of the gang as a whole; unused for other steps.
+    :param ready_at: when all preceding steps were done; ``None`` until then.
     """
 
     job: Job = field(repr=False)
@@ -152,35 +158,36 @@
 
     @property
     def done(self) -> bool:
-        """Whether all its tasks have ended well."""
+        """Whether all its tasks are done."""
         return self.done_count == len(self.tasks)
 
     def next_attempt(self) -> int:
-        """Return the number of the next run of a gang, which its members share."""
+        """Return the next attempt number of a gang, which all its members share."""
         return max(task.next_attempt() for task in self.tasks)
 
     def gang_checkpoint(self) -> str | None:
-        """Return the point that all members of a gang resume from; ``None`` for no gang."""
+        """Return the checkpoint that all members of a gang resume from; ``None`` if it is no gang.
+        """
         if not self.req.gang:
             return None
         return max((task.checkpoint for task in self.tasks), default="")
 
     def incomplete_attempts(self) -> set[int]:
-        """Return the attempts of a gang of which some members have no run."""
+        """Return the attempts of a gang in which only some members have a run."""
         attempts = {task.run.attempt for task in self.tasks if task.run is not None}
         whole = len(attempts) == 1 and not self.waiting()
         return attempts if self.req.gang and not whole else set()
 
     def waiting(self) -> list[Task]:
-        """Return the tasks that have neither ended nor a run."""
+        """Return the tasks that are not done and have no run."""
         return [task for task in self.tasks if task.waits]
 
 
 @define(kw_only=True, eq=False, slots=True)
 class Occurrence:
-    """One time that the steps of a job run.
+    """One execution of all steps of a job.
 
-    :param due_at: when it came in, or its time came.
+    :param due_at: when the job was accepted or, for a repeated job, when this occurrence was due.
     """
 
     number: int
@@ -197,10 +204,9 @@
 class Job:
     """A job that has not ended.
 
-    :param record_revision: the store's revision of its state record, to write it under a
-        condition.
-    :param inherited: accepted before the present owner took over, so an earlier owner may
-        have started any of its tasks.
+    :param record_revision: revision of its state in the store, for a conditional write.
+    :param inherited: whether it was accepted before the current owner took over, so that an earlier
+        owner may have started any of its tasks.
     :param first_attempt: lowest attempt number that no earlier owner can have used.
     """
 
@@ -221,11 +227,12 @@
 
     @property
     def objective_s(self) -> float:
-        """By when it is to be done, from its arrival or from the time that it is due."""
+        """Time within which it should be done, counted from its arrival or from the time it is due.
+        """
         return self.queue.slack_factor * max(self.tails, default=0.0) + self.queue.objective_s
 
     def standing(self, step: Step, now: float) -> Standing:
-        """Return what one of its steps can still gain by a start."""
+        """Return the urgency of one of its steps."""
         if step.req.lasting:
             return Standing(urgency=Urgency.IN_TIME, until=math.inf)
         return standing(
@@ -241,7 +248,7 @@
         return self.req.id
 
     def add_occurrence(self, number: int, now: float) -> Occurrence:
-        """Make the tasks of one occurrence."""
+        """Create the steps and tasks of one occurrence."""
         steps = [
             make_step(self, StepId(job=self.id, occurrence=number, step=index), req)
             for index, req in enumerate(self.req.steps)
@@ -252,7 +259,7 @@
         return occurrence
 
     def make_due(self, now: float, wall_s: float) -> None:
-        """Make the occurrences of a repeated job whose time of day has come."""
+        """Create the occurrences of a repeated job that are due."""
         while self.next_occurrence < self.req.times:
             number = self.next_occurrence
             if wall_s < self.req.start_at_s + number * self.req.interval_s:
@@ -262,7 +269,7 @@
                 self.add_occurrence(number, now)
 
     def open_steps(self, now: float) -> list[Step]:
-        """Return the steps that have just become ready: all steps before them are done."""
+        """Mark the steps whose preceding steps are all done as ready, and return the new ones."""
         opened = []
         for occurrence in self.occurrences.values():
             for step in occurrence.steps:
@@ -273,13 +280,13 @@
 
     @property
     def all_done(self) -> bool:
-        """Whether no task is left, now or later."""
+        """Whether all occurrences exist and all their tasks are done."""
         if self.next_occurrence < self.req.times or not self.occurrences:
             return False
         return all(occurrence.done for occurrence in self.occurrences.values())
 
     def task(self, id: TaskId) -> Task | None:
-        """Return one of its tasks, or ``None`` if there is none of that name."""
+        """Return one of its tasks, or ``None`` if it does not exist."""
         occurrence = self.occurrences.get(id.occurrence)
         if occurrence is None or id.step >= len(occurrence.steps):
             return None
@@ -287,23 +294,23 @@
         return tasks[id.index] if id.index < len(tasks) else None
 
     def step(self, id: StepId) -> Step | None:
-        """Return one of its steps, or ``None`` if there is none of that name."""
+        """Return one of its steps, or ``None`` if it does not exist."""
         occurrence = self.occurrences.get(id.occurrence)
         if occurrence is None or id.step >= len(occurrence.steps):
             return None
         return occurrence.steps[id.step]
 
     def steps(self) -> list[Step]:
-        """Return the steps of all occurrences that have been made."""
+        """Return the steps of all occurrences created so far."""
         return [step for occurrence in self.occurrences.values() for step in occurrence.steps]
 
     def runs(self) -> list[Run]:
-        """Return all runs of its tasks."""
+        """Return the current runs of its tasks."""
         return [task.run for step in self.steps() for task in step.tasks if task.run is not None]
 
 
 def make_step(job: Job, id: StepId, req: StepRequest) -> Step:
-    """Return a step with its tasks."""
+    """Create a step with its tasks."""
     step = Step(job=job, id=id, req=req)
     step.tasks = [
         Task(
--- a/rhubarbferry/dispatch/messages.py
+++ b/rhubarbferry/dispatch/messages.py
@@ -1,4 +1,4 @@
-"""Inputs and outputs of the dispatcher: jobs, hosts, reports and orders.
+"""Input and output types of the dispatcher: jobs, hosts, reports and orders.
 
 All times are seconds on the monotonic clock of this process, unless a field says otherwise.
 """
@@ -12,11 +12,11 @@
 
 @frozen(kw_only=True, slots=True)
 class Sizes:
-    """Room that a task needs or a host has.
+    """Resources that a task needs or a host provides.
 
     :param millicores: processor, in thousandths of a core.
     :param memory_mb: memory in megabytes.
-    :param accelerators: whole accelerators.
+    :param accelerators: number of accelerators.
     """
 
     millicores: int = 0
@@ -24,7 +24,7 @@
     accelerators: int = 0
 
     def fits(self, room: Sizes) -> bool:
-        """Tell whether ``room`` holds this much."""
+        """Return whether ``room`` is large enough in every resource."""
         return (
             self.millicores <= room.millicores
             and self.memory_mb <= room.memory_mb
@@ -40,7 +40,7 @@
         )
 
     def times(self, number: int) -> Sizes:
-        """Return what ``number`` tasks of this size need."""
+        """Return the total for ``number`` tasks of this size."""
         return Sizes(
             millicores=self.millicores * number,
             memory_mb=self.memory_mb * number,
@@ -48,7 +48,7 @@
         )
 
     def minus(self, other: Sizes) -> Sizes:
-        """Return the difference; a part may be negative."""
+        """Return the difference, whose fields may be negative."""
         return Sizes(
             millicores=self.millicores - other.millicores,
             memory_mb=self.memory_mb - other.memory_mb,
@@ -58,25 +58,25 @@
 
 @frozen(kw_only=True, slots=True)
 class StepRequest:
-    """One step of a job: a number of tasks that are alike.
+    """One step of a job: a number of identical tasks.
 
     :param count: number of tasks.
-    :param sizes: what one task needs.
+    :param sizes: resources that one task needs.
     :param estimate_s: rough duration of one task.
-    :param after: indexes of earlier steps that must be done first.
-    :param gang: the tasks work only all together.
-    :param one_rack: the tasks run slower when spread over racks.
-    :param checkpointable: the tasks can resume from a saved point.
+    :param after: indexes of the preceding steps, which must be done first.
+    :param gang: the tasks can only run all at the same time.
+    :param one_rack: the tasks run slower when spread over several racks.
+    :param checkpointable: the tasks can resume from a checkpoint.
     :param required_label: label that a host must have; empty for none.
-    :param near_rack: rack that holds the data; empty for none.
-    :param max_per_host: most tasks of the step on one host, 0 for no bound.
+    :param near_rack: rack that stores the data; empty for none.
+    :param max_per_host: maximum number of tasks of the step on one host; 0 for no limit.
     :param copies_allowed: two copies of one task may run at the same time.
-    :param lasting: the tasks run until the job is cancelled.
-    :param image: what the tasks run.
-    :param goal_s: bound on the tail latency that a lasting task's own users see, 0 for none.
-    :param filling: the tasks take processor that others leave unused, none of their own.
-    :param may_miss: tasks that may be away at once through orders of this system, ``None``
-        where the job sets no bound.
+    :param lasting: the tasks are services that run until the job is cancelled.
+    :param image: image that the tasks run.
+    :param goal_s: maximum tail latency for the users of a serving task; 0 if it serves no users.
+    :param filling: the tasks reserve no processor and use what other tasks leave idle.
+    :param may_miss: maximum number of tasks that this system may stop at the same time; ``None``
+        for no limit.
     """
 
     count: int
@@ -98,7 +98,7 @@
 
     @property
     def room(self) -> Sizes:
-        """What one task takes from the capacity of its host."""
+        """Resources that one task takes from the capacity of its host."""
         if not self.filling:
             return self.sizes
         return Sizes(memory_mb=self.sizes.memory_mb, accelerators=self.sizes.accelerators)
@@ -106,15 +106,15 @@
 
 @frozen(kw_only=True, slots=True)
 class JobRequest:
-    """A job as a client submitted it.
+    """A job as submitted by a client.
 
-    :param id: chosen by the client, unique.
+    :param id: unique id chosen by the client.
     :param queue: name of the queue.
-    :param payload: handed to each task as it is.
-    :param steps: in order; a step names earlier ones only.
-    :param times: how often the steps run; 0 for a job that runs once, at once.
-    :param start_at_s: time of day (Unix) of the first run, for ``times`` above 0.
-    :param interval_s: between two runs.
+    :param payload: passed unchanged to each task.
+    :param steps: steps in an order in which each one comes after those it depends on.
+    :param times: number of occurrences of a repeated job; 0 for a job that runs once, at once.
+    :param start_at_s: Unix time of the first occurrence of a repeated job.
+    :param interval_s: interval between two occurrences.
     """
 
     id: str
@@ -128,11 +128,11 @@
 
 @frozen(kw_only=True, slots=True)
 class AdviceCost:
-    """What one question for approval costs.
+    """Cost model of an approval request.
 
-    :param decision_s: fixed part of the answer time.
-    :param per_host_s: added for each host that is asked about.
-    :param valid_s: how long a ticket may be used.
+    :param decision_s: fixed part of the response time.
+    :param per_host_s: time added for each host in the request.
+    :param valid_s: how long a ticket is valid.
     """
 
     decision_s: float
@@ -140,21 +140,21 @@
     valid_s: float
 
     def duration_s(self, hosts: int) -> float:
-        """Return the expected time of a question about ``hosts`` hosts."""
+        """Return the expected response time for a request that names ``hosts`` hosts."""
         return self.decision_s + self.per_host_s * hosts
 
 
 @frozen(kw_only=True, slots=True)
 class Queue:
-    """A queue as the configuration has it.
+    """Settings of a queue.
 
     :param name: unique name.
     :param service: pool of hosts that runs its tasks.
-    :param priority: 0 goes first.
-    :param attempts: runs of a task that may fail before its job has failed.
-    :param slack_factor: the objective of a job in multiples of its longest chain of work.
-    :param objective_s: added to the objective.
-    :param advice: set when starts need an approval.
+    :param priority: lower values are scheduled first.
+    :param attempts: number of failed runs of one task after which its job fails.
+    :param slack_factor: objective of a job as a multiple of its longest chain of steps.
+    :param objective_s: time added to the objective.
+    :param advice: cost of an approval request; ``None`` if starts need no approval.
     """
 
     name: str
@@ -168,7 +168,7 @@
 
 @frozen(kw_only=True, slots=True)
 class TaskId:
-    """One task of one occurrence of a job."""
+    """Identifies one task of one occurrence of a job."""
 
     job: str
     occurrence: int
@@ -178,7 +178,7 @@
 
 @frozen(kw_only=True, slots=True)
 class StepId:
-    """One step of one occurrence of a job."""
+    """Identifies one step of one occurrence of a job."""
 
     job: str
     occurrence: int
@@ -186,7 +186,7 @@
 
 
 class HostPhase(StrEnum):
-    """Whether a host takes new tasks."""
+    """Whether a host accepts new tasks."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -194,17 +194,18 @@
 
 @frozen(kw_only=True, slots=True)
 class HostEntry:
-    """A host as the host list shows it.
+    """An entry of the host list.
 
-    :param id: names one registration; a crashed host may come back under the same id.
-    :param incarnation: Unix milliseconds of its start, so that two lives under one id differ.
-    :param service: the pool it belongs to.
+    :param id: id of the host, which a crashed host may register again.
+    :param incarnation: Unix time of its start in milliseconds, which tells apart two registrations
+        under one id.
+    :param service: pool that it belongs to.
     :param address: ``ip:port`` of its task interface.
     :param failure_domain: its failure domain.
-    :param phase: whether it takes new tasks.
-    :param capacity: what it holds.
-    :param labels: its kind and its rack, among others.
-    :param remaining_s: while draining, the time it stays at least.
+    :param phase: whether it accepts new tasks.
+    :param capacity: resources that it provides.
+    :param labels: its kind, its rack and other labels.
+    :param remaining_s: minimum time until it leaves, while it is draining.
     """
 
     id: str
@@ -231,11 +232,11 @@
 
 @frozen(kw_only=True, slots=True)
 class RunningTask:
-    """A run that a host lists as running.
+    """An active run in a host's report.
 
-    :param checkpoint: last saved point, empty for none.
-    :param percent: how much of its work is done, 0 to 100.
-    :param tail_s: of a task that serves users, their tail latency over the last half second.
+    :param checkpoint: last checkpoint; empty for none.
+    :param percent: progress, 0 to 100.
+    :param tail_s: tail latency over the last half second, for a task that serves users.
     """
 
     task: TaskId
@@ -247,9 +248,9 @@
 
 @frozen(kw_only=True, slots=True)
 class EndedTask:
-    """A run that a host lists as ended.
+    """An ended run in a host's report.
 
-    :param number: counts the ends of one life of the host, from 1.
+    :param number: sequence number of the end within one incarnation of the host, from 1.
     """
 
     number: int
@@ -261,10 +262,10 @@
 
 @frozen(kw_only=True, slots=True)
 class HostReport:
-    """What a host says it runs.
+    """Runs that a host reports.
 
-    :param clock_s: the host's own clock when it answered.
-    :param incarnation: which life of the host answered.
+    :param clock_s: time on the host's clock when it answered.
+    :param incarnation: incarnation of the host that answered.
     """
 
     clock_s: float
@@ -274,7 +275,7 @@
 
 
 class Refusal(StrEnum):
-    """Why a host did not start a task; in each case it will not start it later either."""
+    """Why a host refused a start order; a refused order will not be carried out later either."""
 
     STALE_FENCE = "stale fence"
     OLD_ATTEMPT = "old attempt"
@@ -291,7 +292,7 @@
 class Started:
     """The host runs the task.
 
-    :param clock_s: the host's own clock when it answered.
+    :param clock_s: time on the host's clock when it answered.
     """
 
     clock_s: float
@@ -299,14 +300,14 @@
 
 @frozen(kw_only=True, slots=True)
 class Refused:
-    """The host does not and will not run the task under this order."""
+    """The host does not run the task, and will not run it under this order."""
 
     reason: Refusal
 
 
 @frozen(kw_only=True, slots=True)
 class Unanswered:
-    """Nobody knows whether the order was carried out, or will be."""
+    """The order got no answer. It may have been carried out, or may be carried out later."""
 
     detail: str = ""
 
@@ -318,10 +319,12 @@
 class StartOrder:
     """Start one attempt of a task on a host.
 
-    :param incarnation: the life of the host that is meant.
-    :param deadline_s: on the host's clock; the host refuses an order that arrives later.
+    :param incarnation: incarnation of the host that is to run it.
+    :param deadline_s: time on the host's clock after which the host refuses the order.
     :param timeout_s: how long to wait for the answer.
-    :param retries: how often this order has been sent before.
+    :param checkpoint: where the task resumes; empty to start from the beginning.
+    :param ticket: proof of approval; empty if none is needed.
+    :param retries: how many times the order has been sent before.
     """
 
     host: str
@@ -340,7 +343,7 @@
 class StopOrder:
     """Stop one attempt of a task on a host.
 
-    :param reason: for the log.
+    :param reason: explanation for the log.
     """
 
     host: str
@@ -349,15 +352,15 @@
     reason: str
 
 
-# The pace at which each task begins.
+# Initial pace of every task: the full processor share.
 FULL_PERCENT = 100
 
 
 @frozen(kw_only=True, slots=True)
 class PaceOrder:
-    """Let one attempt of a task work at a share of its speed; its memory stays taken.
+    """Limit the processor share of one attempt of a task. Its memory stays allocated.
 
-    :param percent: 0 to 100; a task begins at 100.
+    :param percent: share of its full speed, 0 to 100.
     """
 
     host: str
@@ -368,9 +371,10 @@
 
 @frozen(kw_only=True, slots=True)
 class AdviceOrder:
-    """Ask which of ``hosts`` may run a step.
+    """Request the approval of hosts to run a step.
 
-    :param cost: of the question, to choose who asks.
+    :param hosts: ids of the hosts to decide on.
+    :param cost: cost model of the request, used to select the process that sends it.
     """
 
     step: StepId
@@ -388,10 +392,11 @@
 
 @frozen(kw_only=True, slots=True)
 class Advice:
-    """The answer to a question for approval.
+    """Response to an approval request.
 
-    :param asked: the hosts that were asked about; those without an approval may not run it.
-    :param valid_s: validity of the tickets.
+    :param asked: ids of the hosts named in the request; those without an approval are denied.
+    :param answered_at: when the response arrived.
+    :param valid_s: how long the tickets are valid.
     """
 
     step: StepId
--- a/rhubarbferry/dispatch/objective.py
+++ b/rhubarbferry/dispatch/objective.py
@@ -1,4 +1,4 @@
-"""How much a waiting step can still gain for its client by being started now."""
+"""Urgency of a step, from the objective of its job and the work that remains."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 
 from rhubarbferry.dispatch.messages import StepRequest
 
-# A job that ends within this many times its objective is late; after that nobody waits for it.
+# A job that ends within this multiple of its objective is late; after that its result has no value
+# to the client.
 LATE_FACTOR = 3.0
 
 
 class Urgency(IntEnum):
-    """In which order steps are started, before priority and arrival.
+    """Class in which a step is scheduled, before its priority and arrival time.
 
-    After an outage or in a burst more waits than can be done in time. In order of arrival every
-    job would then wait until it is late; those that still can be done in time go first, so that
-    fewer are late and the last of the backlog is what gains least.
+    After an outage or in a burst, more steps wait than can be done in time. If they were scheduled
+    in the order of their arrival, every job would wait until it is late. So steps that can still be
+    done in time are scheduled first, then late ones, and those that have missed their objective for
+    good last.
     """
 
     IN_TIME = 0
@@ -28,16 +30,17 @@
 
 @frozen(kw_only=True, slots=True)
 class Standing:
-    """A step's urgency, and until when it holds (``inf`` for good)."""
+    """Urgency of a step and the time until which it applies (``inf`` for good)."""
 
     urgency: Urgency
     until: float
 
 
 def tails(steps: Sequence[StepRequest]) -> tuple[float, ...]:
-    """Return for each step the longest chain of estimates from its start to the job's end."""
+    """Return for each step the longest chain of estimates from its start to the end of the job."""
     found = [step.estimate_s for step in steps]
-    # A step names earlier ones only, so those after it have been worked in by its turn.
+    # Steps depend on earlier ones only, so in reverse order each step is processed after all steps
+    # that depend on it.
     for index in range(len(steps) - 1, -1, -1):
         for before in steps[index].after:
             found[before] = max(found[before], steps[before].estimate_s + found[index])
@@ -45,10 +48,10 @@
 
 
 def standing(*, due_at: float, objective_s: float, tail_s: float, now: float) -> Standing:
-    """Return what a step can still gain.
+    """Return the urgency of a step.
 
-    :param due_at: when its job came in, or its time came.
-    :param objective_s: by when the job is to be done after that.
+    :param due_at: when its job was accepted or its occurrence was due.
+    :param objective_s: time after ``due_at`` within which the job should be done.
     :param tail_s: expected time from the step's start to the end of its job.
     """
     in_time_until = due_at + objective_s - tail_s
--- a/rhubarbferry/dispatch/pacing.py
+++ b/rhubarbferry/dispatch/pacing.py
@@ -1,4 +1,8 @@
-"""Let tasks that fill a host work less while tasks that serve users there are too slow."""
+"""Slow down filling tasks on hosts where the users of serving tasks see too high a tail latency.
+
+A filling task reserves no processor and uses what other tasks leave idle. A serving task has users
+and a goal for the tail latency that they see.
+"""
 
 from __future__ import annotations
 
@@ -12,37 +16,40 @@
 from rhubarbferry.dispatch.job import Run, RunPhase
 from rhubarbferry.dispatch.messages import FULL_PERCENT, PaceOrder
 
-# Below this there is nothing to be had from filling, and the host is left to those that serve.
+# Below this pace filling tasks do no useful work, so they are paused.
 LEAST_PERCENT = 5
-# Filling is slowed from this share of a tail's goal on, since the tail is a rough figure of the
-# last half second and a change of pace takes a tenth of a second more.
+# Filling tasks are slowed down above this ratio of tail latency to goal. It is below 1 because the
+# reported latency covers only the last half second, which makes it inaccurate, and a change of pace
+# takes another tenth of a second to apply.
 SLOW_AT = 0.9
-# A tail above this multiple of its goal stops the filling at once: halved step by step it would
-# take three looks at the host.
+# Filling tasks are paused at once above this ratio; halving their pace repeatedly would take three
+# polls of the host.
 STOP_AT = 1.5
-# Below this share of the goal the filling may do more again.
+# Filling tasks are sped up below this ratio.
 FASTER_AT = 0.7
 HALVE = 0.5
-# So many percent more at a time; back at full pace after ten changes.
+# Increment of the pace; ten increments restore the full pace.
 RAISE_PERCENT = 10
-# After a change, before the next: until the figures of the host show it.
+# Minimum interval between two changes of pace, so that the host's reports show the effect of the
+# first.
 SETTLE_S = 0.6
-# After it was slowed, before it may do more: users pay for each try that comes too soon.
+# Minimum time between a reduction of the pace and the next increase, since the users of the serving
+# tasks see the latency of every increase that comes too early.
 CALM_S = 3.0
-# An order without an answer is sent again after this time.
+# A pace order without an answer is sent again after this interval.
 AGAIN_S = 0.5
 
 
 @define(kw_only=True, eq=False, slots=True)
 class HostPace:
-    """At which share of their speed the filling tasks of one host are to work.
+    """Pace of all filling tasks on one host.
 
-    Filling tasks take what processor others leave, but share more with them than that. The tail
-    latency of a serving task then grows past its goal, and its users notice. It is halved while
-    a tail is near its goal and raised slowly while all are well below, so that it finds what the
-    host bears and follows when the load of those that serve changes.
+    Filling tasks also share resources other than the processor with serving tasks, whose tail
+    latency may exceed its goal for that reason. The pace is halved while a tail latency is near its
+    goal, and raised in small increments while all are well below. It so converges to what the host
+    can sustain, and follows changes in the load of the serving tasks.
 
-    :ivar percent: of full speed, for each filling task.
+    :ivar percent: share of full speed for each filling task, 0 to 100.
     """
 
     percent: int = FULL_PERCENT
@@ -50,13 +57,13 @@
     _lowered_at: float = -math.inf
 
     def note_report(self, host: Host, now: float) -> list[PaceOrder]:
-        """Return the orders that follow from a report of the host."""
+        """Return the pace orders that follow from a report of the host."""
         filling = [run for run in host.runs.values() if _fills(run)]
         tail = _worst_tail(host.runs.values())
         if tail is not None and now - self._changed_at >= SETTLE_S:
             self._change(self._wanted(tail), now)
         elif tail is None:
-            # Nobody serves here, so that nobody is disturbed.
+            # No task on this host serves users.
             self.percent = FULL_PERCENT
         return [order for run in filling if (order := self._order(run, now)) is not None]
 
@@ -87,26 +94,26 @@
 
 @define(kw_only=True, eq=False)
 class Pacing:
-    """The pace of filling tasks on all hosts."""
+    """Pace of the filling tasks on all hosts."""
 
-    # Gone with the hosts that the tracker forgets.
+    # Entries disappear when the tracker removes their hosts.
     _hosts: WeakKeyDictionary[Host, HostPace] = Factory(WeakKeyDictionary)
     _orders: list[PaceOrder] = Factory(list)
 
     def note_report(self, host: Host, now: float) -> None:
-        """Work in what a host has just reported."""
+        """Update the pace of a host from its latest report."""
         pace = self._hosts.get(host)
         if pace is None:
             pace = self._hosts[host] = HostPace()
         self._orders += pace.note_report(host, now)
 
     def may_fill(self, host: Host) -> bool:
-        """Tell whether a host can do with another filling task."""
+        """Return whether a host can run another filling task."""
         pace = self._hosts.get(host)
         return pace is None or pace.percent == FULL_PERCENT
 
     def take_orders(self) -> list[PaceOrder]:
-        """Return the orders since the last call."""
+        """Return the pace orders added since the last call."""
         orders, self._orders = self._orders, []
         return orders
 
@@ -116,6 +123,6 @@
 
 
 def _worst_tail(runs: Iterable[Run]) -> float | None:
-    """Return the tail that is nearest to its goal, or furthest above it, as a share of the goal."""
+    """Return the highest ratio of tail latency to its goal; ``None`` if no task serves users."""
     serving = [run for run in runs if run.task.step.req.goal_s and run.phase is RunPhase.RUNNING]
     return max((run.tail_s / run.task.step.req.goal_s for run in serving), default=None)
--- a/rhubarbferry/dispatch/placement.py
+++ b/rhubarbferry/dispatch/placement.py
@@ -14,19 +14,19 @@
 
 @frozen(kw_only=True, slots=True)
 class Placed:
-    """A task and the host it goes to."""
+    """A task and the host chosen for it."""
 
     task: Task
     host: Host
 
 
 def could_run(step: Step, host: Host) -> bool:
-    """Tell whether a host of the right pool could ever hold a task of the step."""
+    """Return whether an empty host of this kind could run a task of the step."""
     return bool(eligible_hosts(step, (host,)))
 
 
 def eligible_hosts(step: Step, hosts: Iterable[Host]) -> list[Host]:
-    """Return the hosts of the right pool that could ever hold a task of the step."""
+    """Return the hosts of the step's pool that could run one of its tasks if they were empty."""
     need = step.req.room
     label = step.req.required_label
     service = step.job.queue.service
@@ -40,7 +40,7 @@
 
 
 def slots_on(step: Step, host: Host, room: Sizes) -> int:
-    """Return how many more tasks of the step a host can take within ``room``."""
+    """Return how many more tasks of the step a host can run within ``room``."""
     need = step.req.room
     slots = sys.maxsize
     if need.millicores:
@@ -55,19 +55,19 @@
 
 
 def tasks_on(step: Step, host: Host) -> int:
-    """Return how many tasks of the step a host has."""
+    """Return the number of tasks of the step that have a run on a host."""
     return sum(1 for task in step.tasks if task.run is not None and task.run.host == host.id)
 
 
 def place(
     step: Step, hosts: Iterable[Host], now: float, kept: Mapping[str, Sizes] | None = None
 ) -> list[Placed]:
-    """Return hosts for as many waiting tasks as there is room for.
+    """Choose hosts for as many waiting tasks of a step as possible.
 
-    A gang gets hosts for all its tasks or none.
+    A gang gets hosts for all its tasks or for none.
 
-    :param hosts: those that may run the step. Only those that take tasks now are used.
-    :param kept: room of hosts that is kept for others.
+    :param hosts: hosts that may run the step. Those that don't accept tasks now are skipped.
+    :param kept: room on each host that is held for other steps.
     """
     need = step.req.room
     with_room = [host for host in hosts if need.fits(host.room)]
@@ -90,13 +90,14 @@
 
 
 def is_far(step: Step, host: Host) -> bool:
-    """Tell whether a host is away from the rack that has the data of a step."""
+    """Return whether a host is outside the rack that stores the data of a step."""
     return bool(step.req.near_rack) and step.req.near_rack not in host.entry.labels
 
 
 def _rank(step: Step, host: Host) -> tuple[bool, int, str]:
     left = host.room.millicores - step.req.room.millicores
-    # A task far from its data takes several times as long, which no packing makes up for.
+    # A task outside the rack of its data takes several times as long, which outweighs better
+    # packing.
     return is_far(step, host), left, host.id
 
 
@@ -116,7 +117,7 @@
     step: Step, waiting: list[Task], open_hosts: list[tuple[Host, int]]
 ) -> list[Placed]:
     if len(waiting) < len(step.tasks):
-        # Some member still has a run; the members of a gang begin together or not at all.
+        # Some member still has a run, and all members of a gang must start together.
         return []
     if step.req.one_rack:
         for rack in _racks(open_hosts):
@@ -124,7 +125,7 @@
                 return _fill(waiting, rack)
     if sum(slots for _, slots in open_hosts) < len(waiting):
         return []
-    # Hosts with much room first: fewer hosts, so fewer failures that break the whole gang.
+    # Prefer hosts with more room: with fewer hosts, fewer host failures break the whole gang.
     open_hosts.sort(key=lambda pair: (-pair[1], pair[0].id))
     return _fill(waiting, open_hosts)
 
--- a/rhubarbferry/dispatch/question_size.py
+++ b/rhubarbferry/dispatch/question_size.py
@@ -1,4 +1,4 @@
-"""How many hosts a question for approval names."""
+"""Decide how many hosts an approval request names."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from rhubarbferry.dispatch.job import Step
 from rhubarbferry.dispatch.placement import is_far, slots_on
 
-# What is assumed of a queue until answers have shown otherwise: this share of so many hosts.
+# Initial estimate of the approved share of a queue, weighted like this many decisions.
 PRIOR_SHARE = 0.25
 PRIOR_HOSTS = 40.0
-# Older answers count less: beyond so many hosts all counts are halved.
+# Above this total, both counts are halved, so that older decisions lose weight.
 MOST_HOSTS = 2000.0
-# The approved hosts are to hold a step even where they have fewer slots than expected, by this many
-# standard deviations.
+# The number of hosts in a request is chosen so that the approved ones have enough slots even if
+# they have this many standard deviations fewer than expected.
 MARGIN_DEVIATIONS = 3.0
 
 
 @define(kw_only=True, slots=True)
 class ApprovedShare:
-    """Which share of the hosts the policy lets run the steps of a queue, as observed."""
+    """Estimate of the share of hosts that the policy approves for the steps of a queue."""
 
     _asked: float = PRIOR_HOSTS
     _approved: float = PRIOR_HOSTS * PRIOR_SHARE
@@ -36,7 +36,11 @@
         return self._approved / self._asked
 
     def note(self, *, asked: int, approved: int) -> None:
-        """Count the verdicts of one answer, without those that were known before."""
+        """Count the new decisions of one response.
+
+        :param asked: number of hosts decided on for the first time.
+        :param approved: how many of them were approved.
+        """
         self._asked += asked
         self._approved += approved
         if self._asked > MOST_HOSTS:
@@ -47,13 +51,13 @@
 def hosts_to_name(
     step: Step, unknown: Sequence[Host], approved: Iterable[Host], share: float
 ) -> list[Host]:
-    """Return the hosts that a question is to name, those that can take most tasks first.
+    """Return the hosts that an approval request names, hosts with the most slots first.
 
-    Each host makes the answer later, so no more are named than are likely to be enough. Where all
-    of them are not, all are: room may come free on any.
+    Each host makes the response slower, so the request names no more hosts than are likely to be
+    enough. If all of them are unlikely to be enough, it names all, since any may become free.
 
-    :param unknown: hosts that may take tasks and that nobody has asked about for this step.
-    :param approved: hosts that may take tasks of the step.
+    :param unknown: hosts that may accept tasks and have not been decided on for this step.
+    :param approved: hosts that accept tasks and are approved for the step.
     :param share: expected share of the hosts that will be approved.
     """
     missing = len(step.waiting()) - sum(slots_on(step, host, host.room) for host in approved)
@@ -62,12 +66,13 @@
 
 
 def _rank(step: Step, host: Host) -> tuple[bool, int]:
-    """Sort key: near hosts first, then those that can take most tasks at once."""
+    """Sort key: hosts near the data first, then those with the most slots."""
     return is_far(step, host), -(host.room.millicores // max(1, step.req.room.millicores))
 
 
 def _enough(step: Step, missing: int, hosts: Sequence[Host], share: float) -> int:
-    """Return how many hosts are likely to hold the missing tasks, when a share is approved."""
+    """Return how many of the hosts to name so that the approved ones likely hold the missing tasks.
+    """
     expected = variance = 0.0
     for number, host in enumerate(hosts, start=1):
         slots = min(slots_on(step, host, host.room), max(1, missing))
@@ -79,9 +84,9 @@
 
 
 def _from_own_start(step: Step, hosts: Sequence[Host]) -> list[Host]:
-    """Return the hosts in an order of the step's own.
+    """Rotate the hosts by an offset derived from the job's id.
 
-    Steps that come at the same time would otherwise all be approved for the same hosts.
+    Otherwise steps that arrive at the same time would all be approved for the same hosts.
     """
     start = zlib.crc32(step.job.id.encode()) % len(hosts) if hosts else 0
     return [*hosts[start:], *hosts[:start]]
--- a/rhubarbferry/dispatch/questions.py
+++ b/rhubarbferry/dispatch/questions.py
@@ -1,4 +1,4 @@
-"""What to ask the policy service next for a step."""
+"""Choose the next approval request of a step."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from rhubarbferry.dispatch.placement import eligible_hosts
 from rhubarbferry.dispatch.question_size import hosts_to_name
 
-# One call names at most this many hosts; the policy service refuses longer ones. A question about
-# more is asked in several calls.
+# Maximum number of hosts in one call; the policy service refuses calls with more. Larger requests
+# are split into several calls.
 HOSTS_PER_CALL = 100
-# After a question that got no answer, before the next one for the same step.
+# Minimum time between a failed approval request and the next one for the same step.
 QUESTION_PAUSE_S = 0.3
 
 
@@ -26,14 +26,14 @@
     share: float,
     now: float,
 ) -> AdviceOrder | None:
-    """Return the question, or ``None`` when there is nothing to ask now.
+    """Return the next approval request of a step, or ``None`` if none is needed now.
 
-    Most steps that wait have a question under way. They are passed over before any host is looked
-    at; looked at for each of them, 176 hosts cost ten times the time of all other decisions.
+    Most waiting steps have a pending request. They return before any host is examined: examining
+    176 hosts for each of them took ten times as long as the rest of all decisions.
 
-    :param open_hosts: hosts that may get a task now.
+    :param open_hosts: hosts that accept tasks now.
     :param hosts: all hosts.
-    :param held: hosts that are held for the step.
+    :param held: ids of the hosts held for the step.
     :param share: expected share of the hosts that will be approved.
     """
     approvals = step.approvals
@@ -52,7 +52,8 @@
 
 
 def has_unasked_room(step: Step, open_hosts: Iterable[Host]) -> bool:
-    """Tell whether a host that nobody has asked about for a step has room for a task of it."""
+    """Return whether a host that has not been decided on for a step has room for one of its tasks.
+    """
     if step.job.queue.advice is None:
         return False
     need = step.req.room
@@ -71,7 +72,10 @@
 def _held_without_ticket(
     step: Step, hosts: Mapping[str, Host], held: Container[str], now: float
 ) -> list[str]:
-    """Return the held hosts whose tickets have aged; new ones are there as room comes free."""
+    """Return the held hosts without a valid ticket.
+
+    New tickets are requested early, so that they are valid when room becomes free.
+    """
     return [
         host.id
         for host in hosts.values()
--- a/rhubarbferry/dispatch/record.py
+++ b/rhubarbferry/dispatch/record.py
@@ -1,7 +1,7 @@
-"""How a job and its progress are written to the store.
+"""Serialise jobs and their progress for the store.
 
-Two values for each job: the request, written once when the job is accepted and removed when it
-has ended, and the state, which changes as tasks end. Both are JSON, so that an operator can
+Each job has two values: the request, which is written once when the job is accepted and deleted
+when it has ended, and the state, which changes as tasks end. Both are JSON, so that an operator can
 read them.
 """
 
@@ -19,16 +19,17 @@
 
 
 class RecordError(Exception):
-    """A value in the store is no record of this program. Another version may have written it."""
+    """A stored value can't be decoded; another version of the program may have written it."""
 
 
 @frozen(kw_only=True, slots=True)
 class JobRecord:
     """A job as it was accepted.
 
-    :param queue: as the configuration had it then, for when the queue has since been removed.
-    :param accepted_at_s: time of day (Unix) by the clock of the process that accepted it, 0 where
-        it is not known. Such a clock may be seconds off.
+    :param req: the client's request.
+    :param queue: settings of the queue at that time, used if the queue has been removed since.
+    :param accepted_at_s: Unix time on the clock of the process that accepted it, which may be off
+        by seconds; 0 if unknown.
     """
 
     req: JobRequest
@@ -45,28 +46,28 @@
 
 
 def encode_request(record: JobRecord) -> bytes:
-    """Return the value that accepts a job."""
+    """Encode the request of an accepted job."""
     return json.dumps(_converter.unstructure(record), separators=(",", ":")).encode()
 
 
 def decode_request(value: bytes) -> JobRecord:
-    """Read an accepted job.
+    """Decode the request of an accepted job.
 
-    :raises RecordError: when the value is none.
+    :raises RecordError: if the value is not a valid request.
     """
     try:
         return _converter.structure(json.loads(value), JobRecord)
     except Exception as exc:
-        raise RecordError(f"no record of a job: {exc!r}") from exc
+        raise RecordError(f"the value is not a valid job request: {exc!r}") from exc
 
 
 def encode_phase(phase: JobPhase) -> bytes:
-    """Return the state of a job whose tasks no longer matter, or that has none yet."""
+    """Encode the state of a job that has ended or has not started: only its phase is needed."""
     return json.dumps({"phase": phase.value}, separators=(",", ":")).encode()
 
 
 def encode_state(job: Job) -> bytes:
-    """Return the state of a job: its phase and what has become of its tasks."""
+    """Encode the state of a job: its phase and the progress of its tasks."""
     if job.phase.final:
         return encode_phase(job.phase)
     steps = {
@@ -105,20 +106,20 @@
 
 
 def decode_phase(value: bytes) -> JobPhase:
-    """Read the phase of a state.
+    """Decode the phase from the state of a job.
 
-    :raises RecordError: when the value is none.
+    :raises RecordError: if the value is not a valid state.
     """
     try:
         return JobPhase(json.loads(value)["phase"])
     except Exception as exc:
-        raise RecordError(f"no state of a job: {exc!r}") from exc
+        raise RecordError(f"the value is not a valid job state: {exc!r}") from exc
 
 
 def restore_state(job: Job, value: bytes, *, now: float) -> None:
-    """Work a recorded state into a job that was just made.
+    """Apply a stored state to a newly created job.
 
-    :raises RecordError: when the value is none.
+    :raises RecordError: if the value is not a valid state.
     """
     job.phase = decode_phase(value)
     try:
@@ -129,7 +130,7 @@
                 job.next_occurrence = max(job.next_occurrence, number + 1)
             _restore_step(job.occurrences[number].steps[index], fields)
     except (KeyError, IndexError, TypeError, ValueError) as exc:
-        raise RecordError(f"no state of job {job.id}: {exc!r}") from exc
+        raise RecordError(f"the value is not a valid state of job {job.id}: {exc!r}") from exc
 
 
 def _restore_step(step: Step, fields: dict[str, Any]) -> None:
--- a/rhubarbferry/dispatch/reservations.py
+++ b/rhubarbferry/dispatch/reservations.py
@@ -1,4 +1,4 @@
-"""Room that is held for tasks while the tickets for their starts are fetched."""
+"""Room reserved for tasks until their starts have tickets."""
 
 from __future__ import annotations
 
@@ -9,16 +9,19 @@
 from rhubarbferry.dispatch.messages import StartOrder
 from rhubarbferry.dispatch.retries import START_TIMEOUTS_S
 
-# A reservation that has no ticket by then is given up: its room is wanted by others. Twice the
-# expected time of a question covers one that got no answer and was asked again.
+# A reservation without a ticket is released to other steps after twice the expected response time
+# plus this margin. Twice covers a request that failed and was sent again.
 SLACK_S = 1.5
-# A start must reach its host within this time of the host's clock, or it is refused there. So
-# an order that got no answer is settled soon: after this time the host can't carry it out.
+# A start order is valid for this long on the host's clock; after that the host refuses it. The
+# short validity limits how long the outcome of an unanswered order is unknown.
 START_VALID_S = 1.5
 
 
 def ticket(run: Run, hosts: Mapping[str, Host], now: float) -> str | None:
-    """Return a good ticket, an empty one where none is needed, ``None`` where it is missing."""
+    """Return a valid ticket for a run, or ``None`` if it has none.
+
+    Return an empty string if the run needs no ticket.
+    """
     if run.task.step.job.queue.advice is None:
         return ""
     host = hosts[run.host]
@@ -27,23 +30,24 @@
 
 
 def reserved(step: Step) -> list[Run]:
-    """Return the reservations of a step."""
+    """Return the reserved runs of a step."""
     runs = [task.run for task in step.tasks if task.run is not None]
     return [run for run in runs if run.phase is RunPhase.RESERVED]
 
 
 def redeemable(step: Step, hosts: Mapping[str, Host], now: float) -> list[tuple[Run, str]]:
-    """Return the reservations of a step that can be started, each with its ticket."""
+    """Return the reserved runs of a step that can be started, each with its ticket."""
     with_tickets = [(run, ticket(run, hosts, now)) for run in reserved(step)]
     return [(run, found) for run, found in with_tickets if found is not None]
 
 
 def hosts_to_ask(step: Step, hosts: Mapping[str, Host], now: float) -> list[str]:
-    """Return the hosts on which a step has reservations that need a ticket, most urgent first.
+    """Return the hosts on which reserved runs of a step need a ticket, most urgent first.
 
-    The members of a gang start together, so all their tickets must be good at one moment. Fetched
-    one by one as they lapse, they may never be where an answer takes about as long as a ticket
-    lasts. So as soon as one is missing, all are fetched, those that lapse first before the others.
+    The members of a gang start together, so all their tickets must be valid at the same time. If
+    tickets were renewed one by one as they expire, that might never be the case when a response
+    takes about as long as a ticket is valid. So as soon as one ticket is missing, all are renewed,
+    in the order in which they expire.
     """
     runs = reserved(step)
     missing = [run for run in runs if ticket(run, hosts, now) is None]
@@ -59,7 +63,7 @@
 
 
 def overdue(step: Step, runs: list[Run], hosts: Mapping[str, Host], now: float) -> list[Run]:
-    """Return those of a step's reservations to give up: too old, or on a host that is closed."""
+    """Return the reserved runs to release: those that timed out or whose host accepts no tasks."""
     advice = step.job.queue.advice
     longest_s = 2 * advice.duration_s(len(step.tasks)) + SLACK_S if advice else SLACK_S
     return [
@@ -70,9 +74,10 @@
 
 
 def redeem(run: Run, host: Host, ticket: str, checkpoint: str | None, now: float) -> StartOrder:
-    """Turn a reservation into the order that starts its task.
+    """Turn a reserved run into an ordered one, and return its start order.
 
-    :param checkpoint: what all members of a gang resume from, ``None`` for the task's own.
+    :param checkpoint: checkpoint that all members of a gang resume from; ``None`` to use the task's
+        own.
     """
     assert host.clock is not None
     task = run.task
--- a/rhubarbferry/dispatch/retries.py
+++ b/rhubarbferry/dispatch/retries.py
@@ -1,7 +1,8 @@
-"""Send a start again when its answer is lost.
+"""Retry start orders that got no answer.
 
-A start is idempotent in its attempt: a host that runs it already answers with success, and one on
-which it has ended or was stopped refuses it. So a copy that is carried out late does nothing.
+A start order is idempotent for its attempt: a host that already runs the attempt reports success,
+and a host on which it has ended or was stopped refuses it. So a copy that arrives late has no
+effect.
 """
 
 from __future__ import annotations
@@ -12,15 +13,16 @@
 from rhubarbferry.dispatch.job import Run, RunPhase
 from rhubarbferry.dispatch.messages import StartOrder
 
-# Timeouts of the tries of one start, in seconds. Their sum stays below the validity of the order.
+# Timeouts of the first send and the retries of one start order, in seconds. Their sum is less than
+# the validity of the order.
 START_TIMEOUTS_S = (0.15, 0.2, 0.4)
 
 
 def next_try(run: Run, host: Host, now: float) -> StartOrder | None:
-    """Return the order to send again, or ``None`` when its outcome has to be settled first.
+    """Return the order to send again, or ``None`` if it must not be retried.
 
-    A host that has restarted gets no second copy: it knows nothing of the first one, so both could
-    be carried out there.
+    A restarted host gets no second copy: it has lost the record of the first one, so it could carry
+    out both.
     """
     order = run.order
     if order is None or run.phase is not RunPhase.ORDERED or run.stopping or host.clock is None:
--- a/rhubarbferry/dispatch/roster.py
+++ b/rhubarbferry/dispatch/roster.py
@@ -1,4 +1,4 @@
-"""Which hosts are to stand on record as having been given orders, and which are closed."""
+"""Maintain the roster, the stored list of hosts that may run tasks of this owner."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def close_hosts(hosts: Mapping[str, Host], now: float) -> None:
-    """Give no more orders to hosts that are silent or leaving.
+    """Stop sending orders to hosts that are silent or leaving.
 
-    It comes before the record of what they may still run: an order that went out in between
-    would be missing from it, and the next owner would start that task a second time.
+    This must happen before the roster lists which jobs they may still run. An order sent in between
+    would be missing from the roster, and the next owner would start that task a second time.
     """
     for host in hosts.values():
         if host.adopted and _is_closing(host, now):
@@ -31,11 +31,11 @@
     unconfirmed: Container[str],
     now: float,
 ) -> dict[str, RosterEntry]:
-    """Return the roster as it is to be written next.
+    """Return the roster to write next.
 
-    :param roster: as it stands on record.
-    :param listed: the host list.
-    :param hosts: the hosts as the owner knows them; those to be closed have been.
+    :param roster: roster as stored.
+    :param listed: entries of the host list, by id.
+    :param hosts: hosts that the owner tracks, after :func:`close_hosts`.
     :param unconfirmed: hosts that may still run tasks of an earlier owner.
     """
     found: dict[str, RosterEntry] = {}
@@ -51,13 +51,14 @@
 
 
 def _next_entry(entry: RosterEntry, host: Host | None, now: float) -> RosterEntry:
-    # Of a host that has not answered this owner, only the record of the owner before is known.
+    # A host that has not answered this owner yet keeps the entry that an earlier owner wrote.
     if host is None or not host.adopted:
         return entry
     if not _is_closing(host, now):
         return evolve(entry, outstanding=None)
     if entry.outstanding is not None or not host.closed:
-        # It has had no order since, so what it may run has only become less.
+        # No order was sent since the entry was written, so it still covers everything that may run
+        # there.
         return entry
     jobs = {run.task.id.job for run in host.runs.values() if run.phase is not RunPhase.RESERVED}
     jobs.update(task.job for task, _ in host.unknown_runs)
@@ -70,7 +71,8 @@
 
 
 def follow_record(roster: Mapping[str, RosterEntry], hosts: Mapping[str, Host]) -> None:
-    """Open and close hosts as the record says; an open one may get orders again."""
+    """Close and reopen hosts according to the stored roster; only an open host may receive orders.
+    """
     for id, entry in roster.items():
         if id in hosts:
             hosts[id].closed = entry.outstanding is not None
--- a/rhubarbferry/dispatch/tracker.py
+++ b/rhubarbferry/dispatch/tracker.py
@@ -1,4 +1,4 @@
-"""Keep the runs of tasks in step with what hosts say, or have failed to say."""
+"""Track the runs of tasks from the reports of hosts and from missing reports."""
 
 from __future__ import annotations
 
@@ -26,21 +26,22 @@
 )
 from rhubarbferry.dispatch.retries import next_try
 
-# Hosts list at most this many ends in one report; a longer list goes on in the next.
+# A host lists at most this many ended runs in one report and the rest in later ones.
 ENDS_PER_REPORT = 500
-# A stop is sent again while the host still lists the run; one answer may have been lost.
+# A stop order is sent again at this interval while the host still lists the run, since the order or
+# its answer may have been lost.
 STOP_AGAIN_S = 0.7
-# A host that answered an order late or not at all gets no new tasks for this long, so that one
-# bad host does not take every task that is tried there.
+# A host that answered an order late or not at all receives no new tasks for this long, so that one
+# faulty host does not attract every task in turn.
 UNANSWERED_PAUSE_S = 0.3
 
 
 @frozen(kw_only=True, slots=True)
 class RunEnded:
-    """A run is over, for sure.
+    """A run that has certainly ended.
 
-    :param host: where it was.
-    :param detail: for the log.
+    :param host: host on which it ran.
+    :param detail: explanation for the log.
     """
 
     task: Task
@@ -52,9 +53,9 @@
 
 @frozen(kw_only=True, slots=True)
 class RunRefused:
-    """A start was refused: the task has not run under this attempt and won't.
+    """A start that was refused: the task did not run under this attempt and never will.
 
-    :param reason: the host's word; ``None`` where this process gave the start up by itself.
+    :param reason: the host's reason; ``None`` if this process gave up the reservation itself.
     """
 
     task: Task
@@ -69,12 +70,13 @@
 
 @define(kw_only=True, eq=False)
 class Tracker:
-    """Hosts and what runs on them.
+    """Hosts and the runs on them.
 
-    :param jobs: the jobs that have not ended, by id.
-    :param lease_s: longest task lease that a host grants.
-    :ivar orders: stops, and starts to be sent again, to be taken by the caller.
-    :ivar changed: hosts whose room or state has changed since they were last taken.
+    :param jobs: jobs that have not ended, by id.
+    :param lease_s: maximum task lease that a host grants, in seconds.
+    :ivar orders: stop orders and repeated start orders that the caller has not taken yet.
+    :ivar changed: ids of hosts whose free room or state has changed since the last
+        :meth:`take_changed`.
     """
 
     jobs: dict[str, Job]
@@ -86,7 +88,7 @@
     # ------------------------------------------------------------ the host list
 
     def host_listed(self, entry: HostEntry, now: float) -> list[Outcome]:
-        """Take in an entry of the host list."""
+        """Add or update a host from its entry in the host list."""
         host = self.hosts.get(entry.id)
         if host is None:
             host = self.hosts[entry.id] = Host(entry=entry)
@@ -104,11 +106,11 @@
         return outcomes
 
     def host_unlisted(self, id: str) -> None:
-        """Note that the host list no longer shows a host; it may still run its tasks."""
+        """Record that the host list no longer contains a host, which may still run its tasks."""
         self.hosts[id].listed = False
 
     def host_gone(self, host: Host) -> list[Outcome]:
-        """Note that a host's life is over: another one answers at its address."""
+        """Record that a host's incarnation has ended, since another one answers at its address."""
         host.listed = False
         host.clock = None
         return [
@@ -123,8 +125,9 @@
             if settled or run.phase is RunPhase.RESERVED:
                 outcomes.append(self._over(host, run, EndKind.LAPSED, "the host started anew"))
                 continue
-            # The order may be carried out by the new life as well, whose clock starts anew:
-            # only a stop that the new life has answered rules that out.
+            # The new incarnation may carry out the order as well, and its clock starts again, so
+            # the deadline does not protect against that. Only a stop that the new incarnation has
+            # confirmed rules it out.
             run.phase = RunPhase.UNCLEAR
             run.deadline_s = math.inf
             self.stop(run, "its host started anew")
@@ -142,16 +145,16 @@
     def reported(
         self, host: Host, report: HostReport, *, sent_at: float, now: float
     ) -> list[Outcome]:
-        """Work in what a host lists."""
+        """Update the runs of a host from its report."""
         outcomes: list[Outcome] = []
         if report.incarnation != host.entry.incarnation:
             if report.incarnation < host.entry.incarnation:
                 return []
-            # The host list lags behind: the host itself is the first to show a new life.
+            # The host has restarted and its entry in the host list is not up to date yet.
             entry = evolve(host.entry, incarnation=report.incarnation)
             outcomes += self._restarted(host, entry)
         if host.clock is not None and report.clock_s < host.clock.clock_s:
-            # An answer that was overtaken by a later one on another connection.
+            # A later report has already arrived over another connection.
             return outcomes
         host.note_report(report, sent_at=sent_at, now=now, lease_s=self.lease_s)
         if not host.adopted:
@@ -202,7 +205,7 @@
     def _found(
         self, host: Host, running: RunningTask, report: HostReport, now: float
     ) -> list[Outcome]:
-        """Take on a run that an earlier owner started, or that was started late."""
+        """Adopt a run that an earlier owner started, or whose order was carried out late."""
         task = self.task(running.task)
         if task is None:
             self._stop_unknown_run(host, running, now)
@@ -253,15 +256,16 @@
     def _settle_unlisted(
         self, host: Host, report: HostReport, listed: set[tuple[TaskId, int]], now: float
     ) -> list[Outcome]:
-        """End the runs that the host does not list and will not start any more."""
+        """End the runs that the host does not list and can no longer start."""
         if len(report.ended) >= ENDS_PER_REPORT:
             return []
         outcomes: list[Outcome] = []
         for key, run in list(host.runs.items()):
             if key in listed or run.phase is RunPhase.RESERVED:
                 continue
-            # `deadline_s` is the host's time from which on an order for this run is refused,
-            # or at which it was known to run. A list made after that settles it.
+            # `deadline_s` is a time on the host's clock: for an order, when the host starts to
+            # refuse it; for a run, when it was last known to run. A report made after that time
+            # which does not list the run proves that it has ended or will never start.
             if run.phase is not RunPhase.ORDERED and report.clock_s > run.deadline_s:
                 how = "not started in time" if run.phase is RunPhase.UNCLEAR else "not listed"
                 outcomes.append(self._over(host, run, EndKind.LAPSED, how))
@@ -274,7 +278,7 @@
     def start_answered(
         self, host: Host, run: Run, result: OrderResult, *, now: float
     ) -> list[Outcome]:
-        """Work in the answer to a start."""
+        """Process the result of a start order."""
         if host.runs.get((run.task.id, run.attempt)) is not run:
             return []
         match result:
@@ -290,7 +294,8 @@
                 if run.phase is RunPhase.RUNNING:
                     return []
                 if run.unanswered:
-                    # It speaks for this copy only; an earlier one may yet be carried out.
+                    # The refusal applies only to this copy of the order; an earlier copy may still
+                    # be carried out.
                     self._note_unclear(host, run, now)
                     return []
                 run.phase = RunPhase.RESERVED
@@ -327,16 +332,16 @@
             host.blocked_until = max(host.blocked_until, now + UNANSWERED_PAUSE_S)
 
     def stop_answered(self, run: Run, clock_s: float) -> None:
-        """Note that a host took a stop: from now on it refuses to start that run."""
+        """Record that a host accepted a stop order; from then on it refuses to start that run."""
         if run.phase is RunPhase.UNCLEAR:
             run.deadline_s = min(run.deadline_s, clock_s)
 
     # ------------------------------------------------------------ time
 
     def lapse(self, now: float, *, keep: Container[str] = ()) -> list[Outcome]:
-        """End the runs whose task leases must be over, and forget hosts that have gone.
+        """End the runs whose task leases must have expired, and remove hosts that have left.
 
-        :param keep: hosts to keep, though the host list does not show them.
+        :param keep: ids of hosts to keep even if the host list does not contain them.
         """
         outcomes: list[Outcome] = []
         for host in list(self.hosts.values()):
@@ -346,8 +351,8 @@
                     outcomes.append(
                         self._over(host, run, EndKind.LAPSED, "the host is silent past its leases")
                     )
-            # Nothing runs on a host that has answered this owner and holds no run, though its
-            # leases go on: one that has left would be waited for at a takeover.
+            # An adopted host without runs is idle, even if its leases have not expired. It is
+            # removed at once; otherwise the next takeover would wait for a host that has left.
             idle = host.adopted and not host.unknown_runs
             gone = not host.listed and not host.runs and (idle or host.clock is None)
             if gone and host.id not in keep:
@@ -355,7 +360,8 @@
         return outcomes
 
     def review_opened(self, now: float) -> None:
-        """Count hosts that take tasks again as changed, so that what waits is looked at."""
+        """Mark hosts that accept tasks again as changed, so that waiting steps are tried on them.
+        """
         for host in self.hosts.values():
             opened = host.takes_tasks(now)
             if opened and not host.is_open:
@@ -363,7 +369,7 @@
             host.is_open = opened
 
     def note_opened(self, now: float) -> None:
-        """Note which of the changed hosts take tasks now."""
+        """Update which of the changed hosts accept tasks."""
         for id in self.changed:
             host = self.hosts.get(id)
             if host is not None:
@@ -372,37 +378,37 @@
     # ------------------------------------------------------------ runs
 
     def take_changed(self) -> list[Host]:
-        """Return the hosts whose room or state has changed since the last call."""
+        """Return the hosts whose free room or state has changed since the last call."""
         found = [self.hosts[id] for id in self.changed if id in self.hosts]
         self.changed.clear()
         return found
 
     def take_orders(self) -> list[StartOrder | StopOrder]:
-        """Return the stops, and the starts to be sent again, since the last call."""
+        """Return the stop orders and repeated start orders added since the last call."""
         orders, self.orders = self.orders, []
         return orders
 
     def run(self, host: str, task: TaskId, attempt: int) -> Run | None:
-        """Return a run on a host that has not ended."""
+        """Return the given run on a host, or ``None`` if it has ended."""
         found = self.hosts.get(host)
         return found.runs.get((task, attempt)) if found is not None else None
 
     def task(self, id: TaskId) -> Task | None:
-        """Return a task of a job that has not ended."""
+        """Return a task, or ``None`` if its job has ended or is unknown."""
         job = self.jobs.get(id.job)
         if job is None or job.phase.final:
             return None
         return job.task(id)
 
     def stop(self, run: Run, reason: str) -> None:
-        """Order a run to be stopped; it keeps its room until the host lists its end."""
+        """Order a run to stop. It keeps its room until the host reports its end."""
         if run.stopping:
             return
         run.stopping = True
         self._send_stop(run, reason)
 
     def stop_gang(self, step: Step, attempt: int, reason: str) -> None:
-        """End all runs of one attempt of a gang; without one member the others are of no use."""
+        """Stop all runs of one attempt of a gang, whose members cannot work without each other."""
         for task in step.tasks:
             run = task.run
             if run is None or run.attempt != attempt:
@@ -413,14 +419,14 @@
                 self.stop(run, reason)
 
     def stop_all_of(self, run: Run, reason: str) -> None:
-        """Stop a run; of a gang all that run with it."""
+        """Stop a run, or the whole gang if it is a member of one."""
         if run.task.step.req.gang:
             self.stop_gang(run.task.step, run.attempt, reason)
         else:
             self.stop(run, reason)
 
     def release(self, run: Run) -> None:
-        """Give up a reservation."""
+        """Release the room of a reserved run."""
         self._drop(run, "reservation given up")
 
     def _stop_again(self, run: Run, now: float) -> None:
--- a/rhubarbferry/dispatch/waiting.py
+++ b/rhubarbferry/dispatch/waiting.py
@@ -1,4 +1,4 @@
-"""The steps that wait for room, found without a look at those that can't fit."""
+"""Queue of the steps that wait for room, indexed by the size of their tasks."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from rhubarbferry.dispatch.job import Step
 from rhubarbferry.dispatch.objective import Urgency
 
-# Urgency, priority, arrival, and a tie-breaker.
+# Urgency, priority, arrival time, and three tie-breakers: job id, occurrence, step.
 Order = tuple[int, float, float, str, int, int]
 
 
@@ -23,11 +23,11 @@
 
 @define(kw_only=True, eq=False, slots=True)
 class WaitingSteps:
-    """Waiting steps by order, in classes of size.
+    """Waiting steps sorted by their position, in one list for each size class.
 
-    With a backlog most of what waits does not fit into the room that has just come free. The
-    classes (powers of two of the processor that one task needs) let a look for the next step
-    skip these without touching them, so that it does not grow with the backlog.
+    With a backlog, most waiting steps don't fit into the room that has just become free. Size
+    classes (powers of two of the processor that one task needs) allow a search to skip these steps
+    without visiting them, so its cost does not grow with the backlog.
     """
 
     _classes: dict[int, SortedKeyList] = Factory(dict)
@@ -36,7 +36,7 @@
     _numbers: Iterator[int] = Factory(itertools.count)
 
     def add(self, step: Step, now: float) -> None:
-        """Add a step, or move it to its present place."""
+        """Add a step, or move it to its current position."""
         job = step.job
         standing = job.standing(step, now)
         order = (
@@ -60,14 +60,14 @@
             heapq.heappush(self._turns, (standing.until, next(self._numbers), step))
 
     def reorder(self, now: float) -> None:
-        """Move the steps whose urgency has changed with time."""
+        """Move the steps whose urgency has changed over time."""
         while self._turns and self._turns[0][0] < now:
             _, _, step = heapq.heappop(self._turns)
             if step in self._orders:
                 self.add(step, now)
 
     def discard(self, step: Step) -> None:
-        """Remove a step if it is there."""
+        """Remove a step if it is present."""
         if step in self._orders:
             self._classes[_size_class(step)].remove(step)
             del self._orders[step]
@@ -80,22 +80,22 @@
 
     @property
     def orders(self) -> Mapping[Step, Order]:
-        """The place of each waiting step."""
+        """Position of each waiting step."""
         return self._orders
 
     def urgency(self, step: Step) -> Urgency | None:
-        """Return what a waiting step can still gain, ``None`` for one that does not wait."""
+        """Return the urgency of a waiting step, or ``None`` if it does not wait."""
         order = self._orders.get(step)
         return Urgency(order[0]) if order is not None else None
 
     def order(self, step: Step) -> Order:
-        """Return the place of a step."""
+        """Return the position of a waiting step."""
         return self._orders[step]
 
     def in_order(self, *, millicores: int | None = None) -> Iterator[Step]:
-        """Yield the steps in order.
+        """Yield the steps in the order of their positions.
 
-        :param millicores: leave out the classes whose smallest task needs more than this.
+        :param millicores: skip the size classes whose smallest task needs more than this.
         """
         classes = [
             steps
