--- a/rhubarbferry/dispatch/approvals.py
+++ b/rhubarbferry/dispatch/approvals.py
@@ -8,7 +8,7 @@
 
 # A ticket must still be valid when the start order arrives: the one-way latency between regions is
 # 20 ms, and a busy process may delay the order.
-TICKET_MARGIN_S = 0.25
+TICKET_EXPIRY_MARGIN_S = 0.25
 
 
 @frozen(kw_only=True, slots=True)
@@ -29,22 +29,22 @@
 class StepApprovals:
     """Approved and denied hosts of one step. A decision on a host is final; tickets expire.
 
-    :ivar asking: hosts named in a pending approval request.
+    :ivar pending: hosts named in a pending approval request.
     :ivar failed_at: when the last approval request failed.
     """
 
     approved: set[str] = Factory(set)
     denied: set[str] = Factory(set)
     tickets: dict[str, Ticket] = Factory(dict)
-    asking: set[str] = Factory(set)
+    pending: set[str] = Factory(set)
     failed_at: float = -1.0
 
-    def learn(self, advice: Advice, incarnations: dict[str, int]) -> None:
+    def record_response(self, advice: Advice, incarnations: dict[str, int]) -> None:
         """Record the response to an approval request.
 
         :param incarnations: current incarnation of each known host.
         """
-        self.asking.difference_update(advice.asked)
+        self.pending.difference_update(advice.asked)
         named = {approval.host: approval.ticket for approval in advice.approvals}
         for host in advice.asked:
             if host not in named:
@@ -55,17 +55,17 @@
             # the arrival of the response by one network trip. The margin covers the difference.
             self.tickets[host] = Ticket(
                 text=named[host],
-                expires_at=advice.answered_at + advice.valid_s - TICKET_MARGIN_S,
+                expires_at=advice.answered_at + advice.valid_s - TICKET_EXPIRY_MARGIN_S,
                 incarnation=incarnations.get(host, 0),
             )
 
     def ticket(self, host: str, incarnation: int, now: float) -> str:
         """Return a valid ticket, or an empty string."""
-        if self.lapses_at(host, incarnation) <= now:
+        if self.ticket_expires_at(host, incarnation) <= now:
             return ""
         return self.tickets[host].text
 
-    def lapses_at(self, host: str, incarnation: int) -> float:
+    def ticket_expires_at(self, host: str, incarnation: int) -> float:
         """Return when the ticket for a host's incarnation expires; ``-inf`` if there is none."""
         ticket = self.tickets.get(host)
         if ticket is None or ticket.incarnation != incarnation:
@@ -73,18 +73,18 @@
         return ticket.expires_at
 
     @property
-    def awaiting_first(self) -> bool:
+    def awaiting_first_approval(self) -> bool:
         """Whether a request is pending and no host has been approved yet."""
-        return bool(self.asking) and not self.approved
+        return bool(self.pending) and not self.approved
 
-    def allows(self, host: str) -> bool:
+    def may_use_or_request(self, host: str) -> bool:
         """Return whether a host is approved, or may be named in an approval request now.
 
         Only one request for a step is pending at a time. Until its response arrives, hosts that no
         request has named can't be used.
         """
-        return host in self.approved or not (self.asking or host in self.denied)
+        return host in self.approved or not (self.pending or host in self.denied)
 
-    def unknown(self, host: str) -> bool:
+    def is_undecided(self, host: str) -> bool:
         """Return whether the policy service has not decided on a host yet."""
         return host not in self.approved and host not in self.denied
--- a/rhubarbferry/dispatch/candidates.py
+++ b/rhubarbferry/dispatch/candidates.py
@@ -21,50 +21,49 @@
     """
 
     waiting: WaitingSteps
-    _touched: dict[Step, None] = Factory(dict)
-    _found: deque[Step] = Factory(deque)
+    _included: dict[Step, None] = Factory(dict)
+    _queue: deque[Step] = Factory(deque)
 
     def __bool__(self) -> bool:
-        return bool(self._found)
+        return bool(self._queue)
 
-    def touch(self, step: Step) -> None:
+    def include(self, step: Step) -> None:
         """Include a step the next time that candidates are collected."""
-        self._touched[step] = None
+        self._included[step] = None
 
-    def touch_all(self) -> None:
+    def include_all(self) -> None:
         """Include all waiting steps the next time that candidates are collected."""
-        self._touched.update(dict.fromkeys(self.waiting.in_order()))
+        self._included.update(dict.fromkeys(self.waiting.iter_sorted()))
 
-    def find(self, changed: Sequence[Host]) -> None:
+    def collect(self, changed: Sequence[Host]) -> None:
         """Collect candidates and sort them by their position in the queue.
 
         :param changed: hosts whose free room or state has changed since the last call.
         """
-        found = {step for step in self._touched if step in self.waiting}
-        self._touched.clear()
+        found = {step for step in self._included if step in self.waiting}
+        self._included.clear()
         if changed:
-            most = max(host.room.millicores for host in changed)
-            for step in self.waiting.in_order(millicores=most):
-                if step in found or step.approvals.awaiting_first:
+            max_millicores = max(host.room.millicores for host in changed)
+            for step in self.waiting.iter_sorted(millicores=max_millicores):
+                if step in found or step.approvals.awaiting_first_approval:
                     continue
-                if any(_may_help(step, host) for host in changed):
+                if any(_may_fit(step, host) for host in changed):
                     found.add(step)
-        self._found.extend(sorted(found, key=self.waiting.order))
+        self._queue.extend(sorted(found, key=self.waiting.position))
 
     def pop(self) -> Step | None:
         """Return the next candidate that still waits, or ``None`` if none is left."""
-        while self._found:
-            step = self._found.popleft()
+        while self._queue:
+            step = self._queue.popleft()
             if step in self.waiting:
                 return step
         return None
 
-    def put_back(self) -> None:
-        """Return the remaining candidates, to be sorted again together with more urgent new ones.
-        """
-        self._touched.update(dict.fromkeys(self._found))
-        self._found.clear()
+    def postpone(self) -> None:
+        """Return the remaining candidates to the pool, to be sorted again with newer ones."""
+        self._included.update(dict.fromkeys(self._queue))
+        self._queue.clear()
 
 
-def _may_help(step: Step, host: Host) -> bool:
-    return step.approvals.allows(host.id) and step.req.room.fits(host.room)
+def _may_fit(step: Step, host: Host) -> bool:
+    return step.approvals.may_use_or_request(host.id) and step.req.room.fits(host.room)
--- a/rhubarbferry/dispatch/dispatcher.py
+++ b/rhubarbferry/dispatch/dispatcher.py
@@ -14,9 +14,9 @@
 
 from rhubarbferry.core.ejection import EjectionRules, Ejector
 from rhubarbferry.dispatch import reservations
+from rhubarbferry.dispatch.approval_request_size import ApprovedShare
 from rhubarbferry.dispatch.candidates import Candidates
-from rhubarbferry.dispatch.evacuation import runs_to_leave
-from rhubarbferry.dispatch.holds import Holds
+from rhubarbferry.dispatch.evacuation import runs_to_stop
 from rhubarbferry.dispatch.hosts import Host
 from rhubarbferry.dispatch.hung import hung_runs
 from rhubarbferry.dispatch.job import Job, JobPhase, Run, RunPhase, Step, Task
@@ -37,29 +37,35 @@
 )
 from rhubarbferry.dispatch.objective import Urgency
 from rhubarbferry.dispatch.pacing import Pacing
-from rhubarbferry.dispatch.placement import Placed, place
-from rhubarbferry.dispatch.question_size import ApprovedShare
-from rhubarbferry.dispatch.questions import QUESTION_PAUSE_S, has_unasked_room, next_question
+from rhubarbferry.dispatch.placement import Placement, place
+from rhubarbferry.dispatch.preemption import Holds
+from rhubarbferry.dispatch.questions import (
+    APPROVAL_RETRY_INTERVAL_S,
+    has_undecided_room,
+    next_approval_request,
+)
 from rhubarbferry.dispatch.succession import Succession
-from rhubarbferry.dispatch.tracker import Outcome, RunEnded, RunRefused, Tracker
+from rhubarbferry.dispatch.tracker import RunEnded, RunEvent, RunRefused, Tracker
 from rhubarbferry.dispatch.waiting import WaitingSteps
 
 # A host that refused a start because of its own state receives no new task for this long.
-REFUSED_PAUSE_S = 0.5
+REFUSAL_BACKOFF_S = 0.5
 # A host on which a task hung receives no new task for this long.
-HUNG_PAUSE_S = 4.0
+HUNG_TASK_BACKOFF_S = 4.0
 # A few percent of all runs fail because of the task itself, so a host is ejected only after tasks
 # of this many different jobs have failed on it with no success in between.
-HOST_RULES = EjectionRules(distinct_failures=3, window_s=10.0, eject_s=3.0, max_eject_s=12.0)
+HOST_EJECTION_RULES = EjectionRules(
+    distinct_failures=3, window_s=10.0, eject_s=3.0, max_eject_s=12.0
+)
 # Maximum number of steps that one call of `decide` tries to place. The next call continues with the
 # rest, so the caller can serve other processes between the two calls.
-STEPS_PER_DECISION = 32
+MAX_STEPS_PER_DECISION = 32
 # Minimum interval between two passes over all hosts that look for changes due to time alone:
 # expired task leases, and hosts that accept tasks again. Hosts that have changed in another way are
 # processed by every decision.
-HOST_REVIEW_S = 0.05
+HOST_REVIEW_INTERVAL_S = 0.05
 # Refusals that are caused by the state of the host, which would refuse the next task as well.
-HOST_REFUSALS = (
+HOST_STATE_REFUSALS = (
     Refusal.NO_ROOM,
     Refusal.UNHEALTHY,
     Refusal.OTHER_HOST,
@@ -84,20 +90,20 @@
     jobs: dict[str, Job] = Factory(dict)
     dirty: dict[str, Job] = Factory(dict)
     ended: dict[str, JobPhase] = Factory(dict)
-    notes: list[Outcome] = Factory(list)
+    notes: list[RunEvent] = Factory(list)
     tracker: Tracker = field(init=False)
     waiting: WaitingSteps = Factory(WaitingSteps)
     holds: Holds = Factory(Holds)
     pacing: Pacing = Factory(Pacing)
     _candidates: Candidates = field(init=False)
-    _reserving: dict[Step, None] = Factory(dict)
-    _ask_again: dict[Step, float] = Factory(dict)
-    _ejector: Ejector = Factory(lambda: Ejector(rules=HOST_RULES))
-    _timed: dict[str, Job] = Factory(dict)
-    _unsettled: dict[str, Job] = Factory(dict)
+    _steps_with_reservations: dict[Step, None] = Factory(dict)
+    _approval_retry_at: dict[Step, float] = Factory(dict)
+    _ejector: Ejector = Factory(lambda: Ejector(rules=HOST_EJECTION_RULES))
+    _repeated_jobs: dict[str, Job] = Factory(dict)
+    _unresolved_jobs: dict[str, Job] = Factory(dict)
     _hosts_reviewed_at: float = float("-inf")
     _queues: Mapping[str, Queue] | None = None
-    _shares: dict[str, ApprovedShare] = Factory(dict)
+    _approved_shares: dict[str, ApprovedShare] = Factory(dict)
 
     def __attrs_post_init__(self) -> None:
         self.tracker = Tracker(jobs=self.jobs, lease_s=self.lease_s)
@@ -109,16 +115,16 @@
         """Add an accepted job, either a new one or one inherited from an earlier owner."""
         self.jobs[job.id] = job
         if job.inherited:
-            self._unsettled[job.id] = job
+            self._unresolved_jobs[job.id] = job
         if job.req.times > 0:
-            self._timed[job.id] = job
-            job.make_due(now, wall_s)
+            self._repeated_jobs[job.id] = job
+            job.create_due_occurrences(now, wall_s)
         elif not job.occurrences:
             job.add_occurrence(0, now)
         for step in job.steps():
             if step.done_count or step.ever_started:
                 job.started = True
-        self._open_steps(job, now)
+        self._queue_ready_steps(job, now)
         self._finish_if_done(job)
 
     def cancel_job(self, id: str) -> None:
@@ -131,13 +137,12 @@
         """Record that the store holds a job's current state; remove the job if it has ended."""
         if job.phase.final:
             self.jobs.pop(job.id, None)
-            self._unsettled.pop(job.id, None)
-            self._timed.pop(job.id, None)
+            self._unresolved_jobs.pop(job.id, None)
+            self._repeated_jobs.pop(job.id, None)
             self.ended[job.id] = job.phase
 
     def configure(self, queues: Mapping[str, Queue], *, now: float) -> None:
-        """Apply a new configuration. A queue that it does not contain keeps its previous settings.
-        """
+        """Apply a new configuration; queues that it does not contain keep their previous settings."""
         if queues is self._queues:
             return
         self._queues = queues
@@ -158,7 +163,7 @@
 
     def host_listed(self, entry: HostEntry, *, now: float) -> None:
         """Add or update a host from its entry in the host list."""
-        self._apply(self.tracker.host_listed(entry, now), now)
+        self._apply_events(self.tracker.host_listed(entry, now), now)
 
     def host_unlisted(self, id: str) -> None:
         """Record that the host list no longer contains a host."""
@@ -166,22 +171,22 @@
 
     def host_gone(self, id: str, *, now: float) -> None:
         """Record that the current incarnation of a host has certainly ended."""
-        self.succession.note_report(id)
+        self.succession.record_report(id)
         host = self.tracker.hosts.get(id)
         if host is not None:
-            self._apply(self.tracker.host_gone(host), now)
+            self._apply_events(self.tracker.host_gone(host), now)
 
     def reported(self, id: str, report: HostReport, *, sent_at: float, now: float) -> None:
         """Process a host's report, which must answer a call under the current owner's fence."""
         host = self.tracker.hosts.get(id)
         if host is None:
             return
-        self.succession.note_report(id)
-        self._apply(self.tracker.reported(host, report, sent_at=sent_at, now=now), now)
-        self.pacing.note_report(host, now)
+        self.succession.record_report(id)
+        self._apply_events(self.tracker.reported(host, report, sent_at=sent_at, now=now), now)
+        self.pacing.record_report(host, now)
         self._stop_hung(host, now)
-        for run in runs_to_leave(host, now):
-            self.tracker.stop_all_of(run, "its host leaves before it can end")
+        for run in runs_to_stop(host, now):
+            self.tracker.stop_with_gang(run, "its host leaves before it can end")
 
     def start_answered(
         self, id: str, task: TaskId, attempt: int, result: OrderResult, *, now: float
@@ -190,7 +195,7 @@
         run = self.tracker.run(id, task, attempt)
         if run is not None:
             host = self.tracker.hosts[id]
-            self._apply(self.tracker.start_answered(host, run, result, now=now), now)
+            self._apply_events(self.tracker.start_answered(host, run, result, now=now), now)
 
     def unclear(self, id: str, task: TaskId, attempt: int) -> bool:
         """Return whether a start was not answered and the run may still exist or begin."""
@@ -222,25 +227,24 @@
             return
         hosts = self.tracker.hosts
         incarnations = {id: hosts[id].entry.incarnation for id in advice.asked if id in hosts}
-        fresh = {id for id in advice.asked if step.approvals.unknown(id)}
-        step.approvals.learn(advice, incarnations)
+        fresh = {id for id in advice.asked if step.approvals.is_undecided(id)}
+        step.approvals.record_response(advice, incarnations)
         approved = len(fresh & step.approvals.approved)
-        self.approved_share(step.job.queue).note(asked=len(fresh), approved=approved)
-        self._look_at(step, now)
+        self.approved_share(step.job.queue).record(decided=len(fresh), approved=approved)
+        self._reconsider(step, now)
 
     def approved_share(self, queue: Queue) -> ApprovedShare:
-        """Return the estimate of the share of hosts that the policy approves for steps of a queue.
-        """
-        return self._shares.setdefault(queue.name, ApprovedShare())
+        """Return the estimated share of hosts that the policy approves for steps of a queue."""
+        return self._approved_shares.setdefault(queue.name, ApprovedShare())
 
     def advice_failed(self, order: AdviceOrder, *, now: float) -> None:
         """Record that an approval request failed, and schedule a retry."""
         step = self._step(order.step)
         if step is None:
             return
-        step.approvals.asking.difference_update(order.hosts)
+        step.approvals.pending.difference_update(order.hosts)
         step.approvals.failed_at = now
-        self._ask_again[step] = now + QUESTION_PAUSE_S
+        self._approval_retry_at[step] = now + APPROVAL_RETRY_INTERVAL_S
 
     # ------------------------------------------------------------ decisions
 
@@ -253,31 +257,31 @@
         """
         orders: list[Order] = []
         self._review_hosts(now)
-        for job in list(self._timed.values()):
-            job.make_due(now, wall_s)
-            self._open_steps(job, now)
-        self._give_up_reservations(now)
+        for job in list(self._repeated_jobs.values()):
+            job.create_due_occurrences(now, wall_s)
+            self._queue_ready_steps(job, now)
+        self._release_overdue_reservations(now)
         self.waiting.reorder(now)
         if self.holds.expire(now):
             # The room of the expired hold is free for any step.
             self.retry()
-        self.tracker.note_opened(now)
-        for step in [step for step, at in self._ask_again.items() if now >= at]:
-            del self._ask_again[step]
+        self.tracker.update_open_hosts(now)
+        for step in [step for step, at in self._approval_retry_at.items() if now >= at]:
+            del self._approval_retry_at[step]
             if not step.job.phase.final and not step.done:
-                self._look_at(step, now)
-        self._settle(now)
+                self._reconsider(step, now)
+        self._resume_inherited_jobs(now)
         orders += self._place_candidates(now, starts)
         orders += self.tracker.take_orders()
         orders += self.pacing.take_orders()
         return orders
 
     def _review_hosts(self, now: float) -> None:
-        if now - self._hosts_reviewed_at < HOST_REVIEW_S:
+        if now - self._hosts_reviewed_at < HOST_REVIEW_INTERVAL_S:
             return
         self._hosts_reviewed_at = now
-        self._apply(self.tracker.lapse(now, keep=self.succession.unconfirmed), now)
-        self.tracker.review_opened(now)
+        self._apply_events(self.tracker.expire_leases(now, keep=self.succession.unconfirmed), now)
+        self.tracker.mark_reopened_hosts(now)
 
     @property
     def undecided(self) -> bool:
@@ -287,12 +291,12 @@
     def retry(self) -> None:
         """Reconsider all hosts and all waiting steps in the next decision."""
         self._hosts_reviewed_at = float("-inf")
-        self._candidates.touch_all()
+        self._candidates.include_all()
 
     def _place_candidates(self, now: float, starts: float) -> list[Order]:
         """Place the next candidate steps, up to the limit of one decision."""
         if not self._candidates:
-            self._candidates.find(self.tracker.take_changed())
+            self._candidates.collect(self.tracker.take_changed())
         if not self._candidates:
             return []
         orders: list[Order] = []
@@ -300,9 +304,9 @@
         open_hosts = [host for host in self.tracker.hosts.values() if host.is_open]
         usable = open_hosts
         unusable: set[str] = set()
-        for _ in range(STEPS_PER_DECISION):
+        for _ in range(MAX_STEPS_PER_DECISION):
             if ordered >= starts:
-                self._candidates.put_back()
+                self._candidates.postpone()
                 break
             step = self._candidates.pop()
             if step is None:
@@ -318,10 +322,10 @@
         return orders
 
     def _place(self, step: Step, open_hosts: list[Host], now: float) -> list[Order]:
-        if step.job.id in self._unsettled:
+        if step.job.id in self._unresolved_jobs:
             return []
         advice = step.job.queue.advice
-        if step.approvals.awaiting_first:
+        if step.approvals.awaiting_first_approval:
             return []
         allowed = open_hosts
         if advice is not None:
@@ -329,24 +333,24 @@
             allowed = [host for host in open_hosts if host.id in approved] if approved else []
         if step.req.filling:
             allowed = [host for host in allowed if self.pacing.may_fill(host)]
-        placed = self._find_hosts(step, allowed, now)
+        placed = self._choose_hosts(step, allowed, now)
         if placed:
             self.holds.drop(step)
-        elif self._may_make_room(step, allowed, open_hosts):
-            self._make_room(step, allowed, now)
+        elif self._may_preempt(step, allowed, open_hosts):
+            self._preempt(step, allowed, now)
         orders: list[Order] = []
         if placed or advice is not None:
             orders += self._reserve(step, placed, now)
         if advice is not None:
             held = self.holds.hosts(step)
             share = self.approved_share(step.job.queue).value
-            question = next_question(step, open_hosts, self.tracker.hosts, held, share, now)
-            orders += [question] if question is not None else []
-        if not step.waiting():
+            request = next_approval_request(step, open_hosts, self.tracker.hosts, held, share, now)
+            orders += [request] if request is not None else []
+        if not step.waiting_tasks():
             self.waiting.discard(step)
         return orders
 
-    def _may_make_room(self, step: Step, allowed: list[Host], open_hosts: list[Host]) -> bool:
+    def _may_preempt(self, step: Step, allowed: list[Host], open_hosts: list[Host]) -> bool:
         """Return whether tasks of lower priority may be preempted for a step that found no room.
 
         Preemption has to wait until no host that still has free room could be approved for the
@@ -354,25 +358,27 @@
         """
         if not allowed or self.waiting.urgency(step) is not Urgency.IN_TIME:
             return False
-        return bool(step.waiting()) and not has_unasked_room(step, open_hosts)
+        return bool(step.waiting_tasks()) and not has_undecided_room(step, open_hosts)
 
-    def _find_hosts(self, step: Step, allowed: list[Host], now: float) -> list[Placed]:
+    def _choose_hosts(self, step: Step, allowed: list[Host], now: float) -> list[Placement]:
         if not self.holds or step not in self.waiting:
             return place(step, allowed, now)
-        placed = place(step, allowed, now, self.holds.kept(but=step))
-        if len(placed) == len(step.waiting()):
+        placed = place(step, allowed, now, self.holds.held_room(excluding=step))
+        if len(placed) == len(step.waiting_tasks()):
             return placed
         # A step with precedence over the holders of held room may use that room, but only if there
         # is no other.
-        order = self.waiting.order(step)
-        return place(step, allowed, now, self.holds.kept_from(order, self.waiting.orders))
+        position = self.waiting.position(step)
+        return place(
+            step, allowed, now, self.holds.room_held_before(position, self.waiting.positions)
+        )
 
-    def _make_room(self, step: Step, hosts: list[Host], now: float) -> None:
+    def _preempt(self, step: Step, hosts: list[Host], now: float) -> None:
         total = len(self.tracker.hosts)
-        for run in self.holds.make_room(step, hosts, total=total, now=now):
+        for run in self.holds.hold_room(step, hosts, total=total, now=now):
             self.tracker.stop(run, f"gives way to job {step.job.id}")
 
-    def _reserve(self, step: Step, placed: Iterable[Placed], now: float) -> list[Order]:
+    def _reserve(self, step: Step, placed: Iterable[Placement], now: float) -> list[Order]:
         attempt = step.next_attempt() if step.req.gang else 0
         for item in placed:
             task = item.task
@@ -388,12 +394,12 @@
             task.run = run
             item.host.add(run)
             self._ejector.started(item.host.id, step.job.id, now=now)
-            self._reserving[step] = None
+            self._steps_with_reservations[step] = None
         return self._start_reserved(step, now)
 
     def _start_reserved(self, step: Step, now: float) -> list[Order]:
         """Start the reserved runs of a step that have a valid ticket or need none."""
-        ready = reservations.redeemable(step, self.tracker.hosts, now)
+        ready = reservations.startable(step, self.tracker.hosts, now)
         if step.req.gang and len(ready) < len(step.tasks):
             return []
         orders: list[Order] = []
@@ -401,37 +407,37 @@
             checkpoint = step.gang_checkpoint()
             for run, ticket in ready:
                 host = self.tracker.hosts[run.host]
-                orders.append(reservations.redeem(run, host, ticket, checkpoint, now))
-            self._note_start(step.job)
+                orders.append(reservations.order_start(run, host, ticket, checkpoint, now))
+            self._mark_started(step.job)
         return orders
 
-    def _look_at(self, step: Step, now: float) -> None:
+    def _reconsider(self, step: Step, now: float) -> None:
         """Reconsider a step in the next decision, even if it only waits for tickets."""
-        self._candidates.touch(step)
+        self._candidates.include(step)
         self.waiting.add(step, now)
 
-    def _give_up_reservations(self, now: float) -> None:
-        for step in list(self._reserving):
+    def _release_overdue_reservations(self, now: float) -> None:
+        for step in list(self._steps_with_reservations):
             runs = reservations.reserved(step)
             overdue = reservations.overdue(step, runs, self.tracker.hosts, now)
             for run in overdue:
                 self.tracker.release(run)
                 self._enqueue(step, now)
             if len(overdue) == len(runs):
-                del self._reserving[step]
+                del self._steps_with_reservations[step]
 
-    # ------------------------------------------------------------ ends
+    # ------------------------------------------------------------ ended and refused runs
 
-    def _apply(self, outcomes: list[Outcome], now: float) -> None:
-        for outcome in outcomes:
-            self.notes.append(outcome)
-            match outcome:
+    def _apply_events(self, events: list[RunEvent], now: float) -> None:
+        for event in events:
+            self.notes.append(event)
+            match event:
                 case RunEnded():
-                    self._run_ended(outcome, now)
+                    self._handle_run_ended(event, now)
                 case RunRefused():
-                    self._run_refused(outcome, now)
+                    self._handle_run_refused(event, now)
 
-    def _run_ended(self, end: RunEnded, now: float) -> None:
+    def _handle_run_ended(self, end: RunEnded, now: float) -> None:
         task = end.task
         job = task.step.job
         if job.phase.final or task.done:
@@ -439,29 +445,29 @@
         match end.how:
             case EndKind.DONE if not task.step.req.lasting:
                 self._ejector.succeeded(end.host, job.id, now=now)
-                self._task_done(task, now)
+                self._complete_task(task, now)
                 return
             case EndKind.FAILED:
                 hosts = len(self.tracker.hosts)
                 self._ejector.failed(end.host, job.id, now=now, hosts=hosts)
-                if task.has_failed(end.attempt):
+                if task.record_failure(end.attempt):
                     self._finish(job, JobPhase.FAILED, "a task failed too often")
                     return
             case _:
                 self._ejector.neither(end.host, job.id)
         if end.how is not EndKind.LAPSED:
-            self._mark(job)
+            self._mark_dirty(job)
         if task.step.req.gang:
             self.tracker.stop_gang(task.step, end.attempt, "a member ended")
         self._enqueue(task.step, now)
 
-    def _run_refused(self, refusal: RunRefused, now: float) -> None:
+    def _handle_run_refused(self, refusal: RunRefused, now: float) -> None:
         task = refusal.task
         host = self.tracker.hosts.get(refusal.host)
         if refusal.reason is Refusal.NO_TICKET:
             task.step.approvals.tickets.pop(refusal.host, None)
-        elif refusal.reason in HOST_REFUSALS and host is not None:
-            host.blocked_until = max(host.blocked_until, now + REFUSED_PAUSE_S)
+        elif refusal.reason in HOST_STATE_REFUSALS and host is not None:
+            host.blocked_until = max(host.blocked_until, now + REFUSAL_BACKOFF_S)
         if task.step.job.phase.final or task.done:
             return
         self._ejector.neither(refusal.host, task.step.job.id)
@@ -469,19 +475,19 @@
             self.tracker.stop_gang(task.step, refusal.attempt, "a member was not started")
         self._enqueue(task.step, now)
 
-    def _task_done(self, task: Task, now: float) -> None:
+    def _complete_task(self, task: Task, now: float) -> None:
         step = task.step
         job = step.job
         # A gang is done as soon as one of its members is done.
         for member in step.tasks if step.req.gang else [task]:
-            self._set_done(member)
-        self._mark(job)
+            self._mark_done(member)
+        self._mark_dirty(job)
         if step.done:
             self.waiting.discard(step)
-            self._open_steps(job, now)
+            self._queue_ready_steps(job, now)
             self._finish_if_done(job)
 
-    def _set_done(self, task: Task) -> None:
+    def _mark_done(self, task: Task) -> None:
         if task.done:
             return
         task.done = True
@@ -494,28 +500,30 @@
         elif not task.step.req.gang:
             self.tracker.stop(run, "the task is done")
 
-    def _settle(self, now: float) -> None:
+    def _resume_inherited_jobs(self, now: float) -> None:
         """Resume the inherited jobs that no unconfirmed host can still be running."""
-        if not self._unsettled:
+        if not self._unresolved_jobs:
             return
-        self.succession.pass_time(now)
-        for job in [job for job in self._unsettled.values() if self.succession.settled(job.id)]:
-            del self._unsettled[job.id]
+        self.succession.expire(now)
+        for job in [
+            job for job in self._unresolved_jobs.values() if self.succession.may_resume(job.id)
+        ]:
+            del self._unresolved_jobs[job.id]
             for step in job.steps():
                 # An earlier owner may have failed after it had started only some members of a gang.
                 for attempt in step.incomplete_attempts():
                     self.tracker.stop_gang(step, attempt, "the gang was found incomplete")
                 if step in self.waiting:
-                    self._candidates.touch(step)
+                    self._candidates.include(step)
 
     @property
     def settled(self) -> bool:
         """Whether no inherited job waits for unconfirmed hosts."""
-        return not self._unsettled
+        return not self._unresolved_jobs
 
     def _stop_hung(self, host: Host, now: float) -> None:
         for run in hung_runs(host, now):
-            host.blocked_until = max(host.blocked_until, now + HUNG_PAUSE_S)
+            host.blocked_until = max(host.blocked_until, now + HUNG_TASK_BACKOFF_S)
             self.tracker.stop(run, "no progress")
 
     # ------------------------------------------------------------ steps and jobs
@@ -524,24 +532,24 @@
         job = self.jobs.get(id.job)
         return job.step(id) if job is not None and not job.phase.final else None
 
-    def _open_steps(self, job: Job, now: float) -> None:
+    def _queue_ready_steps(self, job: Job, now: float) -> None:
         """Queue the steps whose predecessors are all done."""
         if job.phase.final:
             return
-        for step in job.open_steps(now):
+        for step in job.take_ready_steps(now):
             self._enqueue(step, now)
 
     def _enqueue(self, step: Step, now: float) -> None:
         if step.ready_at is None or step.job.phase.final or step.done:
             return
         self.waiting.add(step, now)
-        self._candidates.touch(step)
+        self._candidates.include(step)
 
-    def _note_start(self, job: Job) -> None:
+    def _mark_started(self, job: Job) -> None:
         if not job.started:
             job.started = True
             job.phase = JobPhase.RUNNING
-            self._mark(job)
+            self._mark_dirty(job)
 
     def _finish_if_done(self, job: Job) -> None:
         if not job.phase.final and job.all_done:
@@ -557,7 +565,7 @@
                 self.tracker.release(run)
             elif not run.task.done:
                 self.tracker.stop(run, reason)
-        self._mark(job)
+        self._mark_dirty(job)
 
-    def _mark(self, job: Job) -> None:
+    def _mark_dirty(self, job: Job) -> None:
         self.dirty[job.id] = job
--- a/rhubarbferry/dispatch/evacuation.py
+++ b/rhubarbferry/dispatch/evacuation.py
@@ -9,14 +9,14 @@
 # A run is stopped at once if its remaining time exceeds the remaining time of its host by this
 # factor plus this margin. The tolerance is needed because the estimate of a run's remaining time is
 # accurate to a few tenths at best, and less so if it is based on the client's estimate.
-TOO_LONG_TIMES = 1.5
-TOO_LONG_S = 0.5
+OVERRUN_FACTOR = 1.5
+OVERRUN_MARGIN_S = 0.5
 # This long before the host leaves, every run that will not end in time is stopped. Reporting a stop
 # takes time, and the host's entry in the host list may be out of date.
-LAST_CALL_S = 1.5
+FINAL_STOP_LEAD_S = 1.5
 
 
-def runs_to_leave(host: Host, now: float) -> list[Run]:
+def runs_to_stop(host: Host, now: float) -> list[Run]:
     """Return the runs to stop on a draining host.
 
     A run that is still active when its host leaves loses all work since its last checkpoint. As a
@@ -26,14 +26,14 @@
     """
     if host.entry.phase is not HostPhase.DRAINING or host.leaves_at is None:
         return []
-    stays_s = max(0.0, host.leaves_at - now)
-    return [run for run in host.runs.values() if _must_leave(run, stays_s, now)]
+    host_remaining_s = max(0.0, host.leaves_at - now)
+    return [run for run in host.runs.values() if _must_stop(run, host_remaining_s, now)]
 
 
-def _must_leave(run: Run, stays_s: float, now: float) -> bool:
+def _must_stop(run: Run, host_remaining_s: float, now: float) -> bool:
     if run.phase is not RunPhase.RUNNING or run.stopping or run.task.run is not run:
         return False
-    left_s = run.left_s(now)
-    if left_s > TOO_LONG_TIMES * stays_s + TOO_LONG_S:
+    remaining_s = run.remaining_s(now)
+    if remaining_s > OVERRUN_FACTOR * host_remaining_s + OVERRUN_MARGIN_S:
         return True
-    return stays_s <= LAST_CALL_S and left_s > stays_s
+    return host_remaining_s <= FINAL_STOP_LEAD_S and remaining_s > host_remaining_s
--- a/rhubarbferry/dispatch/hosts.py
+++ b/rhubarbferry/dispatch/hosts.py
@@ -41,7 +41,7 @@
 LOOK_S = 0.7
 LONGEST_LOOK_S = 1.4
 # Latency of the answers, added to the wait time of two polls.
-SILENT_MARGIN_S = 0.1
+POLL_LATENCY_MARGIN_S = 0.1
 
 RunKey = tuple[TaskId, int]
 
@@ -115,7 +115,7 @@
 
         A silent host may be down or partitioned, so it receives no new tasks.
         """
-        return 2 * self.look_s + SILENT_MARGIN_S
+        return 2 * self.look_s + POLL_LATENCY_MARGIN_S
 
     def takes_tasks(self, now: float) -> bool:
         """Return whether it accepts a task now."""
@@ -144,7 +144,7 @@
         self.held_until_s = max(self.held_until_s, until)
         return until
 
-    def note_leaving(self, now: float) -> None:
+    def update_leaves_at(self, now: float) -> None:
         """Update :attr:`leaves_at` from its entry in the host list."""
         if self.entry.phase is not HostPhase.DRAINING:
             self.leaves_at = None
@@ -162,7 +162,7 @@
         if self.runs.pop((run.task.id, run.attempt), None) is not None:
             self.used = self.used.minus(run.task.step.req.room)
 
-    def note_report(
+    def record_report(
         self, report: HostReport, *, sent_at: float, now: float, lease_s: float
     ) -> None:
         """Record the time and the clock reading of a report.
@@ -176,7 +176,7 @@
             self.held_until_s = max(self.held_until_s, report.clock_s + lease_s)
         self.clock = HostClock(clock_s=report.clock_s, sent_at=sent_at, received_at=now)
 
-    def leases_lapsed(self, now: float) -> bool:
+    def leases_expired(self, now: float) -> bool:
         """Return whether all task leases requested from it have certainly expired.
 
         A silent host may be partitioned and still run its tasks. They may start elsewhere only
--- a/rhubarbferry/dispatch/hung.py
+++ b/rhubarbferry/dispatch/hung.py
@@ -9,8 +9,8 @@
 # A run hangs if its progress has not changed for the first of these times, or for the time that the
 # second, a percentage of its work, takes if that is longer. Progress is reported in whole percent,
 # and estimates may be far too low.
-HUNG_S = 2.5
-HUNG_PERCENT = 4.0
+MIN_HUNG_TIMEOUT_S = 2.5
+HUNG_TIMEOUT_PERCENT = 4.0
 
 
 def hung_runs(host: Host, now: float) -> list[Run]:
@@ -24,7 +24,7 @@
 def _is_hung(run: Run, now: float) -> bool:
     if run.phase is not RunPhase.RUNNING or run.stopping or run.task.run is not run:
         return False
-    if run.task.step.req.lasting or now - run.progress_at < _patience_s(run):
+    if run.task.step.req.lasting or now - run.progress_at < _hung_timeout_s(run):
         return False
     if run.task.step.req.filling and run.pace != FULL_PERCENT:
         # A filling task makes little or no progress while its pace is reduced.
@@ -32,22 +32,23 @@
     return not _waits_for_gang(run, now)
 
 
-def _patience_s(run: Run) -> float:
+def _hung_timeout_s(run: Run) -> float:
     """Return how long the progress of a run may stay unchanged."""
     length_s = run.task.step.req.estimate_s
     if run.percent > 0:
         length_s = max(length_s, (run.progress_at - run.ordered_at) * 100 / run.percent)
-    return max(HUNG_S, length_s * HUNG_PERCENT / 100)
+    return max(MIN_HUNG_TIMEOUT_S, length_s * HUNG_TIMEOUT_PERCENT / 100)
 
 
 def _waits_for_gang(run: Run, now: float) -> bool:
-    """Return whether a run may make no progress because other members of its gang have not started.
-    """
+    """Return whether a run waits for members of its gang that have not started yet."""
     step = run.task.step
     if not step.req.gang:
         return False
     runs = [task.run for task in step.tasks]
     return any(
-        other is None or other.phase is not RunPhase.RUNNING or now - other.ordered_at < HUNG_S
+        other is None
+        or other.phase is not RunPhase.RUNNING
+        or now - other.ordered_at < MIN_HUNG_TIMEOUT_S
         for other in runs
     )
--- a/rhubarbferry/dispatch/job.py
+++ b/rhubarbferry/dispatch/job.py
@@ -16,11 +16,11 @@
     StepRequest,
     TaskId,
 )
-from rhubarbferry.dispatch.objective import Standing, Urgency, standing, tails
+from rhubarbferry.dispatch.objective import Urgency, UrgencyPeriod, classify_urgency, critical_paths
 
 # From this progress on, the remaining time of a run is extrapolated from its progress; below it,
 # the estimate of the client is used.
-TELLING_PERCENT = 10.0
+MIN_EXTRAPOLATION_PERCENT = 10.0
 
 
 class JobPhase(StrEnum):
@@ -62,7 +62,7 @@
         a running task, at which it was last known to run.
     :param percent: last reported progress.
     :param progress_at: when ``percent`` last changed.
-    :param tail_s: last reported tail latency of the task's users, for a serving task.
+    :param tail_latency_s: last reported tail latency of the task's users, for a serving task.
     :param pace: processor share in percent that the host has confirmed; ``None`` for an adopted
         run, whose pace an earlier owner may have changed.
     :param pace_sent_at: when the last pace order was sent.
@@ -80,13 +80,13 @@
     progress_at: float = 0.0
     stopping: bool = False
     stop_sent_at: float | None = None
-    tail_s: float = 0.0
+    tail_latency_s: float = 0.0
     pace: int | None = None
     pace_sent_at: float = -math.inf
     order: StartOrder | None = None
     unanswered: bool = False
 
-    def left_s(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Return the estimated remaining time; 0 for a run that is being stopped."""
         if self.stopping:
             return 0.0
@@ -94,7 +94,7 @@
             # A lasting task reports 100 percent once it is up, and runs until its job is cancelled.
             return math.inf
         spent_s = now - self.ordered_at
-        if self.percent >= TELLING_PERCENT:
+        if self.percent >= MIN_EXTRAPOLATION_PERCENT:
             return spent_s * (100.0 - self.percent) / self.percent
         return max(0.0, self.task.step.req.estimate_s - spent_s)
 
@@ -122,7 +122,7 @@
         """Return the next attempt number, higher than any that an owner has used."""
         return max(self.attempt + 1, self.step.job.first_attempt)
 
-    def has_failed(self, attempt: int) -> bool:
+    def record_failure(self, attempt: int) -> bool:
         """Record a failed attempt; return whether the job fails because of it."""
         if self.step.req.lasting:
             return False
@@ -133,7 +133,7 @@
         return len(failed) >= self.step.job.queue.attempts
 
     @property
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Whether it is not done and has no run."""
         return not self.done and self.run is None
 
@@ -166,8 +166,7 @@
         return max(task.next_attempt() for task in self.tasks)
 
     def gang_checkpoint(self) -> str | None:
-        """Return the checkpoint that all members of a gang resume from; ``None`` if it is no gang.
-        """
+        """Return the common checkpoint of a gang's members, or ``None`` if it is no gang."""
         if not self.req.gang:
             return None
         return max((task.checkpoint for task in self.tasks), default="")
@@ -175,12 +174,12 @@
     def incomplete_attempts(self) -> set[int]:
         """Return the attempts of a gang in which only some members have a run."""
         attempts = {task.run.attempt for task in self.tasks if task.run is not None}
-        whole = len(attempts) == 1 and not self.waiting()
+        whole = len(attempts) == 1 and not self.waiting_tasks()
         return attempts if self.req.gang and not whole else set()
 
-    def waiting(self) -> list[Task]:
+    def waiting_tasks(self) -> list[Task]:
         """Return the tasks that are not done and have no run."""
-        return [task for task in self.tasks if task.waits]
+        return [task for task in self.tasks if task.is_waiting]
 
 
 @define(kw_only=True, eq=False, slots=True)
@@ -220,25 +219,26 @@
     occurrences: dict[int, Occurrence] = Factory(dict)
     next_occurrence: int = 0
     started: bool = False
-    tails: tuple[float, ...] = field(init=False)
+    critical_paths: tuple[float, ...] = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.tails = tails(self.req.steps)
+        self.critical_paths = critical_paths(self.req.steps)
 
     @property
     def objective_s(self) -> float:
-        """Time within which it should be done, counted from its arrival or from the time it is due.
-        """
-        return self.queue.slack_factor * max(self.tails, default=0.0) + self.queue.objective_s
+        """Time within which it should be done, counted from its arrival or due time."""
+        return (
+            self.queue.slack_factor * max(self.critical_paths, default=0.0) + self.queue.objective_s
+        )
 
-    def standing(self, step: Step, now: float) -> Standing:
+    def urgency(self, step: Step, now: float) -> UrgencyPeriod:
         """Return the urgency of one of its steps."""
         if step.req.lasting:
-            return Standing(urgency=Urgency.IN_TIME, until=math.inf)
-        return standing(
+            return UrgencyPeriod(urgency=Urgency.IN_TIME, until=math.inf)
+        return classify_urgency(
             due_at=self.occurrences[step.id.occurrence].due_at,
             objective_s=self.objective_s,
-            tail_s=self.tails[step.id.step],
+            critical_path_s=self.critical_paths[step.id.step],
             now=now,
         )
 
@@ -250,7 +250,7 @@
     def add_occurrence(self, number: int, now: float) -> Occurrence:
         """Create the steps and tasks of one occurrence."""
         steps = [
-            make_step(self, StepId(job=self.id, occurrence=number, step=index), req)
+            create_step(self, StepId(job=self.id, occurrence=number, step=index), req)
             for index, req in enumerate(self.req.steps)
         ]
         due_at = now if self.req.times else self.arrived_at
@@ -258,7 +258,7 @@
         self.occurrences[number] = occurrence
         return occurrence
 
-    def make_due(self, now: float, wall_s: float) -> None:
+    def create_due_occurrences(self, now: float, wall_s: float) -> None:
         """Create the occurrences of a repeated job that are due."""
         while self.next_occurrence < self.req.times:
             number = self.next_occurrence
@@ -268,7 +268,7 @@
             if number not in self.occurrences:
                 self.add_occurrence(number, now)
 
-    def open_steps(self, now: float) -> list[Step]:
+    def take_ready_steps(self, now: float) -> list[Step]:
         """Mark the steps whose preceding steps are all done as ready, and return the new ones."""
         opened = []
         for occurrence in self.occurrences.values():
@@ -309,7 +309,7 @@
         return [task.run for step in self.steps() for task in step.tasks if task.run is not None]
 
 
-def make_step(job: Job, id: StepId, req: StepRequest) -> Step:
+def create_step(job: Job, id: StepId, req: StepRequest) -> Step:
     """Create a step with its tasks."""
     step = Step(job=job, id=id, req=req)
     step.tasks = [
--- a/rhubarbferry/dispatch/messages.py
+++ b/rhubarbferry/dispatch/messages.py
@@ -360,7 +360,7 @@
 class PaceOrder:
     """Limit the processor share of one attempt of a task. Its memory stays allocated.
 
-    :param percent: share of its full speed, 0 to 100.
+    :param percent: share of its full speed, 0 to 100; a task starts at 100.
     """
 
     host: str
--- a/rhubarbferry/dispatch/objective.py
+++ b/rhubarbferry/dispatch/objective.py
@@ -9,8 +9,8 @@
 
 from rhubarbferry.dispatch.messages import StepRequest
 
-# A job that ends within this multiple of its objective is late; after that its result has no value
-# to the client.
+# A job that ends within this multiple of its objective counts as late; after that its client is
+# assumed to have stopped waiting for it.
 LATE_FACTOR = 3.0
 
 
@@ -19,8 +19,8 @@
 
     After an outage or in a burst, more steps wait than can be done in time. If they were scheduled
     in the order of their arrival, every job would wait until it is late. So steps that can still be
-    done in time are scheduled first, then late ones, and those that have missed their objective for
-    good last.
+    done in time come first, then those that can still be done late, and last those that can no
+    longer end before their clients stop waiting.
     """
 
     IN_TIME = 0
@@ -29,14 +29,14 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Standing:
+class UrgencyPeriod:
     """Urgency of a step and the time until which it applies (``inf`` for good)."""
 
     urgency: Urgency
     until: float
 
 
-def tails(steps: Sequence[StepRequest]) -> tuple[float, ...]:
+def critical_paths(steps: Sequence[StepRequest]) -> tuple[float, ...]:
     """Return for each step the longest chain of estimates from its start to the end of the job."""
     found = [step.estimate_s for step in steps]
     # Steps depend on earlier ones only, so in reverse order each step is processed after all steps
@@ -47,17 +47,19 @@
     return tuple(found)
 
 
-def standing(*, due_at: float, objective_s: float, tail_s: float, now: float) -> Standing:
+def classify_urgency(
+    *, due_at: float, objective_s: float, critical_path_s: float, now: float
+) -> UrgencyPeriod:
     """Return the urgency of a step.
 
     :param due_at: when its job was accepted or its occurrence was due.
     :param objective_s: time after ``due_at`` within which the job should be done.
-    :param tail_s: expected time from the step's start to the end of its job.
+    :param critical_path_s: expected time from the step's start to the end of its job.
     """
-    in_time_until = due_at + objective_s - tail_s
+    in_time_until = due_at + objective_s - critical_path_s
     if now <= in_time_until:
-        return Standing(urgency=Urgency.IN_TIME, until=in_time_until)
-    late_until = due_at + LATE_FACTOR * objective_s - tail_s
+        return UrgencyPeriod(urgency=Urgency.IN_TIME, until=in_time_until)
+    late_until = due_at + LATE_FACTOR * objective_s - critical_path_s
     if now <= late_until:
-        return Standing(urgency=Urgency.LATE, until=late_until)
-    return Standing(urgency=Urgency.MISSED, until=float("inf"))
+        return UrgencyPeriod(urgency=Urgency.LATE, until=late_until)
+    return UrgencyPeriod(urgency=Urgency.MISSED, until=float("inf"))
--- a/rhubarbferry/dispatch/pacing.py
+++ b/rhubarbferry/dispatch/pacing.py
@@ -17,27 +17,27 @@
 from rhubarbferry.dispatch.messages import FULL_PERCENT, PaceOrder
 
 # Below this pace filling tasks do no useful work, so they are paused.
-LEAST_PERCENT = 5
+MIN_PACE_PERCENT = 5
 # Filling tasks are slowed down above this ratio of tail latency to goal. It is below 1 because the
 # reported latency covers only the last half second, which makes it inaccurate, and a change of pace
 # takes another tenth of a second to apply.
-SLOW_AT = 0.9
+SLOW_DOWN_RATIO = 0.9
 # Filling tasks are paused at once above this ratio; halving their pace repeatedly would take three
 # polls of the host.
-STOP_AT = 1.5
+PAUSE_RATIO = 1.5
 # Filling tasks are sped up below this ratio.
-FASTER_AT = 0.7
-HALVE = 0.5
+SPEED_UP_RATIO = 0.7
+SLOW_DOWN_FACTOR = 0.5
 # Increment of the pace; ten increments restore the full pace.
-RAISE_PERCENT = 10
+PACE_INCREMENT_PERCENT = 10
 # Minimum interval between two changes of pace, so that the host's reports show the effect of the
 # first.
-SETTLE_S = 0.6
+MIN_CHANGE_INTERVAL_S = 0.6
 # Minimum time between a reduction of the pace and the next increase, since the users of the serving
 # tasks see the latency of every increase that comes too early.
-CALM_S = 3.0
+SPEED_UP_DELAY_S = 3.0
 # A pace order without an answer is sent again after this interval.
-AGAIN_S = 0.5
+PACE_RETRY_INTERVAL_S = 0.5
 
 
 @define(kw_only=True, eq=False, slots=True)
@@ -56,37 +56,37 @@
     _changed_at: float = -math.inf
     _lowered_at: float = -math.inf
 
-    def note_report(self, host: Host, now: float) -> list[PaceOrder]:
+    def record_report(self, host: Host, now: float) -> list[PaceOrder]:
         """Return the pace orders that follow from a report of the host."""
-        filling = [run for run in host.runs.values() if _fills(run)]
-        tail = _worst_tail(host.runs.values())
-        if tail is not None and now - self._changed_at >= SETTLE_S:
-            self._change(self._wanted(tail), now)
-        elif tail is None:
+        filling = [run for run in host.runs.values() if _is_active_filling(run)]
+        latency_ratio = _max_latency_ratio(host.runs.values())
+        if latency_ratio is not None and now - self._changed_at >= MIN_CHANGE_INTERVAL_S:
+            self._change(self._target_percent(latency_ratio), now)
+        elif latency_ratio is None:
             # No task on this host serves users.
             self.percent = FULL_PERCENT
         return [order for run in filling if (order := self._order(run, now)) is not None]
 
-    def _change(self, wanted: int, now: float) -> None:
-        if wanted < self.percent:
+    def _change(self, target_percent: int, now: float) -> None:
+        if target_percent < self.percent:
             self._lowered_at = now
-        elif wanted == self.percent or now - self._lowered_at < CALM_S:
+        elif target_percent == self.percent or now - self._lowered_at < SPEED_UP_DELAY_S:
             return
-        self.percent = wanted
+        self.percent = target_percent
         self._changed_at = now
 
-    def _wanted(self, tail: float) -> int:
-        if tail > STOP_AT:
+    def _target_percent(self, latency_ratio: float) -> int:
+        if latency_ratio > PAUSE_RATIO:
             return 0
-        if tail > SLOW_AT:
-            lower = int(self.percent * HALVE)
-            return lower if lower >= LEAST_PERCENT else 0
-        if tail < FASTER_AT:
-            return min(FULL_PERCENT, self.percent + RAISE_PERCENT)
+        if latency_ratio > SLOW_DOWN_RATIO:
+            reduced = int(self.percent * SLOW_DOWN_FACTOR)
+            return reduced if reduced >= MIN_PACE_PERCENT else 0
+        if latency_ratio < SPEED_UP_RATIO:
+            return min(FULL_PERCENT, self.percent + PACE_INCREMENT_PERCENT)
         return self.percent
 
     def _order(self, run: Run, now: float) -> PaceOrder | None:
-        if run.pace == self.percent or now - run.pace_sent_at < AGAIN_S:
+        if run.pace == self.percent or now - run.pace_sent_at < PACE_RETRY_INTERVAL_S:
             return None
         run.pace_sent_at = now
         return PaceOrder(host=run.host, task=run.task.id, attempt=run.attempt, percent=self.percent)
@@ -100,12 +100,12 @@
     _hosts: WeakKeyDictionary[Host, HostPace] = Factory(WeakKeyDictionary)
     _orders: list[PaceOrder] = Factory(list)
 
-    def note_report(self, host: Host, now: float) -> None:
+    def record_report(self, host: Host, now: float) -> None:
         """Update the pace of a host from its latest report."""
         pace = self._hosts.get(host)
         if pace is None:
             pace = self._hosts[host] = HostPace()
-        self._orders += pace.note_report(host, now)
+        self._orders += pace.record_report(host, now)
 
     def may_fill(self, host: Host) -> bool:
         """Return whether a host can run another filling task."""
@@ -118,11 +118,11 @@
         return orders
 
 
-def _fills(run: Run) -> bool:
+def _is_active_filling(run: Run) -> bool:
     return run.task.step.req.filling and run.phase is RunPhase.RUNNING and not run.stopping
 
 
-def _worst_tail(runs: Iterable[Run]) -> float | None:
+def _max_latency_ratio(runs: Iterable[Run]) -> float | None:
     """Return the highest ratio of tail latency to its goal; ``None`` if no task serves users."""
     serving = [run for run in runs if run.task.step.req.goal_s and run.phase is RunPhase.RUNNING]
-    return max((run.tail_s / run.task.step.req.goal_s for run in serving), default=None)
+    return max((run.tail_latency_s / run.task.step.req.goal_s for run in serving), default=None)
--- a/rhubarbferry/dispatch/holds.py
+++ b/rhubarbferry/dispatch/preemption.py
@@ -10,20 +10,20 @@
 from rhubarbferry.dispatch.hosts import Host
 from rhubarbferry.dispatch.job import Run, RunPhase, Step
 from rhubarbferry.dispatch.messages import Sizes
-from rhubarbferry.dispatch.placement import could_run, slots_on
-from rhubarbferry.dispatch.waiting import Order
+from rhubarbferry.dispatch.placement import free_slots, is_eligible
+from rhubarbferry.dispatch.waiting import Position
 
 # A preempted task stops within a second, and its end is reported soon after. Room that the step has
 # not used by this timeout is released to other steps.
-HOLD_S = 2.5
+HOLD_TIMEOUT_S = 2.5
 # Minimum time between the expiry of an unused hold and the next hold for the same step.
-HOLD_PAUSE_S = 1.0
+HOLD_RETRY_INTERVAL_S = 1.0
 # Tasks whose expected remaining time is at most this are not preempted; the step waits for them.
-DRAIN_S = 2.0
+MIN_REMAINING_TO_PREEMPT_S = 2.0
 # Cost of one preempted run when hosts are compared, expressed as time that the step waits.
-VICTIM_COST_S = 0.5
-# Maximum share of all hosts that may be held at one time.
-MOST_HELD_SHARE = 0.5
+PREEMPTION_COST_S = 0.5
+# Maximum share of all hosts that may be held for gangs and urgent steps at one time.
+MAX_HELD_SHARE = 0.5
 
 
 @frozen(kw_only=True, slots=True)
@@ -40,7 +40,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class _Offer:
+class _HostOption:
     """The room that a host could provide for a step.
 
     :param slots: number of tasks of the step that would fit.
@@ -57,11 +57,11 @@
     def cost(self) -> tuple[float, str]:
         """Sort key: the cost to free one slot, then the host's id."""
         longest = self.ending[-1][0] if self.ending else 0.0
-        return (longest + VICTIM_COST_S * len(self.victims) / self.slots, self.host.id)
+        return (longest + PREEMPTION_COST_S * len(self.victims) / self.slots, self.host.id)
 
 
 @frozen(kw_only=True, slots=True)
-class _Share:
+class _Selection:
     """The runs to preempt on one host, and how long to wait for the runs that end by themselves."""
 
     victims: tuple[Run, ...]
@@ -73,7 +73,7 @@
     """All current holds."""
 
     _holds: dict[Step, Hold] = Factory(dict)
-    _not_before: dict[Step, float] = Factory(dict)
+    _retry_at: dict[Step, float] = Factory(dict)
 
     def __bool__(self) -> bool:
         return bool(self._holds)
@@ -89,27 +89,31 @@
 
     def expire(self, now: float) -> bool:
         """Release the holds that have timed out; return whether there were any."""
-        over = [step for step, hold in self._holds.items() if now >= hold.until]
-        for step in over:
+        expired = [step for step, hold in self._holds.items() if now >= hold.until]
+        for step in expired:
             del self._holds[step]
-            self._not_before[step] = now + HOLD_PAUSE_S
+            self._retry_at[step] = now + HOLD_RETRY_INTERVAL_S
         # All retry intervals have the same length, so the entries are sorted by the time they end.
-        while self._not_before:
-            step, until = next(iter(self._not_before.items()))
+        while self._retry_at:
+            step, until = next(iter(self._retry_at.items()))
             if now < until:
                 break
-            del self._not_before[step]
-        return bool(over)
+            del self._retry_at[step]
+        return bool(expired)
 
-    def kept(self, *, but: Step) -> dict[str, Sizes]:
+    def held_room(self, *, excluding: Step) -> dict[str, Sizes]:
         """Return the room held on each host for other steps."""
-        return _sum(hold for step, hold in self._holds.items() if step is not but)
+        return _sum_held_room(hold for step, hold in self._holds.items() if step is not excluding)
 
-    def kept_from(self, order: Order, orders: Mapping[Step, Order]) -> dict[str, Sizes]:
-        """Return the room held on each host for steps that precede ``order``."""
-        return _sum(hold for step, hold in self._holds.items() if orders.get(step, order) < order)
+    def room_held_before(
+        self, position: Position, positions: Mapping[Step, Position]
+    ) -> dict[str, Sizes]:
+        """Return the room held on each host for steps that precede ``position``."""
+        return _sum_held_room(
+            hold for step, hold in self._holds.items() if positions.get(step, position) < position
+        )
 
-    def make_room(self, step: Step, hosts: Iterable[Host], *, total: int, now: float) -> list[Run]:
+    def hold_room(self, step: Step, hosts: Iterable[Host], *, total: int, now: float) -> list[Run]:
         """Hold room for the waiting tasks of a step; return the runs to preempt for it.
 
         A gang needs room for all its tasks at once. In a cell where small tasks take all room that
@@ -120,65 +124,73 @@
         :param hosts: hosts that may run the step now.
         :param total: total number of hosts.
         """
-        if step in self._holds or step in self._not_before:
+        if step in self._holds or step in self._retry_at:
             return []
         held = {id for hold in self._holds.values() for id in hold.slots}
-        slack_s = step.job.standing(step, now).until - now
-        drain_s = max(DRAIN_S, slack_s) if slack_s < math.inf else DRAIN_S
-        offers = [_offer(step, host, drain_s, now) for host in hosts if host.id not in held]
-        offers = sorted((offer for offer in offers if offer.slots > 0), key=lambda o: o.cost)
-        wanted = len(step.waiting())
+        slack_s = step.job.urgency(step, now).until - now
+        max_wait_s = (
+            max(MIN_REMAINING_TO_PREEMPT_S, slack_s)
+            if slack_s < math.inf
+            else MIN_REMAINING_TO_PREEMPT_S
+        )
+        options = [
+            _host_option(step, host, max_wait_s, now) for host in hosts if host.id not in held
+        ]
+        options = sorted(
+            (option for option in options if option.slots > 0), key=lambda option: option.cost
+        )
+        wanted = len(step.waiting_tasks())
         slots: dict[str, int] = {}
-        shares: list[_Share] = []
-        for offer in offers:
-            if not wanted or len(held) + len(slots) >= MOST_HELD_SHARE * total:
+        selections: list[_Selection] = []
+        for option in options:
+            if not wanted or len(held) + len(slots) >= MAX_HELD_SHARE * total:
                 break
-            taken = min(wanted, offer.slots)
-            slots[offer.host.id] = taken
-            shares.append(_share(step, offer, taken))
+            taken = min(wanted, option.slots)
+            slots[option.host.id] = taken
+            selections.append(_select_runs(step, option, taken))
             wanted -= taken
         if not slots or (wanted and step.req.gang):
-            self._not_before[step] = now + HOLD_PAUSE_S
+            self._retry_at[step] = now + HOLD_RETRY_INTERVAL_S
             return []
-        wait_s = max(share.wait_s for share in shares)
-        self._holds[step] = Hold(step=step, slots=slots, until=now + HOLD_S + wait_s)
-        return [run for share in shares for run in share.victims]
+        wait_s = max(selection.wait_s for selection in selections)
+        self._holds[step] = Hold(step=step, slots=slots, until=now + HOLD_TIMEOUT_S + wait_s)
+        return [run for selection in selections for run in selection.victims]
 
 
-def _sum(holds: Iterable[Hold]) -> dict[str, Sizes]:
-    kept: dict[str, Sizes] = {}
+def _sum_held_room(holds: Iterable[Hold]) -> dict[str, Sizes]:
+    held_room: dict[str, Sizes] = {}
     for hold in holds:
         for id, slots in hold.slots.items():
-            kept[id] = kept.get(id, Sizes()).plus(hold.step.req.room.times(slots))
-    return kept
+            held_room[id] = held_room.get(id, Sizes()).plus(hold.step.req.room.times(slots))
+    return held_room
 
 
-def _offer(step: Step, host: Host, drain_s: float, now: float) -> _Offer:
-    if not could_run(step, host):
-        return _Offer(host=host, slots=0, ending=(), victims=())
+def _host_option(step: Step, host: Host, max_wait_s: float, now: float) -> _HostOption:
+    if not is_eligible(step, host):
+        return _HostOption(host=host, slots=0, ending=(), victims=())
     ending: list[tuple[float, Run]] = []
     victims: list[Run] = []
     room = host.room
     for run in host.runs.values():
-        left_s = run.left_s(now)
-        if left_s > DRAIN_S and _gives_way(run, step):
+        remaining_s = run.remaining_s(now)
+        if remaining_s > MIN_REMAINING_TO_PREEMPT_S and _can_preempt(run, step):
             victims.append(run)
-        elif left_s <= drain_s:
-            ending.append((left_s, run))
+        elif remaining_s <= max_wait_s:
+            ending.append((remaining_s, run))
         else:
             continue
         room = room.plus(run.task.step.req.room)
     ending.sort(key=lambda pair: pair[0])
     victims.sort(key=lambda run: (-run.task.step.job.queue.priority, run.percent))
-    return _Offer(
+    return _HostOption(
         host=host,
-        slots=slots_on(step, host, room),
+        slots=free_slots(step, host, room),
         ending=tuple(ending),
         victims=tuple(victims),
     )
 
 
-def _gives_way(run: Run, step: Step) -> bool:
+def _can_preempt(run: Run, step: Step) -> bool:
     other = run.task.step
     if other.job.queue.priority <= step.job.queue.priority:
         return False
@@ -188,22 +200,22 @@
     return req.checkpointable and not (req.gang or req.lasting or req.may_miss is not None)
 
 
-def _share(step: Step, offer: _Offer, slots: int) -> _Share:
+def _select_runs(step: Step, option: _HostOption, slots: int) -> _Selection:
     """Select the runs to end so that ``slots`` slots become free.
 
     Runs that are expected to end soon are selected before runs to preempt.
     """
-    room = offer.host.room
+    room = option.host.room
     wait_s = 0.0
     victims: list[Run] = []
-    for left_s, run in offer.ending:
-        if slots_on(step, offer.host, room) >= slots:
+    for remaining_s, run in option.ending:
+        if free_slots(step, option.host, room) >= slots:
             break
         room = room.plus(run.task.step.req.room)
-        wait_s = left_s
-    for run in offer.victims:
-        if slots_on(step, offer.host, room) >= slots:
+        wait_s = remaining_s
+    for run in option.victims:
+        if free_slots(step, option.host, room) >= slots:
             break
         room = room.plus(run.task.step.req.room)
         victims.append(run)
-    return _Share(victims=tuple(victims), wait_s=wait_s)
+    return _Selection(victims=tuple(victims), wait_s=wait_s)
--- a/rhubarbferry/dispatch/questions.py
+++ b/rhubarbferry/dispatch/questions.py
@@ -5,20 +5,20 @@
 from collections.abc import Container, Iterable, Mapping, Sequence
 
 from rhubarbferry.dispatch import reservations
+from rhubarbferry.dispatch.approval_request_size import hosts_to_request
 from rhubarbferry.dispatch.hosts import Host
 from rhubarbferry.dispatch.job import Step
 from rhubarbferry.dispatch.messages import AdviceOrder
 from rhubarbferry.dispatch.placement import eligible_hosts
-from rhubarbferry.dispatch.question_size import hosts_to_name
 
 # Maximum number of hosts in one call; the policy service refuses calls with more. Larger requests
 # are split into several calls.
 HOSTS_PER_CALL = 100
 # Minimum time between a failed approval request and the next one for the same step.
-QUESTION_PAUSE_S = 0.3
+APPROVAL_RETRY_INTERVAL_S = 0.3
 
 
-def next_question(
+def next_approval_request(
     step: Step,
     open_hosts: Sequence[Host],
     hosts: Mapping[str, Host],
@@ -38,35 +38,36 @@
     """
     approvals = step.approvals
     cost = step.job.queue.advice
-    if cost is None or approvals.asking or now < approvals.failed_at + QUESTION_PAUSE_S:
+    if cost is None or approvals.pending or now < approvals.failed_at + APPROVAL_RETRY_INTERVAL_S:
         return None
-    wanted = reservations.hosts_to_ask(step, hosts, now)
+    wanted = reservations.hosts_needing_tickets(step, hosts, now)
     if not wanted:
         wanted = _held_without_ticket(step, hosts, held, now)
-    if not wanted and step.waiting():
-        wanted = _not_asked_about(step, open_hosts, share)
+    if not wanted and step.waiting_tasks():
+        wanted = _undecided_hosts(step, open_hosts, share)
     if not wanted:
         return None
-    approvals.asking.update(wanted)
+    approvals.pending.update(wanted)
     return AdviceOrder(step=step.id, hosts=tuple(wanted), cost=cost)
 
 
-def has_unasked_room(step: Step, open_hosts: Iterable[Host]) -> bool:
-    """Return whether a host that has not been decided on for a step has room for one of its tasks.
-    """
+def has_undecided_room(step: Step, open_hosts: Iterable[Host]) -> bool:
+    """Return whether a host that is neither approved nor denied for a step has room for it."""
     if step.job.queue.advice is None:
         return False
     need = step.req.room
-    unknown = step.approvals.unknown
-    free = [host for host in open_hosts if need.fits(host.room) and unknown(host.id)]
+    is_undecided = step.approvals.is_undecided
+    free = [host for host in open_hosts if need.fits(host.room) and is_undecided(host.id)]
     return bool(eligible_hosts(step, free))
 
 
-def _not_asked_about(step: Step, open_hosts: Sequence[Host], share: float) -> list[str]:
+def _undecided_hosts(step: Step, open_hosts: Sequence[Host], share: float) -> list[str]:
     approvals = step.approvals
-    unknown = [host for host in open_hosts if approvals.unknown(host.id)]
+    undecided = [host for host in open_hosts if approvals.is_undecided(host.id)]
     approved = [host for host in open_hosts if host.id in approvals.approved]
-    return [host.id for host in hosts_to_name(step, eligible_hosts(step, unknown), approved, share)]
+    return [
+        host.id for host in hosts_to_request(step, eligible_hosts(step, undecided), approved, share)
+    ]
 
 
 def _held_without_ticket(
--- a/rhubarbferry/dispatch/reservations.py
+++ b/rhubarbferry/dispatch/reservations.py
@@ -11,10 +11,10 @@
 
 # A reservation without a ticket is released to other steps after twice the expected response time
 # plus this margin. Twice covers a request that failed and was sent again.
-SLACK_S = 1.5
+RESERVATION_MARGIN_S = 1.5
 # A start order is valid for this long on the host's clock; after that the host refuses it. The
 # short validity limits how long the outcome of an unanswered order is unknown.
-START_VALID_S = 1.5
+START_VALIDITY_S = 1.5
 
 
 def ticket(run: Run, hosts: Mapping[str, Host], now: float) -> str | None:
@@ -35,13 +35,13 @@
     return [run for run in runs if run.phase is RunPhase.RESERVED]
 
 
-def redeemable(step: Step, hosts: Mapping[str, Host], now: float) -> list[tuple[Run, str]]:
+def startable(step: Step, hosts: Mapping[str, Host], now: float) -> list[tuple[Run, str]]:
     """Return the reserved runs of a step that can be started, each with its ticket."""
     with_tickets = [(run, ticket(run, hosts, now)) for run in reserved(step)]
     return [(run, found) for run, found in with_tickets if found is not None]
 
 
-def hosts_to_ask(step: Step, hosts: Mapping[str, Host], now: float) -> list[str]:
+def hosts_needing_tickets(step: Step, hosts: Mapping[str, Host], now: float) -> list[str]:
     """Return the hosts on which reserved runs of a step need a ticket, most urgent first.
 
     The members of a gang start together, so all their tickets must be valid at the same time. If
@@ -54,18 +54,22 @@
     if missing and step.req.gang:
         missing = runs
     found = [hosts[id] for id in {run.host for run in missing}]
-    found.sort(key=lambda host: (_lapses_at(step, host), host.id))
+    found.sort(key=lambda host: (_ticket_expires_at(step, host), host.id))
     return [host.id for host in found]
 
 
-def _lapses_at(step: Step, host: Host) -> float:
-    return step.approvals.lapses_at(host.id, host.entry.incarnation)
+def _ticket_expires_at(step: Step, host: Host) -> float:
+    return step.approvals.ticket_expires_at(host.id, host.entry.incarnation)
 
 
 def overdue(step: Step, runs: list[Run], hosts: Mapping[str, Host], now: float) -> list[Run]:
     """Return the reserved runs to release: those that timed out or whose host accepts no tasks."""
     advice = step.job.queue.advice
-    longest_s = 2 * advice.duration_s(len(step.tasks)) + SLACK_S if advice else SLACK_S
+    longest_s = (
+        2 * advice.duration_s(len(step.tasks)) + RESERVATION_MARGIN_S
+        if advice
+        else RESERVATION_MARGIN_S
+    )
     return [
         run
         for run in runs
@@ -73,7 +77,9 @@
     ]
 
 
-def redeem(run: Run, host: Host, ticket: str, checkpoint: str | None, now: float) -> StartOrder:
+def order_start(
+    run: Run, host: Host, ticket: str, checkpoint: str | None, now: float
+) -> StartOrder:
     """Turn a reserved run into an ordered one, and return its start order.
 
     :param checkpoint: checkpoint that all members of a gang resume from; ``None`` to use the task's
@@ -83,7 +89,7 @@
     task = run.task
     run.phase = RunPhase.ORDERED
     run.ordered_at = now
-    run.deadline_s = host.clock.estimate(now) + START_VALID_S
+    run.deadline_s = host.clock.estimate(now) + START_VALIDITY_S
     host.held_until_s = max(host.held_until_s, run.deadline_s)
     task.attempt = run.attempt
     task.step.ever_started = True
--- a/rhubarbferry/dispatch/roster.py
+++ b/rhubarbferry/dispatch/roster.py
@@ -19,7 +19,7 @@
     would be missing from the roster, and the next owner would start that task a second time.
     """
     for host in hosts.values():
-        if host.adopted and _is_closing(host, now):
+        if host.adopted and _is_unavailable(host, now):
             host.closed = True
 
 
@@ -54,7 +54,7 @@
     # A host that has not answered this owner yet keeps the entry that an earlier owner wrote.
     if host is None or not host.adopted:
         return entry
-    if not _is_closing(host, now):
+    if not _is_unavailable(host, now):
         return evolve(entry, outstanding=None)
     if entry.outstanding is not None or not host.closed:
         # No order was sent since the entry was written, so it still covers everything that may run
@@ -65,14 +65,13 @@
     return evolve(entry, outstanding=tuple(sorted(jobs)))
 
 
-def _is_closing(host: Host, now: float) -> bool:
+def _is_unavailable(host: Host, now: float) -> bool:
     leaving = not host.listed or host.entry.phase is HostPhase.DRAINING
     return leaving or now - host.last_report_at >= host.silent_s
 
 
 def follow_record(roster: Mapping[str, RosterEntry], hosts: Mapping[str, Host]) -> None:
-    """Close and reopen hosts according to the stored roster; only an open host may receive orders.
-    """
+    """Close and reopen hosts to match the stored roster; only open hosts may receive orders."""
     for id, entry in roster.items():
         if id in hosts:
             hosts[id].closed = entry.outstanding is not None
--- a/rhubarbferry/dispatch/succession.py
+++ b/rhubarbferry/dispatch/succession.py
@@ -48,16 +48,15 @@
     unconfirmed: dict[str, RosterEntry] = Factory(dict)
     lapsed_at: float
 
-    def note_report(self, id: str) -> None:
-        """Record that a host has answered under the new fence, or that its incarnation has ended.
-        """
+    def record_report(self, id: str) -> None:
+        """Record that a host has answered under the new fence or its incarnation has ended."""
         self.unconfirmed.pop(id, None)
 
-    def pass_time(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Stop waiting for hosts once all earlier leases must have expired."""
         if now >= self.lapsed_at:
             self.unconfirmed.clear()
 
-    def settled(self, job: str) -> bool:
+    def may_resume(self, job: str) -> bool:
         """Return whether no unconfirmed host can be running tasks of a job."""
         return not any(entry.may_run(job) for entry in self.unconfirmed.values())
--- a/rhubarbferry/dispatch/tracker.py
+++ b/rhubarbferry/dispatch/tracker.py
@@ -27,13 +27,13 @@
 from rhubarbferry.dispatch.retries import next_try
 
 # A host lists at most this many ended runs in one report and the rest in later ones.
-ENDS_PER_REPORT = 500
+MAX_ENDS_PER_REPORT = 500
 # A stop order is sent again at this interval while the host still lists the run, since the order or
 # its answer may have been lost.
-STOP_AGAIN_S = 0.7
+STOP_RETRY_INTERVAL_S = 0.7
 # A host that answered an order late or not at all receives no new tasks for this long, so that one
 # faulty host does not attract every task in turn.
-UNANSWERED_PAUSE_S = 0.3
+UNANSWERED_BACKOFF_S = 0.3
 
 
 @frozen(kw_only=True, slots=True)
@@ -65,7 +65,7 @@
     detail: str
 
 
-Outcome = RunEnded | RunRefused
+RunEvent = RunEnded | RunRefused
 
 
 @define(kw_only=True, eq=False)
@@ -87,43 +87,43 @@
 
     # ------------------------------------------------------------ the host list
 
-    def host_listed(self, entry: HostEntry, now: float) -> list[Outcome]:
+    def host_listed(self, entry: HostEntry, now: float) -> list[RunEvent]:
         """Add or update a host from its entry in the host list."""
         host = self.hosts.get(entry.id)
         if host is None:
             host = self.hosts[entry.id] = Host(entry=entry)
-            host.note_leaving(now)
+            host.update_leaves_at(now)
             self.changed.add(entry.id)
             return []
-        outcomes = []
+        events = []
         if entry.incarnation > host.entry.incarnation:
-            outcomes = self._restarted(host, entry)
+            events = self._handle_restart(host, entry)
         elif entry.incarnation == host.entry.incarnation and entry != host.entry:
             host.entry = entry
             self.changed.add(entry.id)
         host.listed = True
-        host.note_leaving(now)
-        return outcomes
+        host.update_leaves_at(now)
+        return events
 
     def host_unlisted(self, id: str) -> None:
         """Record that the host list no longer contains a host, which may still run its tasks."""
         self.hosts[id].listed = False
 
-    def host_gone(self, host: Host) -> list[Outcome]:
+    def host_gone(self, host: Host) -> list[RunEvent]:
         """Record that a host's incarnation has ended, since another one answers at its address."""
         host.listed = False
         host.clock = None
         return [
-            self._over(host, run, EndKind.LAPSED, "the host's life has ended")
+            self._end_run(host, run, EndKind.LAPSED, "the host's life has ended")
             for run in list(host.runs.values())
         ]
 
-    def _restarted(self, host: Host, entry: HostEntry) -> list[Outcome]:
-        outcomes: list[Outcome] = []
+    def _handle_restart(self, host: Host, entry: HostEntry) -> list[RunEvent]:
+        events: list[RunEvent] = []
         for run in list(host.runs.values()):
-            settled = run.phase is RunPhase.RUNNING and not run.unanswered
-            if settled or run.phase is RunPhase.RESERVED:
-                outcomes.append(self._over(host, run, EndKind.LAPSED, "the host started anew"))
+            confirmed = run.phase is RunPhase.RUNNING and not run.unanswered
+            if confirmed or run.phase is RunPhase.RESERVED:
+                events.append(self._end_run(host, run, EndKind.LAPSED, "the host started anew"))
                 continue
             # The new incarnation may carry out the order as well, and its clock starts again, so
             # the deadline does not protect against that. Only a stop that the new incarnation has
@@ -138,43 +138,43 @@
         host.seen_end = host.recorded_end = 0
         host.held_until_s = 0.0
         self.changed.add(host.id)
-        return outcomes
+        return events
 
     # ------------------------------------------------------------ reports of hosts
 
     def reported(
         self, host: Host, report: HostReport, *, sent_at: float, now: float
-    ) -> list[Outcome]:
+    ) -> list[RunEvent]:
         """Update the runs of a host from its report."""
-        outcomes: list[Outcome] = []
+        events: list[RunEvent] = []
         if report.incarnation != host.entry.incarnation:
             if report.incarnation < host.entry.incarnation:
                 return []
             # The host has restarted and its entry in the host list is not up to date yet.
             entry = evolve(host.entry, incarnation=report.incarnation)
-            outcomes += self._restarted(host, entry)
+            events += self._handle_restart(host, entry)
         if host.clock is not None and report.clock_s < host.clock.clock_s:
             # A later report has already arrived over another connection.
-            return outcomes
-        host.note_report(report, sent_at=sent_at, now=now, lease_s=self.lease_s)
+            return events
+        host.record_report(report, sent_at=sent_at, now=now, lease_s=self.lease_s)
         if not host.adopted:
             host.adopted = True
             self.changed.add(host.id)
         for ended in report.ended:
             if ended.number > host.seen_end:
                 host.seen_end = ended.number
-                outcomes += self._ended(host, ended)
+                events += self._handle_end(host, ended)
         listed = {(running.task, running.attempt) for running in report.running}
         host.unknown_runs = {key: at for key, at in host.unknown_runs.items() if key in listed}
         for running in report.running:
-            outcomes += self._running(host, running, report, now)
-        outcomes += self._settle_unlisted(host, report, listed, now)
-        return outcomes
+            events += self._handle_running(host, running, report, now)
+        events += self._end_unlisted(host, report, listed, now)
+        return events
 
-    def _ended(self, host: Host, ended: EndedTask) -> list[Outcome]:
+    def _handle_end(self, host: Host, ended: EndedTask) -> list[RunEvent]:
         run = host.runs.get((ended.task, ended.attempt))
         if run is not None:
-            return [self._over(host, run, ended.how, "", checkpoint=ended.checkpoint)]
+            return [self._end_run(host, run, ended.how, "", checkpoint=ended.checkpoint)]
         task = self.task(ended.task)
         if task is None:
             return []
@@ -182,29 +182,29 @@
             task.checkpoint = ended.checkpoint
         return [RunEnded(task=task, attempt=ended.attempt, how=ended.how, host=host.id)]
 
-    def _running(
+    def _handle_running(
         self, host: Host, running: RunningTask, report: HostReport, now: float
-    ) -> list[Outcome]:
+    ) -> list[RunEvent]:
         run = host.runs.get((running.task, running.attempt))
         if run is None:
-            return self._found(host, running, report, now)
+            return self._adopt_run(host, running, report, now)
         if run.phase is not RunPhase.RUNNING:
             run.phase = RunPhase.RUNNING
             run.progress_at = now
         run.deadline_s = report.clock_s
-        run.tail_s = running.tail_s
+        run.tail_latency_s = running.tail_s
         if running.percent > run.percent or running.percent < run.percent:
             run.percent = running.percent
             run.progress_at = now
         if running.checkpoint and not run.stopping:
             run.task.checkpoint = running.checkpoint
         if run.stopping:
-            self._stop_again(run, now)
+            self._retry_stop(run, now)
         return []
 
-    def _found(
+    def _adopt_run(
         self, host: Host, running: RunningTask, report: HostReport, now: float
-    ) -> list[Outcome]:
+    ) -> list[RunEvent]:
         """Adopt a run that an earlier owner started, or whose order was carried out late."""
         task = self.task(running.task)
         if task is None:
@@ -219,15 +219,15 @@
             deadline_s=report.clock_s,
             percent=running.percent,
             progress_at=now,
-            tail_s=running.tail_s,
+            tail_latency_s=running.tail_s,
         )
         host.add(run)
         task.attempt = max(task.attempt, running.attempt)
         task.step.ever_started = True
-        outcomes: list[Outcome] = []
+        events: list[RunEvent] = []
         other = task.run
         if other is not None and other.phase is RunPhase.RESERVED:
-            outcomes.append(self._drop(other, "a run of the task was found"))
+            events.append(self._release_reservation(other, "a run of the task was found"))
             other = None
         if task.done or (other is not None and other.attempt >= run.attempt):
             self.stop(run, "another run of the task counts")
@@ -237,11 +237,11 @@
             task.run = run
         if running.checkpoint and not task.done:
             task.checkpoint = running.checkpoint
-        return outcomes
+        return events
 
     def _stop_unknown_run(self, host: Host, running: RunningTask, now: float) -> None:
         key = (running.task, running.attempt)
-        if now - host.unknown_runs.get(key, -math.inf) < STOP_AGAIN_S:
+        if now - host.unknown_runs.get(key, -math.inf) < STOP_RETRY_INTERVAL_S:
             return
         host.unknown_runs[key] = now
         self.orders.append(
@@ -253,13 +253,13 @@
             )
         )
 
-    def _settle_unlisted(
+    def _end_unlisted(
         self, host: Host, report: HostReport, listed: set[tuple[TaskId, int]], now: float
-    ) -> list[Outcome]:
+    ) -> list[RunEvent]:
         """End the runs that the host does not list and can no longer start."""
-        if len(report.ended) >= ENDS_PER_REPORT:
+        if len(report.ended) >= MAX_ENDS_PER_REPORT:
             return []
-        outcomes: list[Outcome] = []
+        events: list[RunEvent] = []
         for key, run in list(host.runs.items()):
             if key in listed or run.phase is RunPhase.RESERVED:
                 continue
@@ -267,17 +267,17 @@
             # refuse it; for a run, when it was last known to run. A report made after that time
             # which does not list the run proves that it has ended or will never start.
             if run.phase is not RunPhase.ORDERED and report.clock_s > run.deadline_s:
-                how = "not started in time" if run.phase is RunPhase.UNCLEAR else "not listed"
-                outcomes.append(self._over(host, run, EndKind.LAPSED, how))
+                detail = "not started in time" if run.phase is RunPhase.UNCLEAR else "not listed"
+                events.append(self._end_run(host, run, EndKind.LAPSED, detail))
             elif run.stopping:
-                self._stop_again(run, now)
-        return outcomes
+                self._retry_stop(run, now)
+        return events
 
     # ------------------------------------------------------------ answers to orders
 
     def start_answered(
         self, host: Host, run: Run, result: OrderResult, *, now: float
-    ) -> list[Outcome]:
+    ) -> list[RunEvent]:
         """Process the result of a start order."""
         if host.runs.get((run.task.id, run.attempt)) is not run:
             return []
@@ -329,27 +329,29 @@
     def _note_unclear(self, host: Host, run: Run, now: float) -> None:
         if run.phase is RunPhase.ORDERED:
             run.phase = RunPhase.UNCLEAR
-            host.blocked_until = max(host.blocked_until, now + UNANSWERED_PAUSE_S)
+            host.blocked_until = max(host.blocked_until, now + UNANSWERED_BACKOFF_S)
 
     def stop_answered(self, run: Run, clock_s: float) -> None:
         """Record that a host accepted a stop order; from then on it refuses to start that run."""
         if run.phase is RunPhase.UNCLEAR:
             run.deadline_s = min(run.deadline_s, clock_s)
 
-    # ------------------------------------------------------------ time
+    # ------------------------------------------------------------ leases
 
-    def lapse(self, now: float, *, keep: Container[str] = ()) -> list[Outcome]:
+    def expire_leases(self, now: float, *, keep: Container[str] = ()) -> list[RunEvent]:
         """End the runs whose task leases must have expired, and remove hosts that have left.
 
         :param keep: ids of hosts to keep even if the host list does not contain them.
         """
-        outcomes: list[Outcome] = []
+        events: list[RunEvent] = []
         for host in list(self.hosts.values()):
-            if host.clock is not None and host.leases_lapsed(now):
+            if host.clock is not None and host.leases_expired(now):
                 host.clock = None
                 for run in list(host.runs.values()):
-                    outcomes.append(
-                        self._over(host, run, EndKind.LAPSED, "the host is silent past its leases")
+                    events.append(
+                        self._end_run(
+                            host, run, EndKind.LAPSED, "the host is silent past its leases"
+                        )
                     )
             # An adopted host without runs is idle, even if its leases have not expired. It is
             # removed at once; otherwise the next takeover would wait for a host that has left.
@@ -357,18 +359,17 @@
             gone = not host.listed and not host.runs and (idle or host.clock is None)
             if gone and host.id not in keep:
                 del self.hosts[host.id]
-        return outcomes
+        return events
 
-    def review_opened(self, now: float) -> None:
-        """Mark hosts that accept tasks again as changed, so that waiting steps are tried on them.
-        """
+    def mark_reopened_hosts(self, now: float) -> None:
+        """Mark hosts that accept tasks again as changed, so that waiting steps are tried there."""
         for host in self.hosts.values():
             opened = host.takes_tasks(now)
             if opened and not host.is_open:
                 self.changed.add(host.id)
             host.is_open = opened
 
-    def note_opened(self, now: float) -> None:
+    def update_open_hosts(self, now: float) -> None:
         """Update which of the changed hosts accept tasks."""
         for id in self.changed:
             host = self.hosts.get(id)
@@ -418,7 +419,7 @@
             else:
                 self.stop(run, reason)
 
-    def stop_all_of(self, run: Run, reason: str) -> None:
+    def stop_with_gang(self, run: Run, reason: str) -> None:
         """Stop a run, or the whole gang if it is a member of one."""
         if run.task.step.req.gang:
             self.stop_gang(run.task.step, run.attempt, reason)
@@ -427,12 +428,12 @@
 
     def release(self, run: Run) -> None:
         """Release the room of a reserved run."""
-        self._drop(run, "reservation given up")
+        self._release_reservation(run, "reservation given up")
 
-    def _stop_again(self, run: Run, now: float) -> None:
+    def _retry_stop(self, run: Run, now: float) -> None:
         if run.stop_sent_at is None:
             run.stop_sent_at = now
-        elif now - run.stop_sent_at >= STOP_AGAIN_S:
+        elif now - run.stop_sent_at >= STOP_RETRY_INTERVAL_S:
             run.stop_sent_at = now
             self._send_stop(run, "still listed after a stop")
 
@@ -441,7 +442,7 @@
             StopOrder(host=run.host, task=run.task.id, attempt=run.attempt, reason=reason)
         )
 
-    def _drop(self, run: Run, detail: str) -> RunRefused:
+    def _release_reservation(self, run: Run, detail: str) -> RunRefused:
         host = self.hosts[run.host]
         host.remove(run)
         self.changed.add(host.id)
@@ -451,7 +452,7 @@
             task=run.task, attempt=run.attempt, host=host.id, reason=None, detail=detail
         )
 
-    def _over(
+    def _end_run(
         self, host: Host, run: Run, how: EndKind, detail: str, *, checkpoint: str = ""
     ) -> RunEnded:
         host.remove(run)
--- a/rhubarbferry/dispatch/waiting.py
+++ b/rhubarbferry/dispatch/waiting.py
@@ -14,7 +14,7 @@
 from rhubarbferry.dispatch.objective import Urgency
 
 # Urgency, priority, arrival time, and three tie-breakers: job id, occurrence, step.
-Order = tuple[int, float, float, str, int, int]
+Position = tuple[int, float, float, str, int, int]
 
 
 def _size_class(step: Step) -> int:
@@ -30,79 +30,79 @@
     without visiting them, so its cost does not grow with the backlog.
     """
 
-    _classes: dict[int, SortedKeyList] = Factory(dict)
-    _orders: dict[Step, Order] = Factory(dict)
-    _turns: list[tuple[float, int, Step]] = Factory(list)
-    _numbers: Iterator[int] = Factory(itertools.count)
+    _size_classes: dict[int, SortedKeyList] = Factory(dict)
+    _positions: dict[Step, Position] = Factory(dict)
+    _urgency_changes: list[tuple[float, int, Step]] = Factory(list)
+    _sequence: Iterator[int] = Factory(itertools.count)
 
     def add(self, step: Step, now: float) -> None:
         """Add a step, or move it to its current position."""
         job = step.job
-        standing = job.standing(step, now)
-        order = (
-            int(standing.urgency),
+        period = job.urgency(step, now)
+        position = (
+            int(period.urgency),
             job.queue.priority,
             job.arrived_at,
             job.id,
             step.id.occurrence,
             step.id.step,
         )
-        if self._orders.get(step) == order:
+        if self._positions.get(step) == position:
             return
         self.discard(step)
-        self._orders[step] = order
-        steps = self._classes.get(_size_class(step))
+        self._positions[step] = position
+        steps = self._size_classes.get(_size_class(step))
         if steps is None:
-            steps = SortedKeyList(key=self._orders.__getitem__)
-            self._classes[_size_class(step)] = steps
+            steps = SortedKeyList(key=self._positions.__getitem__)
+            self._size_classes[_size_class(step)] = steps
         steps.add(step)
-        if standing.until < math.inf:
-            heapq.heappush(self._turns, (standing.until, next(self._numbers), step))
+        if period.until < math.inf:
+            heapq.heappush(self._urgency_changes, (period.until, next(self._sequence), step))
 
     def reorder(self, now: float) -> None:
         """Move the steps whose urgency has changed over time."""
-        while self._turns and self._turns[0][0] < now:
-            _, _, step = heapq.heappop(self._turns)
-            if step in self._orders:
+        while self._urgency_changes and self._urgency_changes[0][0] < now:
+            _, _, step = heapq.heappop(self._urgency_changes)
+            if step in self._positions:
                 self.add(step, now)
 
     def discard(self, step: Step) -> None:
         """Remove a step if it is present."""
-        if step in self._orders:
-            self._classes[_size_class(step)].remove(step)
-            del self._orders[step]
+        if step in self._positions:
+            self._size_classes[_size_class(step)].remove(step)
+            del self._positions[step]
 
     def __contains__(self, step: Step) -> bool:
-        return step in self._orders
+        return step in self._positions
 
     def __len__(self) -> int:
-        return len(self._orders)
+        return len(self._positions)
 
     @property
-    def orders(self) -> Mapping[Step, Order]:
+    def positions(self) -> Mapping[Step, Position]:
         """Position of each waiting step."""
-        return self._orders
+        return self._positions
 
     def urgency(self, step: Step) -> Urgency | None:
         """Return the urgency of a waiting step, or ``None`` if it does not wait."""
-        order = self._orders.get(step)
-        return Urgency(order[0]) if order is not None else None
+        position = self._positions.get(step)
+        return Urgency(position[0]) if position is not None else None
 
-    def order(self, step: Step) -> Order:
+    def position(self, step: Step) -> Position:
         """Return the position of a waiting step."""
-        return self._orders[step]
+        return self._positions[step]
 
-    def in_order(self, *, millicores: int | None = None) -> Iterator[Step]:
+    def iter_sorted(self, *, millicores: int | None = None) -> Iterator[Step]:
         """Yield the steps in the order of their positions.
 
         :param millicores: skip the size classes whose smallest task needs more than this.
         """
         classes = [
             steps
-            for bits, steps in self._classes.items()
+            for bits, steps in self._size_classes.items()
             if steps and (millicores is None or bits == 0 or 1 << (bits - 1) <= millicores)
         ]
         if len(classes) == 1:
             yield from classes[0]
             return
-        yield from heapq.merge(*classes, key=self._orders.__getitem__)
+        yield from heapq.merge(*classes, key=self._positions.__getitem__)
--- a/tests/dispatch/host_model.py
+++ b/tests/dispatch/host_model.py
@@ -1,4 +1,4 @@
-"""A host that keeps to the published rules, and an oracle that watches all of them."""
+"""Model of a host that follows the documented rules, and an oracle that checks every run."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 class RuleBroken(AssertionError):
-    """What must never happen has happened."""
+    """An invariant of the system was violated."""
 
 
 @define
 class Oracle:
-    """Knows every run on every host and every end that was taken note of."""
+    """Records all runs on all hosts and all acknowledged ends, and checks invariants."""
 
     steps: dict[str, tuple[StepRequest, ...]] = Factory(dict)
     attempts: int = 3
@@ -86,7 +86,7 @@
 class HostModel:
     """One host.
 
-    :ivar rate: how fast its clock runs.
+    :ivar rate: speed of its clock relative to real time.
     """
 
     id: str
--- a/tests/dispatch/test_question_size.py
+++ b/tests/dispatch/test_approval_request_size.py
@@ -1,10 +1,16 @@
-"""How many hosts a question names: each one makes the answer, and with it the start, later."""
+"""Number of hosts that an approval request names; each host delays the response and the start."""
 
 from __future__ import annotations
 
 import pytest
 from attrs import evolve
 
+from rhubarbferry.dispatch.approval_request_size import (
+    MAX_COUNTED_HOSTS,
+    PRIOR_SHARE,
+    ApprovedShare,
+    hosts_to_request,
+)
 from rhubarbferry.dispatch.job import Step
 from rhubarbferry.dispatch.messages import (
     Advice,
@@ -15,18 +21,12 @@
     StepRequest,
     StopOrder,
 )
-from rhubarbferry.dispatch.question_size import (
-    MOST_HOSTS,
-    PRIOR_SHARE,
-    ApprovedShare,
-    hosts_to_name,
-)
 
 from .world import CORES, QUEUE, World, job, step
 
 ADVISED = evolve(QUEUE, advice=AdviceCost(decision_s=0.4, per_host_s=0.01, valid_s=2.0))
 HOSTS = 90
-# Each host of the tests has eight cores.
+# Each host in these tests has eight cores. Values: step, share of approved hosts, hosts named.
 NEEDS = {
     "one task": (step(1), 1.0, 1),
     "tasks that fill one host": (step(8), 1.0, 1),
@@ -45,18 +45,18 @@
 
 def named(world: World, req: StepRequest, share: float) -> list[str]:
     hosts = [world.dispatcher.tracker.hosts[id] for id in world.hosts]
-    return [host.id for host in hosts_to_name(step_of(world, req), hosts, [], share)]
+    return [host.id for host in hosts_to_request(step_of(world, req), hosts, [], share)]
 
 
 @pytest.mark.parametrize(("req", "share", "count"), NEEDS.values(), ids=NEEDS.keys())
 def test_no_more_hosts_are_named_than_the_tasks_need(req, share, count):
-    """Guards against answers that come late since hosts are named that nobody needs."""
+    """Guards against slow responses because a request names hosts that are not needed."""
     world = World(*(f"h{index:02}" for index in range(HOSTS)))
     assert len(named(world, req, share)) == count
 
 
 def test_more_hosts_are_named_where_fewer_are_approved():
-    """Guards against approvals that turn out too few, after which a second question is due."""
+    """Guards against too few approvals, which make a second request necessary."""
     world = World(*(f"h{index:02}" for index in range(HOSTS)))
     counts = [len(named(world, step(8, gang=True), share)) for share in (0.9, 0.5, 0.25)]
     assert counts == sorted(set(counts))
@@ -73,20 +73,20 @@
 
 
 def test_hosts_near_the_data_are_named_first():
-    """Guards against tasks that take several times as long for a shorter question."""
+    """Guards against tasks that take several times as long to make the request shorter."""
     world = World("a", "b")
     world.add_host("c", labels=("kind", "rack"))
     assert named(world, step(1, near_rack="rack"), 1.0) == ["c"]
 
 
 def test_steps_of_one_moment_do_not_all_name_the_same_hosts():
-    """Guards against jobs that are approved for the same hosts and wait for each other's room."""
+    """Guards against jobs that are all approved for the same hosts and compete for their room."""
     world = World(*(f"h{index:02}" for index in range(HOSTS)))
     hosts = list(world.dispatcher.tracker.hosts.values())
     found = set()
     for index in range(20):
         (waiting,) = world.add(job(f"j{index}", step(8), queue=ADVISED)).steps()
-        found.update(host.id for host in hosts_to_name(waiting, hosts, [], 1.0))
+        found.update(host.id for host in hosts_to_request(waiting, hosts, [], 1.0))
     assert len(found) > 10
 
 
@@ -107,7 +107,7 @@
 
 
 def test_a_step_whose_hosts_are_denied_asks_about_others():
-    """Guards against a step that waits though hosts are free that it has not asked about."""
+    """Guards against a step that waits although free hosts have not been named in a request."""
     world = World(*(f"h{index:02}" for index in range(HOSTS)))
     world.add(job("j", step(1), queue=ADVISED))
     asked: list[str] = []
@@ -121,7 +121,7 @@
 
 
 def test_a_full_cell_is_asked_about_as_a_whole():
-    """Guards against a step that finds out only when room comes free whether it may use it."""
+    """Guards against a step that requests approval of a host only when room on it becomes free."""
     world = World(*(f"h{index:02}" for index in range(HOSTS)))
     world.add(job("others", step(8 * HOSTS)))
     for order in world.starts():
@@ -136,21 +136,21 @@
     share = ApprovedShare()
     assert share.value == PRIOR_SHARE
     for _ in range(100):
-        share.note(asked=50, approved=40)
+        share.record(decided=50, approved=40)
     assert share.value == pytest.approx(0.8, abs=0.02)
 
 
 def test_a_share_that_has_changed_is_learnt_anew():
-    """Guards against a policy that has become stricter and is asked about too few hosts."""
+    """Guards against requests that name too few hosts after the policy has become stricter."""
     share = ApprovedShare()
-    share.note(asked=int(MOST_HOSTS), approved=int(MOST_HOSTS))
+    share.record(decided=int(MAX_COUNTED_HOSTS), approved=int(MAX_COUNTED_HOSTS))
     for _ in range(10):
-        share.note(asked=int(MOST_HOSTS), approved=0)
+        share.record(decided=int(MAX_COUNTED_HOSTS), approved=0)
     assert 0.0 < share.value < 0.01
 
 
 def test_tickets_that_are_renewed_do_not_count_as_verdicts():
-    """Guards against a share that grows with each renewal, which only approved hosts get."""
+    """Guards against a share that grows with each renewal, as only approved hosts are renewed."""
     world = World("a", "b", "c", "d")
     world.add(job("j", step(40), queue=ADVISED))
     first = question(world.decide())
@@ -162,7 +162,7 @@
 
 
 def test_nothing_gives_way_while_a_host_with_room_can_be_asked_about():
-    """Guards against tasks that are stopped for an urgent step though other hosts are idle."""
+    """Guards against preemption for an urgent step while other hosts are idle."""
     world = World("full")
     lower = evolve(QUEUE, name="lower", priority=5)
     req = step(8, estimate=60.0, checkpointable=True)
--- a/tests/dispatch/test_backlog.py
+++ b/tests/dispatch/test_backlog.py
@@ -1,10 +1,10 @@
-"""What one decision does while hundreds of steps wait, as after a takeover or in a burst."""
+"""Decisions while hundreds of steps wait, as after a takeover or in a burst."""
 
 from __future__ import annotations
 
 from attrs import evolve
 
-from rhubarbferry.dispatch.dispatcher import STEPS_PER_DECISION, Dispatcher
+from rhubarbferry.dispatch.dispatcher import MAX_STEPS_PER_DECISION, Dispatcher
 from rhubarbferry.dispatch.messages import StartOrder
 from rhubarbferry.dispatch.succession import Succession
 
@@ -21,25 +21,25 @@
 
 
 def test_one_decision_places_a_bounded_number_of_steps():
-    """Guards against a first decision that takes a second of a small processor."""
-    world = backlog(3 * STEPS_PER_DECISION)
-    assert len(world.starts()) <= STEPS_PER_DECISION
+    """Guards against a first decision that blocks a slow processor for a second."""
+    world = backlog(3 * MAX_STEPS_PER_DECISION)
+    assert len(world.starts()) <= MAX_STEPS_PER_DECISION
     assert world.dispatcher.undecided
 
 
 def test_steps_left_over_by_a_decision_are_placed_by_the_next_in_order():
-    """Guards against steps that wait for the next review, and against a change of their order."""
-    world = backlog(3 * STEPS_PER_DECISION)
+    """Guards against steps that are delayed until the next host review or lose their position."""
+    world = backlog(3 * MAX_STEPS_PER_DECISION)
     placed = []
     while not placed or world.dispatcher.undecided:
         placed += [order.task.job for order in world.starts()]
-    assert placed == [f"job{index:04}" for index in range(3 * STEPS_PER_DECISION)]
+    assert placed == [f"job{index:04}" for index in range(3 * MAX_STEPS_PER_DECISION)]
 
 
 def test_steps_without_room_do_not_keep_others_from_being_placed():
-    """Guards against a backlog of wide steps behind which nothing starts any more."""
+    """Guards against a backlog of wide steps that starves all steps after them."""
     world = World("a", "b")
-    for index in range(2 * STEPS_PER_DECISION):
+    for index in range(2 * MAX_STEPS_PER_DECISION):
         world.add(job(f"wide{index:04}", step(1, millicores=7 * CORES)))
     small = world.add(job("x-small", step(1, millicores=10)))
     world.accept(*world.starts())
@@ -51,7 +51,7 @@
 
 
 def test_a_caller_that_is_behind_gets_fewer_starts_and_the_most_urgent_first():
-    """Guards against starts in the order of a backlog that has been overtaken."""
+    """Guards against starts in the order of an old backlog when a more urgent step has arrived."""
     world = backlog(6)
     first = [o for o in world.decide(starts=2) if isinstance(o, StartOrder)]
     urgent = world.add(job("urgent", step(1, millicores=10), queue=evolve(QUEUE, priority=-1)))
--- a/tests/dispatch/test_decision_cost.py
+++ b/tests/dispatch/test_decision_cost.py
@@ -1,4 +1,4 @@
-"""What a decision costs while thousands of tasks run."""
+"""Cost of a decision while thousands of tasks run."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class Untouched(dict):
-    """Runs that may be looked up and not walked through."""
+    """Runs that may be looked up but not iterated over."""
 
     def __iter__(self):
-        raise AssertionError("a decision walks through all runs")
+        raise AssertionError("a decision iterated over all runs")
 
     keys = values = items = __iter__
 
 
 def test_a_decision_with_nothing_to_do_walks_through_no_runs():
-    """Guards against decisions that take longer the more tasks run."""
+    """Guards against decisions whose cost grows with the number of runs."""
     world = World("a", "b")
     world.add(job("j", step(8)))
     world.accept(*world.starts())
@@ -35,9 +35,9 @@
 
 ADVISED = evolve(QUEUE, advice=AdviceCost(decision_s=0.4, per_host_s=0.01, valid_s=2.0))
 REPORTED = {
-    "while its first question is under way": ({"asking": {"a", "b"}}, "a", False),
-    "by a host that it may use": ({"approved": {"a"}, "asking": {"b"}}, "a", True),
-    "by a host that is being asked about": ({"approved": {"a"}, "asking": {"b"}}, "b", False),
+    "while its first question is under way": ({"pending": {"a", "b"}}, "a", False),
+    "by a host that it may use": ({"approved": {"a"}, "pending": {"b"}}, "a", True),
+    "by a host that is being asked about": ({"approved": {"a"}, "pending": {"b"}}, "b", False),
     "by a host that it may not use": ({"denied": {"a"}}, "a", False),
     "by a host that can be asked about": ({"denied": {"a"}}, "b", True),
 }
@@ -45,12 +45,12 @@
 
 @pytest.mark.parametrize(("approvals", "host", "tried"), REPORTED.values(), ids=REPORTED.keys())
 def test_a_report_lets_only_those_steps_be_tried_that_can_use_the_host(approvals, host, tried):
-    """Guards against decisions that take longer the more steps wait for an approval."""
+    """Guards against decisions whose cost grows with the number of steps awaiting approvals."""
     world = World("a", "b")
     waiting = WaitingSteps()
     (candidate,) = world.add(job("j", step(), queue=ADVISED)).steps()
     candidate.approvals = StepApprovals(**approvals)
     waiting.add(candidate, world.now)
     candidates = Candidates(waiting=waiting)
-    candidates.find([world.dispatcher.tracker.hosts[host]])
+    candidates.collect([world.dispatcher.tracker.hosts[host]])
     assert bool(candidates) is tried
--- a/tests/dispatch/test_dispatcher_machine.py
+++ b/tests/dispatch/test_dispatcher_machine.py
@@ -1,9 +1,9 @@
-"""The dispatcher with late, lost and repeated orders, against an oracle of what must never happen.
+"""State machine test of the dispatcher with late, lost and repeated orders.
 
-Hosts keep to the published rules and run clocks of their own, up to 2 % slow. Between them and the
-owner orders are lost, carried out without an answer, or carried out seconds late; hosts are cut
-off, die and come back; the owner is replaced by one that knows only what is on record. In the end
-all is well again, and each job must end.
+An oracle checks the invariants. Hosts follow the documented rules and have clocks of their own that
+run up to 2 % slow. Orders are lost, carried out without an answer, or carried out seconds late;
+hosts are partitioned, crash and restart; the owner is replaced by one that has only the stored
+state. At the end all faults are removed, and each job must end.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 HOSTS = 3
 TICK_S = 0.25
 DIRECTORY_TICKS = 2
-# A late order is carried out after at most this time, and the longest lease runs out after it.
+# Maximum delay of a late order; the longest lease starts after that.
 LATE_S = 4.0
 REST_S = 60.0
 QUEUES = (
@@ -51,7 +51,7 @@
 
 
 class Fate(Enum):
-    """What becomes of orders to a host."""
+    """What happens to an order sent to a host."""
 
     ANSWERED = "answered"
     LOST = "lost"
@@ -99,7 +99,7 @@
     )
     def submit(self, widths, cores, gang, checkpointable, queue):
         self.count += 1
-        # A gang that no set of hosts can hold would rightly wait for good.
+        # A gang that is too large for all hosts together would never start, which is correct.
         most = HOSTS * (CAPACITY.millicores // (cores * 1000)) if gang else max(widths)
         steps = tuple(
             StepRequest(
@@ -127,7 +127,7 @@
         fates=st.lists(st.sampled_from(Fate), min_size=1, max_size=4),
     )
     def orders_meet(self, host, fates):
-        """The next orders to a host meet these in turn, and all later ones the last of them."""
+        """Set the fates of the next orders to a host; the last one applies to all later orders."""
         self.fates[f"h{host}"] = fates
 
     @rule(host=st.integers(0, HOSTS - 1))
@@ -136,7 +136,7 @@
 
     @rule(host=st.integers(0, HOSTS - 1))
     def lose_reports(self, host):
-        """Orders reach a host and its reports don't come back."""
+        """Lose a host's reports, while orders still reach it."""
         self.reports_lost.add(f"h{host}")
 
     @rule()
@@ -168,7 +168,7 @@
 
     @rule()
     def record(self):
-        """Write what has changed; hosts may forget the ends that it covers."""
+        """Store what has changed; hosts may forget the ends that it covers."""
         seen = [(host, host.entry, host.seen_end) for host in self.tracked()]
         for job in list(self.dispatcher.dirty.values()):
             req, queue, _, fence = self.records[job.id]
@@ -184,7 +184,7 @@
 
     @rule()
     def take_over(self):
-        """Another process becomes the owner; it knows what is on record and nothing else."""
+        """Replace the owner by a process that has only the stored state."""
         self.fence += 1
         lapsed_at = self.now + LEASE_S * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_S
         self.dispatcher = Dispatcher(
@@ -235,7 +235,7 @@
         self.dispatcher.notes.clear()
 
     def follow_directory(self) -> None:
-        """Read the host list and put on record which hosts get orders."""
+        """Read the host list and store the roster."""
         hosts = self.dispatcher.tracker.hosts
         listed = {host.id: host.entry() for host in self.oracle.hosts.values() if not host.dead}
         close_hosts(hosts, self.now)
@@ -295,7 +295,7 @@
         return host.stop(order, fence)
 
     def teardown(self):
-        """All is well again: each job ends, by its tasks or by its failures."""
+        """Remove all faults; each job must then complete or fail."""
         if not hasattr(self, "dispatcher"):
             return
         self.heal()
--- a/tests/dispatch/test_evacuation.py
+++ b/tests/dispatch/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Hosts that are taken away after a notice, and what runs there."""
+"""Hosts that are removed after a notice, and the tasks that run on them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def play(world: World, seconds: float, *, percent_a_second: float) -> list[StopOrder]:
-    """Let the tasks of all hosts go on; return the stops that were ordered."""
+    """Let the tasks of all hosts make progress; return the stop orders."""
     stops = []
     for _ in range(round(seconds / LOOK_S)):
         for host in world.hosts.values():
@@ -31,7 +31,7 @@
     return stops
 
 
-# Progress in percent a second, how long the test looks, and whether the task is stopped by then.
+# Progress in percent per second, duration of the test in seconds, whether the task is stopped.
 CASES = {
     "it will take far longer": (5.0, 1.5, True),
     "it will end in time": (30.0, 3.0, False),
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize(("pace", "seconds", "stopped"), CASES.values(), ids=CASES.keys())
 def test_what_will_not_end_in_time_begins_elsewhere_before_its_host_leaves(pace, seconds, stopped):
-    """Guards against tasks that go with their host and wait for its leases to end."""
+    """Guards against tasks that are lost with their host and restart after its leases expire."""
     world = World("a")
     world.add(job("j", step(estimate=6.0)))
     (order,) = world.starts()
@@ -61,7 +61,7 @@
 
 
 def test_a_gang_leaves_as_a_whole():
-    """Guards against members of a gang that hold their room without the one that left."""
+    """Guards against members of a gang that keep their room after one member was stopped."""
     world = World("a", "b")
     world.add(job("j", step(2, millicores=8000, estimate=9.0, gang=True)))
     orders = world.starts()
@@ -89,7 +89,7 @@
 
 
 def test_the_earliest_entry_counts_for_when_a_host_leaves():
-    """Guards against a host that is gone before its last call for an old entry's sake."""
+    """Guards against tasks that are stopped too late because of an outdated entry."""
     world = World("a")
     drain(world, "a")
     world.now += 1.0
--- a/tests/dispatch/test_gang_tickets.py
+++ b/tests/dispatch/test_gang_tickets.py
@@ -1,4 +1,4 @@
-"""Gangs whose tickets come from several questions to a busy policy service."""
+"""Gangs whose tickets come from several approval requests to a slow policy service."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Policy:
-    """A policy service that approves every host and takes its time."""
+    """A policy service that approves every host after a delay."""
 
     def __init__(self, world: World, *, answer_s: float) -> None:
         self.world = world
@@ -45,7 +45,7 @@
             self.asked.append((self.world.now + self.answer_s, part))
 
     def play(self, until: float, *, to_add: Sequence[str] = ()) -> list[StartOrder]:
-        """Answer questions until something starts; add a host each time that none is open."""
+        """Answer requests until something starts; add a host whenever no request is pending."""
         left = list(to_add)
         while self.world.now < until:
             if left and not self.asked:
@@ -80,11 +80,11 @@
 
 @pytest.mark.parametrize("answer_s", [0.5, 1.2, 1.9])
 def test_a_gang_starts_though_its_tickets_came_one_after_the_other(answer_s):
-    """Guards against a gang that renews one lapsed ticket while the next one lapses."""
+    """Guards against a gang that renews one expired ticket while the next one expires."""
     world = World()
     policy = Policy(world, answer_s=answer_s)
     world.add(job("gang", step(len(HOSTS), millicores=8000, gang=True), queue=QUEUE))
-    # A question for each host, one for all of them, and the pauses between.
+    # One request for each host, one for all of them, and the decision intervals in between.
     latest_s = (len(HOSTS) + 1) * (answer_s + 0.5)
     started = policy.play(world.now + latest_s, to_add=list(HOSTS))
     assert {order.host for order in started} == set(HOSTS)
@@ -93,12 +93,12 @@
 
 @pytest.mark.parametrize("answer_s", [0.5, 1.2])
 def test_a_gang_on_more_hosts_than_a_call_may_name_starts(answer_s):
-    """Guards against questions that name hosts with good tickets and leave others out."""
+    """Guards against requests that name hosts with valid tickets and omit others."""
     hosts = [f"h{number:03}" for number in range(HOSTS_PER_CALL + 20)]
     world = World(*hosts[:-1], millicores=8000)
     policy = Policy(world, answer_s=answer_s)
     world.add(job("gang", step(len(hosts), millicores=8000, gang=True), queue=QUEUE))
-    # All tickets lapse while room for one member is missing.
+    # All tickets expire while there is no room for one member.
     assert policy.play(world.now + 2 * VALID_S) == []
     started = policy.play(world.now + 4 * (answer_s + 0.5), to_add=hosts[-1:])
     assert {order.host for order in started} == set(hosts)
--- a/tests/dispatch/test_hung.py
+++ b/tests/dispatch/test_hung.py
@@ -1,4 +1,4 @@
-"""Tasks that stand still, and long ones that only seem to."""
+"""Tasks that hang, and long tasks that only make slow progress."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from .world import World, job, step
 
-# The estimate of the task, how long its progress rose, to which percent, how long it has stood
-# still since then; and whether it is stopped.
+# Estimate of the task; time during which its progress rose; progress reached; time without progress
+# since then; whether it is stopped.
 CASES = {
     "a short one that stands still": (2.0, 1.0, 50.0, 3.0, True),
     "a short one between two reports": (2.0, 1.0, 50.0, 1.5, False),
@@ -24,7 +24,7 @@
     ("estimate_s", "rose_s", "percent", "still_s", "stopped"), CASES.values(), ids=CASES.keys()
 )
 def test_long_tasks_are_not_taken_for_hung(estimate_s, rose_s, percent, still_s, stopped):
-    """Guards against the stop of a task whose one percent takes longer than a hung one gets."""
+    """Guards against stopping a task that needs longer for one percent than the hang timeout."""
     world = World("a")
     world.add(job("j", step(estimate=estimate_s)))
     (order,) = world.starts()
--- a/tests/dispatch/test_objective.py
+++ b/tests/dispatch/test_objective.py
@@ -1,11 +1,11 @@
-"""Who goes first when more waits than can be done in time."""
+"""Order of steps when more wait than can be done in time."""
 
 from __future__ import annotations
 
 import pytest
 
 from rhubarbferry.dispatch.messages import Queue
-from rhubarbferry.dispatch.objective import Urgency, standing, tails
+from rhubarbferry.dispatch.objective import Urgency, classify_urgency, critical_paths
 
 from .world import CORES, World, job, step
 
@@ -21,10 +21,10 @@
 
 @pytest.mark.parametrize(("steps", "expected"), CHAINS.values(), ids=CHAINS.keys())
 def test_tails_are_the_longest_chains_to_the_end(steps, expected):
-    assert tails(steps) == expected
+    assert critical_paths(steps) == expected
 
 
-STANDINGS = [
+URGENCIES = [
     (10.0, Urgency.IN_TIME, 11.0),
     (11.0, Urgency.IN_TIME, 11.0),
     (11.1, Urgency.LATE, 15.0),
@@ -32,9 +32,9 @@
 ]
 
 
-@pytest.mark.parametrize(("now", "urgency", "until"), STANDINGS)
+@pytest.mark.parametrize(("now", "urgency", "until"), URGENCIES)
 def test_urgency_by_what_can_still_be_gained(now, urgency, until):
-    found = standing(due_at=10.0, objective_s=2.0, tail_s=1.0, now=now)
+    found = classify_urgency(due_at=10.0, objective_s=2.0, critical_path_s=1.0, now=now)
     assert (found.urgency, found.until) == (urgency, until)
 
 
--- a/tests/dispatch/test_pacing.py
+++ b/tests/dispatch/test_pacing.py
@@ -1,4 +1,4 @@
-"""Filling tasks beside tasks that serve users: how hard they may work."""
+"""Pace of filling tasks on a host with tasks that serve users."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .world import World, job, step
 
 GOAL_S = 0.1
-# What the tail of a serving task may be over its goal at most, by the platform's word.
+# Maximum time for which the tail latency may exceed its goal, as the platform documents.
 IMPACT_S = 4.0
 LOOK_S = 0.7
 
@@ -24,7 +24,11 @@
 
 
 class Users:
-    """The users of one serving task on host ``a``, disturbed by each filling task beside it."""
+    """Users of one serving task on host ``a``, whose tail latency rises with each filling task.
+
+    :ivar alone_s: tail latency without filling tasks.
+    :ivar each_s: latency added by each filling task at full pace.
+    """
 
     def __init__(self, world: World, *, alone_s: float, each_s: float) -> None:
         self.world = world
@@ -41,7 +45,7 @@
         return self.alone_s + self.each_s * sum(shares)
 
     def look(self) -> float:
-        """Let the host report and the owner decide; return the tail that the users saw."""
+        """Deliver a report of the host and make a decision; return the reported tail latency."""
         host = self.world.hosts["a"]
         tail_s = self.tail_s()
         for key, run in list(host.running.items()):
@@ -75,7 +79,7 @@
 
 @pytest.mark.parametrize("each_s", [0.018, 0.03, 0.2], ids=["a little", "by half", "far over"])
 def test_users_are_not_kept_waiting_by_tasks_that_fill_the_host(each_s):
-    """Guards against users of a service who wait for as long as a batch runs."""
+    """Guards against a tail latency above its goal for as long as filling tasks run."""
     users = shared_host(each_s=each_s)
     tails = [users.look() for _ in range(30)]
     over = [tail > GOAL_S for tail in tails]
@@ -103,7 +107,7 @@
 
 
 def test_an_order_without_an_answer_is_given_again():
-    """Guards against a filling task at full pace after a lost answer."""
+    """Guards against a filling task that stays at full pace after a lost answer."""
     users = shared_host(fillers=1, each_s=0.2)
     users.answers = False
     for _ in range(4):
@@ -119,7 +123,7 @@
 
 
 def test_a_filling_task_with_pace_zero_is_not_taken_for_hung():
-    """Guards against the stop of a task that makes no progress as it is held."""
+    """Guards against stopping a task that makes no progress because its pace is 0."""
     users = shared_host(fillers=1, each_s=0.2)
     stops = []
     for _ in range(8):
@@ -129,7 +133,7 @@
 
 
 def test_a_new_owner_sets_the_pace_of_what_it_finds():
-    """Guards against a task that stays slow for good after a change of the owner."""
+    """Guards against a task that stays slow for good after a takeover."""
     world = World("a")
     part = world.hosts["a"]
     world.add(job("fill", filling(), inherited=False))
--- a/tests/dispatch/test_holds.py
+++ b/tests/dispatch/test_preemption.py
@@ -1,7 +1,7 @@
-"""Room for gangs and urgent tasks in a full cell.
+"""Preemption for gangs and urgent tasks in a full cell.
 
 The load is that of the busiest days: three of four cores in use, wide gangs of long tasks among
-batches of shorter ones that can resume where they were stopped.
+batches of shorter tasks that can resume from a checkpoint.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def test_a_gang_that_finds_no_room_gets_it_from_tasks_that_can_resume():
-    """Guards against a gang that waits until it is late while small tasks take all room."""
+    """Guards against a gang that waits until it is late because small tasks take all free room."""
     world = World("a", "b")
     full_of(world)
     world.add(job("gang", step(4, millicores=2 * CORES, gang=True), queue=WIDE, arrived_at=10.0))
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("fields", SPARED.values(), ids=SPARED.keys())
 def test_these_are_not_stopped_for_others(fields):
-    """Guards against stops that cost more work, or more users, than they gain."""
+    """Guards against preemption that costs more work, or disturbs more users, than it gains."""
     world = World("a", "b")
     full_of(world, **fields)
     world.add(job("gang", step(4, millicores=2 * CORES, gang=True), queue=WIDE, arrived_at=10.0))
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("lasting", [True, False])
 def test_room_of_tasks_that_last_is_not_waited_for(lasting):
-    """Guards against hosts kept free for a gang that can never start there."""
+    """Guards against hosts held for a gang that can never start there."""
     world = World("a", "b")
     for order in full_of(world, lasting=True):
         world.hosts[order.host].run(order, percent=100.0)
@@ -118,7 +118,7 @@
 
 
 def test_a_hold_that_came_to_nothing_is_given_back():
-    """Guards against held room that stays empty for good after a stop that was lost."""
+    """Guards against held room that is never released after a stop order was lost."""
     world = World("a", "b")
     full_of(world)
     world.add(job("gang", step(4, millicores=2 * CORES, gang=True), queue=WIDE, arrived_at=10.0))
--- a/tests/dispatch/test_retries.py
+++ b/tests/dispatch/test_retries.py
@@ -1,4 +1,4 @@
-"""Starts whose answers are lost: hosts that carry out orders late, twice, or without an answer."""
+"""Start orders whose answers are lost: carried out late, twice, or without an answer."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def test_wide_gangs_survive_lost_answers():
-    """Guards against gangs of 20 that break on hosts that lose one answer in 18."""
+    """Guards against gangs of 20 that break when hosts lose one answer in 18."""
     world = World(*(f"h{index}" for index in range(20)), millicores=1000)
     world.add(job("g", step(20, gang=True)))
     orders = world.starts()
@@ -43,7 +43,7 @@
 
 
 def test_the_tries_of_a_start_end():
-    """Guards against a start that is sent without end to a host that never answers."""
+    """Guards against a start order that is sent for ever to a host that never answers."""
     world = World("a")
     world.add(job("j", step()))
     order = first_start(world)
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("reason", [Refusal.NO_ROOM, Refusal.OLD_ATTEMPT, Refusal.NO_TICKET])
 def test_a_refused_copy_says_nothing_of_the_copy_before(reason):
-    """Guards against a task that runs twice when the first copy is carried out late."""
+    """Guards against a task that runs twice because the first copy is carried out late."""
     world = World("a", "b")
     world.add(job("j", step()))
     order = first_start(world)
@@ -70,7 +70,7 @@
 
 
 def test_a_start_that_was_not_sent_is_sent_at_once():
-    """Guards against a task that waits though no copy of its start can be carried out."""
+    """Guards against a task that waits although no copy of its start order can be carried out."""
     world = World("a", "b")
     world.add(job("j", step()))
     order = first_start(world)
@@ -83,7 +83,7 @@
 
 
 def test_a_restarted_host_gets_no_second_copy():
-    """Guards against a restarted host that carries out both copies of a start."""
+    """Guards against a restarted host that carries out both copies of a start order."""
     world = World("a")
     world.add(job("j", step()))
     order = first_start(world)
@@ -95,7 +95,7 @@
 
 
 def test_a_run_that_began_with_a_second_copy_is_stopped_in_a_restarted_host():
-    """Guards against a task that runs twice when a late copy reaches a restarted host."""
+    """Guards against a task that runs twice because a late copy reaches a restarted host."""
     world = World("a", "b")
     world.add(job("j", step()))
     order = first_start(world)
@@ -116,7 +116,7 @@
 
 
 def test_a_stopped_start_is_not_sent_again():
-    """Guards against a copy of a start after its client has cancelled the job."""
+    """Guards against a retry of a start order after the client has cancelled the job."""
     world = World("a")
     world.add(job("j", step()))
     order = first_start(world)
@@ -126,7 +126,7 @@
 
 
 def test_a_late_answer_to_an_earlier_copy_counts():
-    """Guards against a run taken for unclear though its first copy was answered."""
+    """Guards against a run that stays UNCLEAR although the first copy of its order was answered."""
     world = World("a")
     world.add(job("j", step()))
     order = first_start(world)
--- a/tests/dispatch/test_silent_hosts.py
+++ b/tests/dispatch/test_silent_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that stop answering, and what ran on them."""
+"""Hosts that stop answering, and the tasks that run on them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @pytest.mark.parametrize("gang", [False, True])
 def test_tasks_of_a_host_that_died_start_elsewhere_once_their_leases_are_over(gang):
-    """Guards against leases of a dead host that are counted as extended for ever."""
+    """Guards against task leases of a dead host that are counted as extended for ever."""
     world = World("a", "b")
     world.add(job("j", step(2, gang=gang)))
     orders = world.starts()
@@ -28,7 +28,7 @@
 
 
 def test_a_host_that_was_cut_off_and_runs_on_keeps_its_tasks_for_their_leases():
-    """Guards against a second run of a task whose host is cut off and runs on."""
+    """Guards against a second run of a task whose host is partitioned and still runs it."""
     world = World("a", "b")
     world.add(job("j", step()))
     (order,) = world.starts()
--- a/tests/dispatch/test_takeover.py
+++ b/tests/dispatch/test_takeover.py
@@ -1,4 +1,4 @@
-"""A new owner of the work and the tasks that an earlier owner has started."""
+"""Takeover of tasks that an earlier owner has started."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def test_an_adopted_task_is_not_started_again():
-    """Guards against leases taken for lapsed that a new owner has not extended yet."""
+    """Guards against a new owner that takes leases for expired before it has extended them."""
     world = World("a", "b", roster=("a", "b"))
     task = TaskId(job="j", occurrence=0, step=0, index=0)
     world.add(inherited("j", step()))
@@ -43,7 +43,7 @@
 
 
 def test_what_an_unconfirmed_host_may_run_waits_until_its_leases_are_over():
-    """Guards against a second run of what an unconfirmed host may run."""
+    """Guards against a second run of a task that an unconfirmed host may still run."""
     world = World("a", roster=("a", "b"))
     world.add(inherited("old", step()))
     world.add(job("new", step()))
@@ -57,7 +57,7 @@
 
 
 def test_attempts_of_inherited_tasks_are_above_those_of_earlier_owners():
-    """Guards against two runs that nobody can tell apart by their attempt."""
+    """Guards against two runs of a task with the same attempt number."""
     world = World("a", roster=("a",))
     world.add(inherited("old", step()))
     world.add(job("new", step()))
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("missing", [0, 1, 2])
 def test_a_gang_that_was_started_in_part_is_started_anew_as_a_whole(missing):
-    """Guards against members that wait in vain after their owner died between two starts."""
+    """Guards against members that wait for ever after their owner died between two starts."""
     world = World("a", "b", roster=("a", "b"))
     gang = inherited("g", step(3, gang=True))
     world.add(gang)
@@ -86,7 +86,7 @@
 
 
 def test_a_host_with_a_run_of_an_ended_job_gets_no_task_until_that_run_is_gone():
-    """Guards against a host that is given more than it holds."""
+    """Guards against a host that is overcommitted because of a run of unknown size."""
     world = World("a", roster=("a",))
     host = world.hosts["a"]
     stranger = TaskId(job="ended", occurrence=0, step=0, index=0)
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("gang", [False, True])
 def test_a_failure_that_is_on_record_is_not_counted_again(gang):
-    """Guards against a job shown as failed with attempts left."""
+    """Guards against a job that fails with attempts left because one failure was counted twice."""
     before = World("a", roster=())
     first = before.add(job("j", step(gang=gang)))
     orders = before.starts()
@@ -137,7 +137,7 @@
 
 
 def test_a_host_that_has_left_holds_up_only_the_jobs_that_it_had():
-    """Guards against a whole cell that waits for the leases of one host that runs nothing."""
+    """Guards against a cell in which all jobs wait for the leases of one host that runs nothing."""
     world = World("a")
     world.dispatcher.succession.unconfirmed = {"b": closed("b", "there")}
     world.add(inherited("there", step()))
@@ -166,7 +166,7 @@
 
 
 def test_a_silent_host_is_closed_on_record_with_what_it_may_run_and_opened_before_it_is_used():
-    """Guards against orders to a host that the next owner takes for idle."""
+    """Guards against orders to a host that the next owner would assume to be idle."""
     world = World("a", "b")
     world.add(job("j", step(2, millicores=5 * CORES)))
     orders = world.starts()
--- a/tests/dispatch/world.py
+++ b/tests/dispatch/world.py
@@ -1,4 +1,4 @@
-"""A dispatcher with hosts that tests can play the part of."""
+"""A dispatcher with simulated hosts that tests control."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 @define
 class HostPart:
-    """A host as the test plays it: what it runs and what has ended there."""
+    """A simulated host: the runs that it reports as active and as ended."""
 
     id: str
     incarnation: int = 1
@@ -96,7 +96,7 @@
 
 
 class World:
-    """The dispatcher, its hosts, and a clock that the test moves."""
+    """A dispatcher, its hosts, and a clock that the test advances."""
 
     def __init__(self, *hosts: str, roster: tuple[str, ...] = (), **fields) -> None:
         self.now = 10.0
@@ -142,7 +142,7 @@
         return [order for order in self.decide(seconds) if isinstance(order, StartOrder)]
 
     def accept(self, *orders: StartOrder) -> None:
-        """Let hosts run the orders and answer them."""
+        """Run start orders on their hosts and report success to the dispatcher."""
         for order in orders:
             self.hosts[order.host].run(order)
             self.answer(order, Started(clock_s=self.now + 100.0))
