--- a/tests/dispatch/host_model.py
+++ b/tests/dispatch/host_model.py
@@ -22,11 +22,11 @@
 )
 
 LEASE_S = 6.0
-GANG_S = 3.0
+GANG_TIMEOUT_S = 3.0
 CAPACITY = Sizes(millicores=4000, memory_mb=64_000)
 
 
-class RuleBroken(AssertionError):
+class InvariantViolated(AssertionError):
     """An invariant of the system was violated."""
 
 
@@ -38,44 +38,48 @@
     attempts: int = 3
     hosts: dict[str, HostModel] = Factory(dict)
     done: set[TaskId] = Factory(set)
-    noted_done: set[TaskId] = Factory(set)
-    begun_after_done: set[TaskId] = Factory(set)
-    noted_failed: dict[TaskId, set[int]] = Factory(dict)
+    acknowledged_done: set[TaskId] = Factory(set)
+    started_after_done: set[TaskId] = Factory(set)
+    acknowledged_failed: dict[TaskId, set[int]] = Factory(dict)
 
     def request(self, task: TaskId) -> StepRequest:
         if task.job not in self.steps:
-            raise RuleBroken(f"nobody submitted {task.job}")
+            raise InvariantViolated(f"job {task.job} was not submitted")
         return self.steps[task.job][task.step]
 
     def started(self, host: HostModel, task: TaskId) -> None:
         req = self.request(task)
         used = sum(self.request(run).room.millicores for run, _ in host.running)
         if used > CAPACITY.millicores:
-            raise RuleBroken(f"{host.id} has {used} of {CAPACITY.millicores}")
+            raise InvariantViolated(
+                f"host {host.id} runs {used} of {CAPACITY.millicores} millicores"
+            )
         runs = [run for each in self.hosts.values() for run, _ in each.running if run == task]
         if len(runs) > 1:
-            raise RuleBroken(f"{task} runs twice")
-        if task in self.noted_done:
-            raise RuleBroken(f"{task} starts though its end was taken note of")
+            raise InvariantViolated(f"{task} runs twice")
+        if task in self.acknowledged_done:
+            raise InvariantViolated(f"{task} starts although its end was acknowledged")
         if task in self.done:
-            self.begun_after_done.add(task)
-        failed = self.noted_failed.get(task, set())
+            self.started_after_done.add(task)
+        failed = self.acknowledged_failed.get(task, set())
         if not req.gang and len(failed) >= self.attempts:
-            raise RuleBroken(f"{task} starts after {len(failed)} failures")
+            raise InvariantViolated(f"{task} starts after {len(failed)} failures")
         for before in req.after:
             count = self.steps[task.job][before].count
             members = {task_of(task.job, before, index) for index in range(count)}
             gang = self.steps[task.job][before].gang
             if not (members & self.done if gang else members <= self.done):
-                raise RuleBroken(f"{task} starts before step {before} is done")
+                raise InvariantViolated(f"{task} starts before step {before} is done")
 
-    def noted(self, ended: EndedTask) -> None:
+    def acknowledged(self, ended: EndedTask) -> None:
         if ended.how is EndKind.DONE:
-            if ended.task in self.begun_after_done:
-                raise RuleBroken(f"{ended.task} was begun again before its end was taken note of")
-            self.noted_done.add(ended.task)
+            if ended.task in self.started_after_done:
+                raise InvariantViolated(
+                    f"{ended.task} was started_at again before its end was taken note of"
+                )
+            self.acknowledged_done.add(ended.task)
         elif ended.how is EndKind.FAILED:
-            self.noted_failed.setdefault(ended.task, set()).add(ended.attempt)
+            self.acknowledged_failed.setdefault(ended.task, set()).add(ended.attempt)
 
 
 def task_of(job: str, step: int, index: int) -> TaskId:
@@ -86,21 +90,21 @@
 class HostModel:
     """One host.
 
-    :ivar rate: speed of its clock relative to real time.
+    :ivar clock_rate: speed of its clock relative to real time.
     """
 
     id: str
     oracle: Oracle
-    rate: float = 1.0
+    clock_rate: float = 1.0
     incarnation: int = 1
     clock_s: float = 50.0
     lease_until: float = 0.0
     fence: int = 0
-    dead: bool = False
+    down: bool = False
     running: dict[tuple[TaskId, int], float] = Factory(dict)
     ended: list[EndedTask] = Factory(list)
-    numbers: int = 0
-    refused_to: dict[TaskId, int] = Factory(dict)
+    end_count: int = 0
+    refused_up_to: dict[TaskId, int] = Factory(dict)
 
     def entry(self) -> HostEntry:
         return HostEntry(
@@ -112,7 +116,7 @@
         )
 
     def advance(self, seconds: float) -> None:
-        self.clock_s += seconds * self.rate
+        self.clock_s += seconds * self.clock_rate
         if self.clock_s > self.lease_until:
             for run in list(self.running):
                 self.end(run, EndKind.LAPSED)
@@ -120,21 +124,21 @@
     def restart(self) -> None:
         self.incarnation += 1
         self.clock_s = self.lease_until = 0.0
-        self.fence = self.numbers = 0
+        self.fence = self.end_count = 0
         self.running.clear()
         self.ended.clear()
-        self.refused_to.clear()
-        self.dead = False
+        self.refused_up_to.clear()
+        self.down = False
 
     def end(self, run: tuple[TaskId, int], how: EndKind) -> None:
         del self.running[run]
         task, attempt = run
-        self.refused_to[task] = max(self.refused_to.get(task, 0), attempt)
-        self.numbers += 1
+        self.refused_up_to[task] = max(self.refused_up_to.get(task, 0), attempt)
+        self.end_count += 1
         checkpoint = "saved" if how is EndKind.STOPPED else ""
         self.ended.append(
             EndedTask(
-                number=self.numbers, task=task, attempt=attempt, how=how, checkpoint=checkpoint
+                number=self.end_count, task=task, attempt=attempt, how=how, checkpoint=checkpoint
             )
         )
         if how is EndKind.DONE:
@@ -147,7 +151,7 @@
         run = (order.task, order.attempt)
         if run in self.running:
             return Started(clock_s=self.clock_s)
-        if order.attempt <= self.refused_to.get(order.task, 0):
+        if order.attempt <= self.refused_up_to.get(order.task, 0):
             self.lease_until = max(self.lease_until, order.deadline_s)
             return Refused(reason=Refusal.OLD_ATTEMPT)
         if self.clock_s > order.deadline_s:
@@ -164,10 +168,10 @@
         run = (order.task, order.attempt)
         if run in self.running:
             self.end(run, EndKind.STOPPED)
-        self.refused_to[order.task] = max(self.refused_to.get(order.task, 0), order.attempt)
+        self.refused_up_to[order.task] = max(self.refused_up_to.get(order.task, 0), order.attempt)
         return self.clock_s
 
-    def hold(self, fence: int, deadline_s: float | None, forget_to: int) -> HostReport | None:
+    def poll(self, fence: int, deadline_s: float | None, forget_up_to: int) -> HostReport | None:
         if fence < self.fence:
             return None
         self.fence = fence
@@ -175,15 +179,15 @@
             until = min(deadline_s, self.clock_s + LEASE_S)
             self.lease_until = max(self.lease_until, until)
         for ended in self.ended:
-            if ended.number <= forget_to:
-                self.oracle.noted(ended)
-        self.ended = [ended for ended in self.ended if ended.number > forget_to]
+            if ended.number <= forget_up_to:
+                self.oracle.acknowledged(ended)
+        self.ended = [ended for ended in self.ended if ended.number > forget_up_to]
         return HostReport(
             clock_s=self.clock_s,
             incarnation=self.incarnation,
             running=tuple(
-                RunningTask(task=task, attempt=attempt, percent=10 * (self.clock_s - begun))
-                for (task, attempt), begun in self.running.items()
+                RunningTask(task=task, attempt=attempt, percent=10 * (self.clock_s - started_at))
+                for (task, attempt), started_at in self.running.items()
             ),
             ended=tuple(self.ended),
         )
--- a/tests/dispatch/test_approval_request_size.py
+++ b/tests/dispatch/test_approval_request_size.py
@@ -24,22 +24,24 @@
 
 from .world import CORES, QUEUE, World, job, step
 
-ADVISED = evolve(QUEUE, advice=AdviceCost(decision_s=0.4, per_host_s=0.01, valid_s=2.0))
+QUEUE_WITH_APPROVALS = evolve(
+    QUEUE, advice=AdviceCost(decision_s=0.4, per_host_s=0.01, valid_s=2.0)
+)
 HOSTS = 90
 # Each host in these tests has eight cores. Values: step, share of approved hosts, hosts named.
-NEEDS = {
+REQUESTS = {
     "one task": (step(1), 1.0, 1),
     "tasks that fill one host": (step(8), 1.0, 1),
     "tasks that fill ten hosts": (step(80), 1.0, 10),
     "tasks as large as a host": (step(5, millicores=8 * CORES), 1.0, 5),
-    "tasks that have to be on different hosts": (step(5, max_per_host=1), 1.0, 5),
+    "tasks on different hosts": (step(5, max_per_host=1), 1.0, 5),
     "more tasks than all hosts hold": (step(HOSTS + 1, millicores=8 * CORES), 1.0, HOSTS),
     "a gang for one rack": (step(2, gang=True, one_rack=True), 1.0, HOSTS),
 }
 
 
 def step_of(world: World, req: StepRequest) -> Step:
-    (found,) = world.add(job("j", req, queue=ADVISED)).steps()
+    (found,) = world.add(job("j", req, queue=QUEUE_WITH_APPROVALS)).steps()
     return found
 
 
@@ -48,7 +50,7 @@
     return [host.id for host in hosts_to_request(step_of(world, req), hosts, [], share)]
 
 
-@pytest.mark.parametrize(("req", "share", "count"), NEEDS.values(), ids=NEEDS.keys())
+@pytest.mark.parametrize(("req", "share", "count"), REQUESTS.values(), ids=REQUESTS.keys())
 def test_no_more_hosts_are_named_than_the_tasks_need(req, share, count):
     """Guards against slow responses because a request names hosts that are not needed."""
     world = World(*(f"h{index:02}" for index in range(HOSTS)))
@@ -79,18 +81,18 @@
     assert named(world, step(1, near_rack="rack"), 1.0) == ["c"]
 
 
-def test_steps_of_one_moment_do_not_all_name_the_same_hosts():
+def test_simultaneous_steps_do_not_all_name_the_same_hosts():
     """Guards against jobs that are all approved for the same hosts and compete for their room."""
     world = World(*(f"h{index:02}" for index in range(HOSTS)))
     hosts = list(world.dispatcher.tracker.hosts.values())
     found = set()
     for index in range(20):
-        (waiting,) = world.add(job(f"j{index}", step(8), queue=ADVISED)).steps()
+        (waiting,) = world.add(job(f"j{index}", step(8), queue=QUEUE_WITH_APPROVALS)).steps()
         found.update(host.id for host in hosts_to_request(waiting, hosts, [], 1.0))
     assert len(found) > 10
 
 
-def question(orders: list[Order]) -> AdviceOrder:
+def approval_request(orders: list[Order]) -> AdviceOrder:
     (found,) = [order for order in orders if isinstance(order, AdviceOrder)]
     return found
 
@@ -106,21 +108,21 @@
     world.dispatcher.advised(advice, now=world.now)
 
 
-def test_a_step_whose_hosts_are_denied_asks_about_others():
+def test_a_step_whose_hosts_are_denied_requests_others():
     """Guards against a step that waits although free hosts have not been named in a request."""
     world = World(*(f"h{index:02}" for index in range(HOSTS)))
-    world.add(job("j", step(1), queue=ADVISED))
+    world.add(job("j", step(1), queue=QUEUE_WITH_APPROVALS))
     asked: list[str] = []
     while len(asked) < HOSTS:
         world.deliver_reports()
-        order = question(world.decide(0.1))
+        order = approval_request(world.decide(0.1))
         assert not set(order.hosts) & set(asked)
         asked += order.hosts
         answer(world, order, ())
     assert len(asked) == HOSTS
 
 
-def test_a_full_cell_is_asked_about_as_a_whole():
+def test_a_request_names_all_hosts_of_a_full_cell():
     """Guards against a step that requests approval of a host only when room on it becomes free."""
     world = World(*(f"h{index:02}" for index in range(HOSTS)))
     world.add(job("others", step(8 * HOSTS)))
@@ -128,11 +130,11 @@
         world.accept(order)
     while world.dispatcher.undecided:
         world.accept(*world.starts())
-    world.add(job("j", step(1), queue=ADVISED))
-    assert len(question(world.decide(0.1)).hosts) == HOSTS
+    world.add(job("j", step(1), queue=QUEUE_WITH_APPROVALS))
+    assert len(approval_request(world.decide(0.1)).hosts) == HOSTS
 
 
-def test_a_share_is_learnt_from_verdicts():
+def test_the_approved_share_follows_the_decisions():
     share = ApprovedShare()
     assert share.value == PRIOR_SHARE
     for _ in range(100):
@@ -140,7 +142,7 @@
     assert share.value == pytest.approx(0.8, abs=0.02)
 
 
-def test_a_share_that_has_changed_is_learnt_anew():
+def test_the_approved_share_follows_a_change_of_policy():
     """Guards against requests that name too few hosts after the policy has become stricter."""
     share = ApprovedShare()
     share.record(decided=int(MAX_COUNTED_HOSTS), approved=int(MAX_COUNTED_HOSTS))
@@ -149,19 +151,19 @@
     assert 0.0 < share.value < 0.01
 
 
-def test_tickets_that_are_renewed_do_not_count_as_verdicts():
+def test_renewed_tickets_do_not_count_as_decisions():
     """Guards against a share that grows with each renewal, as only approved hosts are renewed."""
     world = World("a", "b", "c", "d")
-    world.add(job("j", step(40), queue=ADVISED))
-    first = question(world.decide())
+    world.add(job("j", step(40), queue=QUEUE_WITH_APPROVALS))
+    first = approval_request(world.decide())
     answer(world, first, ("a",))
-    shares = world.dispatcher.approved_share(ADVISED)
-    known = shares.value
+    shares = world.dispatcher.approved_share(QUEUE_WITH_APPROVALS)
+    before = shares.value
     answer(world, evolve(first, hosts=("a",)), ("a",))
-    assert shares.value == known
+    assert shares.value == before
 
 
-def test_nothing_gives_way_while_a_host_with_room_can_be_asked_about():
+def test_no_preemption_while_a_host_with_room_is_undecided():
     """Guards against preemption for an urgent step while other hosts are idle."""
     world = World("full")
     lower = evolve(QUEUE, name="lower", priority=5)
@@ -169,13 +171,15 @@
     world.add(job("others", req, queue=lower))
     world.accept(*world.starts())
     world.deliver_reports()
-    urgent = world.add(job("j", step(1, estimate=60.0), queue=evolve(ADVISED, objective_s=30.0)))
-    answer(world, question(world.decide(0.1)), ("full",))
+    urgent = world.add(
+        job("j", step(1, estimate=60.0), queue=evolve(QUEUE_WITH_APPROVALS, objective_s=30.0))
+    )
+    answer(world, approval_request(world.decide(0.1)), ("full",))
     world.add_host("idle")
     orders = world.decide(0.1)
-    assert question(orders).hosts == ("idle",)
+    assert approval_request(orders).hosts == ("idle",)
     assert not any(isinstance(order, StopOrder) for order in orders)
-    answer(world, question(orders), ())
+    answer(world, approval_request(orders), ())
     world.deliver_reports()
     stops = [order for order in world.decide(0.1) if isinstance(order, StopOrder)]
     assert [order.task.job for order in stops] == ["others"]
--- a/tests/dispatch/test_backlog.py
+++ b/tests/dispatch/test_backlog.py
@@ -10,7 +10,7 @@
 
 from .world import CORES, QUEUE, World, entry, job, step
 
-REPORT_S = 0.01
+REPORT_INTERVAL_S = 0.01
 
 
 def backlog(count: int) -> World:
@@ -36,7 +36,7 @@
     assert placed == [f"job{index:04}" for index in range(3 * MAX_STEPS_PER_DECISION)]
 
 
-def test_steps_without_room_do_not_keep_others_from_being_placed():
+def test_steps_without_room_do_not_starve_others():
     """Guards against a backlog of wide steps that starves all steps after them."""
     world = World("a", "b")
     for index in range(2 * MAX_STEPS_PER_DECISION):
@@ -44,13 +44,13 @@
     small = world.add(job("x-small", step(1, millicores=10)))
     world.accept(*world.starts())
     for _ in range(4):
-        world.accept(*world.starts(REPORT_S))
+        world.accept(*world.starts(REPORT_INTERVAL_S))
         world.dispatcher.host_listed(entry("c", millicores=10), now=world.now)
         world.deliver_reports()
     assert small.started
 
 
-def test_a_caller_that_is_behind_gets_fewer_starts_and_the_most_urgent_first():
+def test_a_start_limit_keeps_the_most_urgent_steps_first():
     """Guards against starts in the order of an old backlog when a more urgent step has arrived."""
     world = backlog(6)
     first = [o for o in world.decide(starts=2) if isinstance(o, StartOrder)]
@@ -61,7 +61,7 @@
     assert not world.dispatcher.undecided
 
 
-def test_an_idle_dispatcher_has_nothing_undecided():
+def test_an_idle_dispatcher_has_no_candidates_left():
     dispatcher = Dispatcher(succession=Succession(lapsed_at=0.0), lease_s=6.0)
     dispatcher.decide(now=0.0, wall_s=0.0)
     assert not dispatcher.undecided
--- a/tests/dispatch/test_decision_cost.py
+++ b/tests/dispatch/test_decision_cost.py
@@ -13,7 +13,7 @@
 from .world import QUEUE, World, job, step
 
 
-class Untouched(dict):
+class NotIterable(dict):
     """Runs that may be looked up but not iterated over."""
 
     def __iter__(self):
@@ -22,33 +22,35 @@
     keys = values = items = __iter__
 
 
-def test_a_decision_with_nothing_to_do_walks_through_no_runs():
+def test_an_idle_decision_does_not_iterate_over_runs():
     """Guards against decisions whose cost grows with the number of runs."""
     world = World("a", "b")
     world.add(job("j", step(8)))
     world.accept(*world.starts())
     world.decide(0.1)
     for host in world.dispatcher.tracker.hosts.values():
-        host.runs = Untouched(host.runs)
+        host.runs = NotIterable(host.runs)
     assert world.decide(0.1) == []
 
 
-ADVISED = evolve(QUEUE, advice=AdviceCost(decision_s=0.4, per_host_s=0.01, valid_s=2.0))
-REPORTED = {
-    "while its first question is under way": ({"pending": {"a", "b"}}, "a", False),
-    "by a host that it may use": ({"approved": {"a"}, "pending": {"b"}}, "a", True),
-    "by a host that is being asked about": ({"approved": {"a"}, "pending": {"b"}}, "b", False),
-    "by a host that it may not use": ({"denied": {"a"}}, "a", False),
-    "by a host that can be asked about": ({"denied": {"a"}}, "b", True),
+QUEUE_WITH_APPROVALS = evolve(
+    QUEUE, advice=AdviceCost(decision_s=0.4, per_host_s=0.01, valid_s=2.0)
+)
+REPORTS = {
+    "while its first request is pending": ({"pending": {"a", "b"}}, "a", False),
+    "by an approved host": ({"approved": {"a"}, "pending": {"b"}}, "a", True),
+    "by a host named in the pending request": ({"approved": {"a"}, "pending": {"b"}}, "b", False),
+    "by a denied host": ({"denied": {"a"}}, "a", False),
+    "by an undecided host": ({"denied": {"a"}}, "b", True),
 }
 
 
-@pytest.mark.parametrize(("approvals", "host", "tried"), REPORTED.values(), ids=REPORTED.keys())
-def test_a_report_lets_only_those_steps_be_tried_that_can_use_the_host(approvals, host, tried):
+@pytest.mark.parametrize(("approvals", "host", "tried"), REPORTS.values(), ids=REPORTS.keys())
+def test_a_report_selects_only_steps_that_can_use_the_host(approvals, host, tried):
     """Guards against decisions whose cost grows with the number of steps awaiting approvals."""
     world = World("a", "b")
     waiting = WaitingSteps()
-    (candidate,) = world.add(job("j", step(), queue=ADVISED)).steps()
+    (candidate,) = world.add(job("j", step(), queue=QUEUE_WITH_APPROVALS)).steps()
     candidate.approvals = StepApprovals(**approvals)
     waiting.add(candidate, world.now)
     candidates = Candidates(waiting=waiting)
--- a/tests/dispatch/test_dispatcher_machine.py
+++ b/tests/dispatch/test_dispatcher_machine.py
@@ -35,15 +35,15 @@
 
 from .host_model import CAPACITY, LEASE_S, HostModel, Oracle
 
-FUZZ = os.environ.get("HYPOTHESIS_PROFILE") == "fuzz"
-EXAMPLES = 2000 if FUZZ else 150
-STEPS = 50
+FUZZING = os.environ.get("HYPOTHESIS_PROFILE") == "fuzz"
+EXAMPLES = 2000 if FUZZING else 150
+MAX_RULES = 50
 HOSTS = 3
 TICK_S = 0.25
-DIRECTORY_TICKS = 2
+HOST_LIST_INTERVAL_TICKS = 2
 # Maximum delay of a late order; the longest lease starts after that.
-LATE_S = 4.0
-REST_S = 60.0
+LATE_ORDER_DELAY_S = 4.0
+RECOVERY_TIMEOUT_S = 60.0
 QUEUES = (
     Queue(name="urgent", service="pool", priority=0, attempts=3, objective_s=5.0),
     Queue(name="batch", service="pool", priority=2, attempts=3, objective_s=500.0),
@@ -76,19 +76,19 @@
         self.count = 0
         self.ticks = 0
         self.oracle = Oracle()
-        self.late: list[LateOrder] = []
+        self.late_orders: list[LateOrder] = []
         self.records: dict[str, tuple[JobRequest, Queue, bytes | None, int]] = {}
         self.ended: dict[str, JobPhase] = {}
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self.reports_lost: set[str] = set()
         self.roster: dict[str, RosterEntry] = {}
         self.fates: dict[str, list[Fate]] = {}
         for index, rate in enumerate(rates):
-            host = HostModel(id=f"h{index}", oracle=self.oracle, rate=rate)
+            host = HostModel(id=f"h{index}", oracle=self.oracle, clock_rate=rate)
             self.oracle.hosts[host.id] = host
         self.take_over()
 
-    # ------------------------------------------------------------ what happens
+    # ------------------------------------------------------------ events
 
     @rule(
         widths=st.lists(st.integers(1, 4), min_size=1, max_size=2),
@@ -100,10 +100,10 @@
     def submit(self, widths, cores, gang, checkpointable, queue):
         self.count += 1
         # A gang that is too large for all hosts together would never start, which is correct.
-        most = HOSTS * (CAPACITY.millicores // (cores * 1000)) if gang else max(widths)
+        max_width = HOSTS * (CAPACITY.millicores // (cores * 1000)) if gang else max(widths)
         steps = tuple(
             StepRequest(
-                count=min(width, most),
+                count=min(width, max_width),
                 sizes=Sizes(millicores=cores * 1000, memory_mb=10),
                 estimate_s=2.0,
                 after=(index - 1,) if index else (),
@@ -118,7 +118,7 @@
         self.dispatcher.add_job(self.job(req, queue), now=self.now, wall_s=self.now)
 
     @rule(ticks=st.sampled_from([1, 2, 4, 8, 16, 30]))
-    def go_on(self, ticks):
+    def advance(self, ticks):
         for _ in range(ticks):
             self.tick()
 
@@ -126,13 +126,13 @@
         host=st.integers(0, HOSTS - 1),
         fates=st.lists(st.sampled_from(Fate), min_size=1, max_size=4),
     )
-    def orders_meet(self, host, fates):
+    def set_fates(self, host, fates):
         """Set the fates of the next orders to a host; the last one applies to all later orders."""
         self.fates[f"h{host}"] = fates
 
     @rule(host=st.integers(0, HOSTS - 1))
-    def cut_off(self, host):
-        self.cut.add(f"h{host}")
+    def partition(self, host):
+        self.partitioned.add(f"h{host}")
 
     @rule(host=st.integers(0, HOSTS - 1))
     def lose_reports(self, host):
@@ -141,20 +141,20 @@
 
     @rule()
     def heal(self):
-        self.cut.clear()
+        self.partitioned.clear()
         self.reports_lost.clear()
         self.fates.clear()
 
-    @rule(host=st.integers(0, HOSTS - 1), at_once=st.booleans())
-    def crash(self, host, at_once):
+    @rule(host=st.integers(0, HOSTS - 1), restart=st.booleans())
+    def crash(self, host, restart):
         found = self.oracle.hosts[f"h{host}"]
         found.running.clear()
-        found.dead = True
-        if at_once:
+        found.down = True
+        if restart:
             found.restart()
 
     @rule(pick=st.integers(0, 50), how=st.sampled_from([EndKind.DONE, EndKind.FAILED]))
-    def a_run_ends(self, pick, how):
+    def end_run(self, pick, how):
         runs = [(host, run) for host in self.oracle.hosts.values() for run in host.running]
         if runs:
             host, run = runs[pick % len(runs)]
@@ -194,7 +194,7 @@
         for id in self.roster:
             self.dispatcher.host_listed(self.oracle.hosts[id].entry(), now=self.now)
         follow_record(self.roster, self.dispatcher.tracker.hosts)
-        self.follow_directory()
+        self.read_host_list()
         for req, queue, state, _ in list(self.records.values()):
             job = self.job(req, queue, inherited=True)
             if state is not None:
@@ -202,7 +202,7 @@
                 restore_state(job, state, now=self.now)
             self.dispatcher.add_job(job, now=self.now, wall_s=self.now)
 
-    # ------------------------------------------------------------ how it goes on
+    # ------------------------------------------------------------ helpers
 
     def job(self, req: JobRequest, queue: Queue, *, inherited: bool = False) -> Job:
         return Job(
@@ -221,23 +221,23 @@
         self.now += TICK_S
         for host in self.oracle.hosts.values():
             host.advance(TICK_S)
-        for item in [item for item in self.late if item.at <= self.now]:
-            self.late.remove(item)
-            if item.host.incarnation == item.incarnation and not item.host.dead:
+        for item in [item for item in self.late_orders if item.at <= self.now]:
+            self.late_orders.remove(item)
+            if item.host.incarnation == item.incarnation and not item.host.down:
                 self.carry_out(item.host, item.order, item.fence)
         for host in self.oracle.hosts.values():
-            self.look(host)
+            self.poll(host)
         self.ticks += 1
-        if self.ticks % DIRECTORY_TICKS == 0:
-            self.follow_directory()
+        if self.ticks % HOST_LIST_INTERVAL_TICKS == 0:
+            self.read_host_list()
         for order in self.dispatcher.decide(now=self.now, wall_s=self.now):
             self.send(order)
         self.dispatcher.notes.clear()
 
-    def follow_directory(self) -> None:
+    def read_host_list(self) -> None:
         """Read the host list and store the roster."""
         hosts = self.dispatcher.tracker.hosts
-        listed = {host.id: host.entry() for host in self.oracle.hosts.values() if not host.dead}
+        listed = {host.id: host.entry() for host in self.oracle.hosts.values() if not host.down}
         close_hosts(hosts, self.now)
         unconfirmed = self.dispatcher.succession.unconfirmed
         self.roster = next_roster(self.roster, listed, hosts, unconfirmed=unconfirmed, now=self.now)
@@ -251,14 +251,14 @@
             if id not in listed:
                 self.dispatcher.host_unlisted(id)
 
-    def look(self, host: HostModel) -> None:
+    def poll(self, host: HostModel) -> None:
         state = self.dispatcher.tracker.hosts.get(host.id)
-        if state is None or host.dead:
+        if state is None or host.down:
             return
         deadline_s = state.hold(self.now, LEASE_S)
-        if host.id in self.cut:
+        if host.id in self.partitioned:
             return
-        report = host.hold(self.fence, deadline_s, state.recorded_end)
+        report = host.poll(self.fence, deadline_s, state.recorded_end)
         assert report is not None
         if host.id in self.reports_lost:
             return
@@ -268,16 +268,16 @@
         host = self.oracle.hosts[order.host]
         fates = self.fates.get(host.id, [Fate.ANSWERED])
         fate = fates.pop(0) if len(fates) > 1 else fates[0]
-        if host.id in self.cut:
+        if host.id in self.partitioned:
             fate = Fate.LOST
-        if host.dead:
+        if host.down:
             fate = Fate.LOST
         result = None
         if fate in (Fate.ANSWERED, Fate.NOT_ANSWERED):
             result = self.carry_out(host, order, self.fence)
         if fate is Fate.LATE:
-            self.late.append(
-                LateOrder(self.now + LATE_S, host, host.incarnation, order, self.fence)
+            self.late_orders.append(
+                LateOrder(self.now + LATE_ORDER_DELAY_S, host, host.incarnation, order, self.fence)
             )
         if fate is not Fate.ANSWERED:
             result = Unanswered()
@@ -300,20 +300,20 @@
             return
         self.heal()
         for host in self.oracle.hosts.values():
-            if host.dead:
+            if host.down:
                 host.restart()
-        end = self.now + REST_S
+        end = self.now + RECOVERY_TIMEOUT_S
         while self.now < end and self.dispatcher.jobs:
             self.tick()
             for host in self.oracle.hosts.values():
-                for run, begun in list(host.running.items()):
-                    if host.clock_s - begun > 1.0:
+                for run, started_at in list(host.running.items()):
+                    if host.clock_s - started_at > 1.0:
                         host.end(run, EndKind.DONE)
             self.record()
-        assert not self.dispatcher.jobs, "jobs stand still though all is well"
+        assert not self.dispatcher.jobs, "jobs have not ended after all faults were removed"
 
 
 TestDispatcherMachine = DispatcherMachine.TestCase
 TestDispatcherMachine.settings = settings(
-    max_examples=EXAMPLES, stateful_step_count=STEPS, derandomize=not FUZZ, deadline=None
+    max_examples=EXAMPLES, stateful_step_count=MAX_RULES, derandomize=not FUZZING, deadline=None
 )
--- a/tests/dispatch/test_gang_tickets.py
+++ b/tests/dispatch/test_gang_tickets.py
@@ -21,7 +21,7 @@
 
 HOSTS = ("a", "b", "c")
 VALID_S = 2.5
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 QUEUE = Queue(
     name="advised",
     service="pool",
@@ -35,35 +35,35 @@
     def __init__(self, world: World, *, answer_s: float) -> None:
         self.world = world
         self.answer_s = answer_s
-        self.asked: list[tuple[float, AdviceOrder]] = []
-        self.questions = 0
+        self.pending: list[tuple[float, AdviceOrder]] = []
+        self.request_count = 0
 
-    def ask(self, order: AdviceOrder) -> None:
-        self.questions += 1
+    def add_request(self, order: AdviceOrder) -> None:
+        self.request_count += 1
         for start in range(0, len(order.hosts), HOSTS_PER_CALL):
             part = evolve(order, hosts=order.hosts[start : start + HOSTS_PER_CALL])
-            self.asked.append((self.world.now + self.answer_s, part))
+            self.pending.append((self.world.now + self.answer_s, part))
 
-    def play(self, until: float, *, to_add: Sequence[str] = ()) -> list[StartOrder]:
+    def run(self, until: float, *, hosts_to_add: Sequence[str] = ()) -> list[StartOrder]:
         """Answer requests until something starts; add a host whenever no request is pending."""
-        left = list(to_add)
+        left = list(hosts_to_add)
         while self.world.now < until:
-            if left and not self.asked:
+            if left and not self.pending:
                 self.world.add_host(left.pop(0))
             self.world.deliver_reports()
             self.answer()
-            orders = self.world.decide(LOOK_S)
+            orders = self.world.decide(POLL_INTERVAL_S)
             started = [order for order in orders if isinstance(order, StartOrder)]
             if started:
                 return started
             for order in orders:
                 if isinstance(order, AdviceOrder):
-                    self.ask(order)
+                    self.add_request(order)
         return []
 
     def answer(self) -> None:
-        due = [order for at, order in self.asked if at <= self.world.now]
-        self.asked = [(at, order) for at, order in self.asked if at > self.world.now]
+        due = [order for at, order in self.pending if at <= self.world.now]
+        self.pending = [(at, order) for at, order in self.pending if at > self.world.now]
         for order in due:
             approvals = tuple(Approval(host=host, ticket=f"for {host}") for host in order.hosts)
             self.world.dispatcher.advised(
@@ -79,26 +79,26 @@
 
 
 @pytest.mark.parametrize("answer_s", [0.5, 1.2, 1.9])
-def test_a_gang_starts_though_its_tickets_came_one_after_the_other(answer_s):
+def test_a_gang_starts_when_its_tickets_arrive_one_by_one(answer_s):
     """Guards against a gang that renews one expired ticket while the next one expires."""
     world = World()
     policy = Policy(world, answer_s=answer_s)
     world.add(job("gang", step(len(HOSTS), millicores=8000, gang=True), queue=QUEUE))
     # One request for each host, one for all of them, and the decision intervals in between.
     latest_s = (len(HOSTS) + 1) * (answer_s + 0.5)
-    started = policy.play(world.now + latest_s, to_add=list(HOSTS))
+    started = policy.run(world.now + latest_s, hosts_to_add=list(HOSTS))
     assert {order.host for order in started} == set(HOSTS)
-    assert policy.questions <= len(HOSTS) + 1
+    assert policy.request_count <= len(HOSTS) + 1
 
 
 @pytest.mark.parametrize("answer_s", [0.5, 1.2])
-def test_a_gang_on_more_hosts_than_a_call_may_name_starts(answer_s):
+def test_a_gang_starts_on_more_hosts_than_one_call_may_name(answer_s):
     """Guards against requests that name hosts with valid tickets and omit others."""
     hosts = [f"h{number:03}" for number in range(HOSTS_PER_CALL + 20)]
     world = World(*hosts[:-1], millicores=8000)
     policy = Policy(world, answer_s=answer_s)
     world.add(job("gang", step(len(hosts), millicores=8000, gang=True), queue=QUEUE))
     # All tickets expire while there is no room for one member.
-    assert policy.play(world.now + 2 * VALID_S) == []
-    started = policy.play(world.now + 4 * (answer_s + 0.5), to_add=hosts[-1:])
+    assert policy.run(world.now + 2 * VALID_S) == []
+    started = policy.run(world.now + 4 * (answer_s + 0.5), hosts_to_add=hosts[-1:])
     assert {order.host for order in started} == set(hosts)
--- a/tests/dispatch/test_objective.py
+++ b/tests/dispatch/test_objective.py
@@ -9,18 +9,18 @@
 
 from .world import CORES, World, job, step
 
-SLIPS = Queue(name="slips", service="pool", slack_factor=1.5, objective_s=0.5)
+SHORT_OBJECTIVE = Queue(name="slips", service="pool", slack_factor=1.5, objective_s=0.5)
 
 CHAINS = {
     "one step": ([step()], (1.0,)),
-    "one after the other": ([step(), step(after=(0,)), step(after=(1,))], (3.0, 2.0, 1.0)),
-    "side by side": ([step(), step()], (1.0, 1.0)),
+    "sequential": ([step(), step(after=(0,)), step(after=(1,))], (3.0, 2.0, 1.0)),
+    "parallel": ([step(), step()], (1.0, 1.0)),
     "two that join": ([step(), step(), step(after=(0, 1))], (2.0, 2.0, 1.0)),
 }
 
 
 @pytest.mark.parametrize(("steps", "expected"), CHAINS.values(), ids=CHAINS.keys())
-def test_tails_are_the_longest_chains_to_the_end(steps, expected):
+def test_critical_paths_are_the_longest_chains_to_the_end(steps, expected):
     assert critical_paths(steps) == expected
 
 
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(("now", "urgency", "until"), URGENCIES)
-def test_urgency_by_what_can_still_be_gained(now, urgency, until):
+def test_urgency_depends_on_the_time_left(now, urgency, until):
     found = classify_urgency(due_at=10.0, objective_s=2.0, critical_path_s=1.0, now=now)
     assert (found.urgency, found.until) == (urgency, until)
 
@@ -42,20 +42,20 @@
     """Guards against a backlog in order of arrival that makes all later jobs late."""
     world = World("a", millicores=2 * CORES)
     for index in range(4):
-        world.add(job(f"old{index}", step(), queue=SLIPS, arrived_at=world.now - 5.0))
+        world.add(job(f"old{index}", step(), queue=SHORT_OBJECTIVE, arrived_at=world.now - 5.0))
     for index in range(2):
-        world.add(job(f"new{index}", step(), queue=SLIPS, arrived_at=world.now))
+        world.add(job(f"new{index}", step(), queue=SHORT_OBJECTIVE, arrived_at=world.now))
     assert {order.task.job for order in world.starts()} == {"new0", "new1"}
 
 
-def test_a_job_that_waits_turns_late_and_lets_others_pass():
+def test_a_waiting_job_becomes_late_and_yields_to_others():
     world = World("a", millicores=CORES)
-    world.add(job("first", step(), queue=SLIPS, arrived_at=world.now))
+    world.add(job("first", step(), queue=SHORT_OBJECTIVE, arrived_at=world.now))
     (order,) = world.starts()
     world.accept(order)
-    world.add(job("waits", step(), queue=SLIPS, arrived_at=world.now))
+    world.add(job("waits", step(), queue=SHORT_OBJECTIVE, arrived_at=world.now))
     assert world.starts(3.0) == []
-    world.add(job("fresh", step(), queue=SLIPS, arrived_at=world.now))
+    world.add(job("fresh", step(), queue=SHORT_OBJECTIVE, arrived_at=world.now))
     world.hosts["a"].end(order)
     world.now += 0.1
     world.deliver_reports()
--- a/tests/dispatch/test_retries.py
+++ b/tests/dispatch/test_retries.py
@@ -42,7 +42,7 @@
     assert all(run.phase is RunPhase.RUNNING for run in world.dispatcher.jobs["g"].runs())
 
 
-def test_the_tries_of_a_start_end():
+def test_the_retries_of_a_start_are_limited():
     """Guards against a start order that is sent for ever to a host that never answers."""
     world = World("a")
     world.add(job("j", step()))
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("reason", [Refusal.NO_ROOM, Refusal.OLD_ATTEMPT, Refusal.NO_TICKET])
-def test_a_refused_copy_says_nothing_of_the_copy_before(reason):
+def test_a_refused_copy_does_not_settle_an_earlier_copy(reason):
     """Guards against a task that runs twice because the first copy is carried out late."""
     world = World("a", "b")
     world.add(job("j", step()))
--- a/tests/dispatch/test_silent_hosts.py
+++ b/tests/dispatch/test_silent_hosts.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_tasks_of_a_host_that_died_start_elsewhere_once_their_leases_are_over(gang):
+def test_tasks_of_a_dead_host_start_elsewhere_when_their_leases_expire(gang):
     """Guards against task leases of a dead host that are counted as extended for ever."""
     world = World("a", "b")
     world.add(job("j", step(2, gang=gang)))
@@ -27,7 +27,7 @@
     assert LEASE_S <= world.now - died_at <= LEASE_S + 3.0
 
 
-def test_a_host_that_was_cut_off_and_runs_on_keeps_its_tasks_for_their_leases():
+def test_a_partitioned_host_keeps_its_tasks_while_their_leases_last():
     """Guards against a second run of a task whose host is partitioned and still runs it."""
     world = World("a", "b")
     world.add(job("j", step()))
--- a/tests/dispatch/test_takeover.py
+++ b/tests/dispatch/test_takeover.py
@@ -42,7 +42,7 @@
         world.deliver_reports()
 
 
-def test_what_an_unconfirmed_host_may_run_waits_until_its_leases_are_over():
+def test_tasks_of_an_unconfirmed_host_wait_until_its_leases_expire():
     """Guards against a second run of a task that an unconfirmed host may still run."""
     world = World("a", roster=("a", "b"))
     world.add(inherited("old", step()))
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("missing", [0, 1, 2])
-def test_a_gang_that_was_started_in_part_is_started_anew_as_a_whole(missing):
+def test_a_partly_started_gang_is_restarted_as_a_whole(missing):
     """Guards against members that wait for ever after their owner died between two starts."""
     world = World("a", "b", roster=("a", "b"))
     gang = inherited("g", step(3, gang=True))
@@ -89,8 +89,8 @@
     """Guards against a host that is overcommitted because of a run of unknown size."""
     world = World("a", roster=("a",))
     host = world.hosts["a"]
-    stranger = TaskId(job="ended", occurrence=0, step=0, index=0)
-    running(host, stranger, 1)
+    unknown_task = TaskId(job="ended", occurrence=0, step=0, index=0)
+    running(host, unknown_task, 1)
     world.now += 0.1
     world.deliver_reports()
     world.add(job("new", step()))
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_a_failure_that_is_on_record_is_not_counted_again(gang):
+def test_a_recorded_failure_is_not_counted_again(gang):
     """Guards against a job that fails with attempts left because one failure was counted twice."""
     before = World("a", roster=())
     first = before.add(job("j", step(gang=gang)))
@@ -136,7 +136,7 @@
     )
 
 
-def test_a_host_that_has_left_holds_up_only_the_jobs_that_it_had():
+def test_a_host_that_has_left_delays_only_its_own_jobs():
     """Guards against a cell in which all jobs wait for the leases of one host that runs nothing."""
     world = World("a")
     world.dispatcher.succession.unconfirmed = {"b": closed("b", "there")}
@@ -151,7 +151,7 @@
     assert [order.task.job for order in world.starts()] == ["there"]
 
 
-def test_an_idle_host_that_has_left_is_forgotten_at_once():
+def test_an_idle_host_that_has_left_is_removed_at_once():
     world = World("a", "b")
     world.dispatcher.host_unlisted("b")
     world.decide(0.1)
@@ -165,7 +165,7 @@
     return next_roster(known, listed, hosts, unconfirmed=(), now=world.now)
 
 
-def test_a_silent_host_is_closed_on_record_with_what_it_may_run_and_opened_before_it_is_used():
+def test_a_silent_host_is_closed_in_the_roster_and_reopened_before_it_is_used():
     """Guards against orders to a host that the next owner would assume to be idle."""
     world = World("a", "b")
     world.add(job("j", step(2, millicores=5 * CORES)))
@@ -189,11 +189,11 @@
     assert {order.host for order in world.starts()} == {"a"}
 
 
-LEAVING = {"draining": HostPhase.DRAINING, "listed no more": None}
+LEAVING = {"draining": HostPhase.DRAINING, "unlisted": None}
 
 
 @pytest.mark.parametrize("phase", LEAVING.values(), ids=LEAVING.keys())
-def test_a_leaving_host_is_closed_on_record(phase):
+def test_a_leaving_host_is_closed_in_the_roster(phase):
     world = World("a")
     world.add(job("j", step()))
     world.accept(*world.starts())
@@ -205,7 +205,7 @@
     assert roster_of(world, a=known)["a"].outstanding == ("j",)
 
 
-def test_what_the_owner_before_has_put_on_record_stays_until_the_host_answers():
+def test_an_earlier_owners_roster_entry_stays_until_the_host_answers():
     world = World(roster=("a",))
     known = closed("a", "j")
     assert roster_of(world, a=known) == {}
--- a/tests/dispatch/world.py
+++ b/tests/dispatch/world.py
@@ -58,7 +58,7 @@
 
 
 @define
-class HostPart:
+class SimulatedHost:
     """A simulated host: the runs that it reports as active and as ended."""
 
     id: str
@@ -110,12 +110,12 @@
             ),
             lease_s=LEASE_S,
         )
-        self.hosts: dict[str, HostPart] = {}
+        self.hosts: dict[str, SimulatedHost] = {}
         for id in hosts:
             self.add_host(id, **fields)
 
-    def add_host(self, id: str, **fields) -> HostPart:
-        self.hosts[id] = HostPart(id=id)
+    def add_host(self, id: str, **fields) -> SimulatedHost:
+        self.hosts[id] = SimulatedHost(id=id)
         self.dispatcher.host_listed(entry(id, **fields), now=self.now)
         self.deliver_reports(id)
         return self.hosts[id]
