--- a/rhubarbferry/dispatch/approvals.py
+++ b/rhubarbferry/dispatch/approvals.py
@@ -39,14 +39,14 @@
     pending: set[str] = Factory(set)
     failed_at: float = -1.0
 
-    def record_response(self, advice: Advice, incarnations: dict[str, int]) -> None:
+    def record_response(self, response: Advice, incarnations: dict[str, int]) -> None:
         """Record the response to an approval request.
 
         :param incarnations: current incarnation of each known host.
         """
-        self.pending.difference_update(advice.asked)
-        named = {approval.host: approval.ticket for approval in advice.approvals}
-        for host in advice.asked:
+        self.pending.difference_update(response.asked)
+        named = {approval.host: approval.ticket for approval in response.approvals}
+        for host in response.asked:
             if host not in named:
                 self.denied.add(host)
                 continue
@@ -55,7 +55,7 @@
             # the arrival of the response by one network trip. The margin covers the difference.
             self.tickets[host] = Ticket(
                 text=named[host],
-                expires_at=advice.answered_at + advice.valid_s - TICKET_EXPIRY_MARGIN_S,
+                expires_at=response.answered_at + response.valid_s - TICKET_EXPIRY_MARGIN_S,
                 incarnation=incarnations.get(host, 0),
             )
 
--- a/rhubarbferry/dispatch/dispatcher.py
+++ b/rhubarbferry/dispatch/dispatcher.py
@@ -142,7 +142,7 @@
             self.ended[job.id] = job.phase
 
     def configure(self, queues: Mapping[str, Queue], *, now: float) -> None:
-        """Apply a new configuration; queues that it does not contain keep their previous settings."""
+        """Apply a new configuration; queues missing from it keep their previous settings."""
         if queues is self._queues:
             return
         self._queues = queues
@@ -220,15 +220,15 @@
 
     # ------------------------------------------------------------ approvals
 
-    def advised(self, advice: Advice, *, now: float) -> None:
+    def advised(self, response: Advice, *, now: float) -> None:
         """Process the response to an approval request."""
-        step = self._step(advice.step)
+        step = self._step(response.step)
         if step is None:
             return
         hosts = self.tracker.hosts
-        incarnations = {id: hosts[id].entry.incarnation for id in advice.asked if id in hosts}
-        fresh = {id for id in advice.asked if step.approvals.is_undecided(id)}
-        step.approvals.record_response(advice, incarnations)
+        incarnations = {id: hosts[id].entry.incarnation for id in response.asked if id in hosts}
+        fresh = {id for id in response.asked if step.approvals.is_undecided(id)}
+        step.approvals.record_response(response, incarnations)
         approved = len(fresh & step.approvals.approved)
         self.approved_share(step.job.queue).record(decided=len(fresh), approved=approved)
         self._reconsider(step, now)
@@ -237,12 +237,12 @@
         """Return the estimated share of hosts that the policy approves for steps of a queue."""
         return self._approved_shares.setdefault(queue.name, ApprovedShare())
 
-    def advice_failed(self, order: AdviceOrder, *, now: float) -> None:
+    def advice_failed(self, request: AdviceOrder, *, now: float) -> None:
         """Record that an approval request failed, and schedule a retry."""
-        step = self._step(order.step)
+        step = self._step(request.step)
         if step is None:
             return
-        step.approvals.pending.difference_update(order.hosts)
+        step.approvals.pending.difference_update(request.hosts)
         step.approvals.failed_at = now
         self._approval_retry_at[step] = now + APPROVAL_RETRY_INTERVAL_S
 
@@ -324,11 +324,11 @@
     def _place(self, step: Step, open_hosts: list[Host], now: float) -> list[Order]:
         if step.job.id in self._unresolved_jobs:
             return []
-        advice = step.job.queue.advice
+        approval_cost = step.job.queue.advice
         if step.approvals.awaiting_first_approval:
             return []
         allowed = open_hosts
-        if advice is not None:
+        if approval_cost is not None:
             approved = step.approvals.approved
             allowed = [host for host in open_hosts if host.id in approved] if approved else []
         if step.req.filling:
@@ -339,9 +339,9 @@
         elif self._may_preempt(step, allowed, open_hosts):
             self._preempt(step, allowed, now)
         orders: list[Order] = []
-        if placed or advice is not None:
+        if placed or approval_cost is not None:
             orders += self._reserve(step, placed, now)
-        if advice is not None:
+        if approval_cost is not None:
             held = self.holds.hosts(step)
             share = self.approved_share(step.job.queue).value
             request = next_approval_request(step, open_hosts, self.tracker.hosts, held, share, now)
--- a/rhubarbferry/dispatch/hosts.py
+++ b/rhubarbferry/dispatch/hosts.py
@@ -59,7 +59,7 @@
     :param unknown_runs: runs of jobs that have ended or are unknown, each with the time of the last
         stop order. Their size is unknown, so the host receives no tasks until they have ended; it
         could be overcommitted otherwise.
-    :param held_until_s: time on its clock until which task leases have been requested.
+    :param leases_until_s: time on its clock until which task leases have been requested.
     :param seen_end: number of the last end that has been processed.
     :param recorded_end: number of the last end whose effect has been written to the store.
     :param last_report_at: when its last report arrived.
@@ -78,7 +78,7 @@
     runs: dict[RunKey, Run] = Factory(dict)
     unknown_runs: dict[RunKey, float] = Factory(dict)
     clock: HostClock | None = None
-    held_until_s: float = 0.0
+    leases_until_s: float = 0.0
     seen_end: int = 0
     recorded_end: int = 0
     last_report_at: float = 0.0
@@ -117,7 +117,7 @@
         """
         return 2 * self.look_s + POLL_LATENCY_MARGIN_S
 
-    def takes_tasks(self, now: float) -> bool:
+    def accepts_tasks(self, now: float) -> bool:
         """Return whether it accepts a task now."""
         return (
             self.listed
@@ -141,7 +141,7 @@
         if self.clock is None or now - self.last_report_at >= self.silent_s:
             return None
         until = self.clock.estimate(now) + hold_s
-        self.held_until_s = max(self.held_until_s, until)
+        self.leases_until_s = max(self.leases_until_s, until)
         return until
 
     def update_leaves_at(self, now: float) -> None:
@@ -173,7 +173,7 @@
         if self.clock is None:
             # Its runs may be orders of an earlier owner, whose lease requests are unknown here. If
             # these leases were considered expired too early, the tasks would run twice.
-            self.held_until_s = max(self.held_until_s, report.clock_s + lease_s)
+            self.leases_until_s = max(self.leases_until_s, report.clock_s + lease_s)
         self.clock = HostClock(clock_s=report.clock_s, sent_at=sent_at, received_at=now)
 
     def leases_expired(self, now: float) -> bool:
@@ -184,4 +184,4 @@
         """
         if self.clock is None:
             return False
-        return self.clock.lower_bound(now) > self.held_until_s + LAPSE_MARGIN_S
+        return self.clock.lower_bound(now) > self.leases_until_s + LAPSE_MARGIN_S
--- a/rhubarbferry/dispatch/placement.py
+++ b/rhubarbferry/dispatch/placement.py
@@ -71,7 +71,7 @@
     """
     need = step.req.room
     with_room = [host for host in hosts if need.fits(host.room)]
-    fitting = [host for host in eligible_hosts(step, with_room) if host.takes_tasks(now)]
+    fitting = [host for host in eligible_hosts(step, with_room) if host.accepts_tasks(now)]
     if not fitting:
         return []
     open_hosts = [(host, free_slots(step, host, _usable_room(host, held_room))) for host in fitting]
--- a/rhubarbferry/dispatch/reservations.py
+++ b/rhubarbferry/dispatch/reservations.py
@@ -64,16 +64,16 @@
 
 def overdue(step: Step, runs: list[Run], hosts: Mapping[str, Host], now: float) -> list[Run]:
     """Return the reserved runs to release: those that timed out or whose host accepts no tasks."""
-    advice = step.job.queue.advice
-    longest_s = (
-        2 * advice.duration_s(len(step.tasks)) + RESERVATION_MARGIN_S
-        if advice
+    approval_cost = step.job.queue.advice
+    max_age_s = (
+        2 * approval_cost.duration_s(len(step.tasks)) + RESERVATION_MARGIN_S
+        if approval_cost
         else RESERVATION_MARGIN_S
     )
     return [
         run
         for run in runs
-        if now > run.ordered_at + longest_s or not hosts[run.host].takes_tasks(now)
+        if now > run.ordered_at + max_age_s or not hosts[run.host].accepts_tasks(now)
     ]
 
 
@@ -90,7 +90,7 @@
     run.phase = RunPhase.ORDERED
     run.ordered_at = now
     run.deadline_s = host.clock.estimate(now) + START_VALIDITY_S
-    host.held_until_s = max(host.held_until_s, run.deadline_s)
+    host.leases_until_s = max(host.leases_until_s, run.deadline_s)
     task.attempt = run.attempt
     task.step.ever_started = True
     run.order = StartOrder(
--- a/rhubarbferry/dispatch/tracker.py
+++ b/rhubarbferry/dispatch/tracker.py
@@ -136,7 +136,7 @@
         host.unknown_runs = {}
         host.adopted = False
         host.seen_end = host.recorded_end = 0
-        host.held_until_s = 0.0
+        host.leases_until_s = 0.0
         self.changed.add(host.id)
         return events
 
@@ -296,7 +296,7 @@
                 if run.unanswered:
                     # The refusal applies only to this copy of the order; an earlier copy may still
                     # be carried out.
-                    self._note_unclear(host, run, now)
+                    self._mark_unclear(host, run, now)
                     return []
                 run.phase = RunPhase.RESERVED
                 host.remove(run)
@@ -315,7 +315,7 @@
             case Unanswered():
                 run.unanswered = True
                 if not self._retry(host, run, now):
-                    self._note_unclear(host, run, now)
+                    self._mark_unclear(host, run, now)
                 return []
 
     def _retry(self, host: Host, run: Run, now: float) -> bool:
@@ -326,7 +326,7 @@
         self.orders.append(order)
         return True
 
-    def _note_unclear(self, host: Host, run: Run, now: float) -> None:
+    def _mark_unclear(self, host: Host, run: Run, now: float) -> None:
         if run.phase is RunPhase.ORDERED:
             run.phase = RunPhase.UNCLEAR
             host.blocked_until = max(host.blocked_until, now + UNANSWERED_BACKOFF_S)
@@ -364,7 +364,7 @@
     def mark_reopened_hosts(self, now: float) -> None:
         """Mark hosts that accept tasks again as changed, so that waiting steps are tried there."""
         for host in self.hosts.values():
-            opened = host.takes_tasks(now)
+            opened = host.accepts_tasks(now)
             if opened and not host.is_open:
                 self.changed.add(host.id)
             host.is_open = opened
@@ -374,7 +374,7 @@
         for id in self.changed:
             host = self.hosts.get(id)
             if host is not None:
-                host.is_open = host.takes_tasks(now)
+                host.is_open = host.accepts_tasks(now)
 
     # ------------------------------------------------------------ runs
 
--- a/tests/dispatch/host_model.py
+++ b/tests/dispatch/host_model.py
@@ -75,7 +75,7 @@
         if ended.how is EndKind.DONE:
             if ended.task in self.started_after_done:
                 raise InvariantViolated(
-                    f"{ended.task} was started_at again before its end was taken note of"
+                    f"{ended.task} was started again before its end was acknowledged"
                 )
             self.acknowledged_done.add(ended.task)
         elif ended.how is EndKind.FAILED:
--- a/tests/dispatch/test_approval_request_size.py
+++ b/tests/dispatch/test_approval_request_size.py
@@ -98,14 +98,14 @@
 
 
 def answer(world: World, order: AdviceOrder, approved: tuple[str, ...]) -> None:
-    advice = Advice(
+    response = Advice(
         step=order.step,
         asked=order.hosts,
         approvals=tuple(Approval(host=id, ticket="t") for id in approved),
         answered_at=world.now,
         valid_s=2.0,
     )
-    world.dispatcher.advised(advice, now=world.now)
+    world.dispatcher.advised(response, now=world.now)
 
 
 def test_a_step_whose_hosts_are_denied_requests_others():
--- a/tests/dispatch/test_dispatcher_machine.py
+++ b/tests/dispatch/test_dispatcher_machine.py
@@ -41,7 +41,7 @@
 HOSTS = 3
 TICK_S = 0.25
 HOST_LIST_INTERVAL_TICKS = 2
-# Maximum delay of a late order; the longest lease starts after that.
+# Delay after which a late order is carried out; the longest lease expires only after it.
 LATE_ORDER_DELAY_S = 4.0
 RECOVERY_TIMEOUT_S = 60.0
 QUEUES = (
--- a/tests/dispatch/test_gang_tickets.py
+++ b/tests/dispatch/test_gang_tickets.py
@@ -84,7 +84,7 @@
     world = World()
     policy = Policy(world, answer_s=answer_s)
     world.add(job("gang", step(len(HOSTS), millicores=8000, gang=True), queue=QUEUE))
-    # One request for each host, one for all of them, and the decision intervals in between.
+    # One request for each host, one for all of them, and half a second for the interval after each.
     latest_s = (len(HOSTS) + 1) * (answer_s + 0.5)
     started = policy.run(world.now + latest_s, hosts_to_add=list(HOSTS))
     assert {order.host for order in started} == set(HOSTS)
