--- a/rhubarbferry/dispatch/succession.py
+++ b/rhubarbferry/dispatch/succession.py
@@ -41,8 +41,9 @@
     by 8 s.
 
     :param unconfirmed: roster entries of the hosts that have not answered yet, by id.
-    :param lapsed_at: when every earlier task lease must have expired: the time of the takeover plus
-        the earlier owner's own lease, the longest task lease and the maximum clock drift.
+    :param lapsed_at: when every earlier task lease must have expired: the time of the
+        takeover plus the earlier owner's own lease, the longest task lease and the maximum
+        clock drift.
     """
 
     unconfirmed: dict[str, RosterEntry] = Factory(dict)
--- a/tests/dispatch/world.py
+++ b/tests/dispatch/world.py
@@ -66,7 +66,7 @@
     clock_offset: float = 100.0
     running: dict = Factory(dict)
     ended: list = Factory(list)
-    count: int = 0
+    end_count: int = 0
 
     def run(self, order: StartOrder, percent: float = 0.0) -> None:
         self.running[(order.task, order.attempt)] = RunningTask(
@@ -75,10 +75,10 @@
 
     def end(self, order, how: EndKind = EndKind.DONE, checkpoint: str = "") -> None:
         self.running.pop((order.task, order.attempt), None)
-        self.count += 1
+        self.end_count += 1
         self.ended.append(
             EndedTask(
-                number=self.count,
+                number=self.end_count,
                 task=order.task,
                 attempt=order.attempt,
                 how=how,
