--- a/rhubarbferry/dispatch/hung.py
+++ b/rhubarbferry/dispatch/hung.py
@@ -6,8 +6,8 @@
 from rhubarbferry.dispatch.job import Run, RunPhase
 from rhubarbferry.dispatch.messages import FULL_PERCENT
 
-# A run hangs if its progress has not changed for the first of these times, or for the time that the
-# second, a percentage of its work, takes if that is longer. Progress is reported in whole percent,
+# A run counts as hung if its progress has not changed for MIN_HUNG_TIMEOUT_S or, if that is longer,
+# for the time that HUNG_TIMEOUT_PERCENT of its work takes. Progress is reported in whole percent,
 # and estimates may be far too low.
 MIN_HUNG_TIMEOUT_S = 2.5
 HUNG_TIMEOUT_PERCENT = 4.0
--- a/rhubarbferry/dispatch/messages.py
+++ b/rhubarbferry/dispatch/messages.py
@@ -40,7 +40,7 @@
         )
 
     def times(self, number: int) -> Sizes:
-        """Return the total for ``number`` tasks of this size."""
+        """Return the resources for ``number`` tasks of this size."""
         return Sizes(
             millicores=self.millicores * number,
             memory_mb=self.memory_mb * number,
@@ -98,7 +98,10 @@
 
     @property
     def room(self) -> Sizes:
-        """Resources that one task takes from the capacity of its host."""
+        """Resources that one task takes from the capacity of its host.
+
+        A filling task takes no processor.
+        """
         if not self.filling:
             return self.sizes
         return Sizes(memory_mb=self.sizes.memory_mb, accelerators=self.sizes.accelerators)
