--- a/rhubarbferry/dispatch/candidates.py
+++ b/rhubarbferry/dispatch/candidates.py
@@ -1,4 +1,4 @@
-"""Which waiting steps a decision tries to place, and in which order."""
+"""Select the waiting steps that a decision tries to place, and their order."""
 
 from __future__ import annotations
 
@@ -14,56 +14,56 @@
 
 @define(kw_only=True, eq=False)
 class Candidates:
-    """The waiting steps that something has happened to, or that a changed host may have room for.
+    """Waiting steps that have changed, or that may fit on a host that has changed.
 
-    Those of one moment all get their turn before those of a later one are found. Otherwise steps
-    that come first in the order and find no room could keep the others from ever being tried.
+    All candidates that were collected together are tried before new ones are collected. Otherwise
+    steps that come first in the order and find no room could starve the others.
     """
 
     waiting: WaitingSteps
-    _touched: dict[Step, None] = Factory(dict)
-    _found: deque[Step] = Factory(deque)
+    _included: dict[Step, None] = Factory(dict)
+    _queue: deque[Step] = Factory(deque)
 
     def __bool__(self) -> bool:
-        return bool(self._found)
+        return bool(self._queue)
 
-    def touch(self, step: Step) -> None:
-        """Try a step the next time that candidates are found."""
-        self._touched[step] = None
+    def include(self, step: Step) -> None:
+        """Include a step the next time that candidates are collected."""
+        self._included[step] = None
 
-    def touch_all(self) -> None:
-        """Try all waiting steps the next time that candidates are found."""
-        self._touched.update(dict.fromkeys(self.waiting.in_order()))
+    def include_all(self) -> None:
+        """Include all waiting steps the next time that candidates are collected."""
+        self._included.update(dict.fromkeys(self.waiting.iter_sorted()))
 
-    def find(self, changed: Sequence[Host]) -> None:
-        """Find candidates, in their order.
+    def collect(self, changed: Sequence[Host]) -> None:
+        """Collect candidates and sort them by their position in the queue.
 
-        :param changed: hosts whose room or state has changed since the last time.
+        :param changed: hosts whose free room or state has changed since the last call.
         """
-        found = {step for step in self._touched if step in self.waiting}
-        self._touched.clear()
+        found = {step for step in self._included if step in self.waiting}
+        self._included.clear()
         if changed:
-            most = max(host.room.millicores for host in changed)
-            for step in self.waiting.in_order(millicores=most):
-                if step in found or step.approvals.awaiting_first:
+            max_millicores = max(host.room.millicores for host in changed)
+            for step in self.waiting.iter_sorted(millicores=max_millicores):
+                if step in found or step.approvals.awaiting_first_approval:
                     continue
-                if any(_may_help(step, host) for host in changed):
+                if any(_may_fit(step, host) for host in changed):
                     found.add(step)
-        self._found.extend(sorted(found, key=self.waiting.order))
+        self._queue.extend(sorted(found, key=self.waiting.position))
 
     def pop(self) -> Step | None:
-        """Return the next candidate that still waits, ``None`` when there is none left."""
-        while self._found:
-            step = self._found.popleft()
+        """Return the next candidate that still waits, or ``None`` if none is left."""
+        while self._queue:
+            step = self._queue.popleft()
             if step in self.waiting:
                 return step
         return None
 
-    def put_back(self) -> None:
-        """Order those that are left anew the next time: what comes then may be more urgent."""
-        self._touched.update(dict.fromkeys(self._found))
-        self._found.clear()
+    def postpone(self) -> None:
+        """Return the remaining candidates to the pool, to be sorted again with newer ones."""
+        self._included.update(dict.fromkeys(self._queue))
+        self._queue.clear()
 
 
-def _may_help(step: Step, host: Host) -> bool:
-    return step.approvals.allows(host.id) and step.req.room.fits(host.room)
+def _may_fit(step: Step, host: Host) -> bool:
+    return step.approvals.may_use_or_request(host.id) and step.req.room.fits(host.room)
--- a/rhubarbferry/dispatch/hung.py
+++ b/rhubarbferry/dispatch/hung.py
@@ -1,4 +1,4 @@
-"""Find tasks that stand still though their host goes on reporting."""
+"""Detect runs that make no progress although their host still reports them."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 from rhubarbferry.dispatch.job import Run, RunPhase
 from rhubarbferry.dispatch.messages import FULL_PERCENT
 
-# A task whose progress has not moved for this long hangs, unless it is so long that so many percent
-# of it take more time: progress is reported in whole percent, and estimates may be far too low.
-HUNG_S = 2.5
-HUNG_PERCENT = 4.0
+# A run counts as hung if its progress has not changed for MIN_HUNG_TIMEOUT_S or, if that is longer,
+# for the time that HUNG_TIMEOUT_PERCENT of its work takes. Progress is reported in whole percent,
+# and estimates may be far too low.
+MIN_HUNG_TIMEOUT_S = 2.5
+HUNG_TIMEOUT_PERCENT = 4.0
 
 
 def hung_runs(host: Host, now: float) -> list[Run]:
     """Return the runs of a host that make no progress.
 
-    A hung task never ends by itself: its job would stand still for ever and its room be lost.
+    A hung run never ends by itself: its job would never complete and its room would be lost.
     """
     return [run for run in host.runs.values() if _is_hung(run, now)]
 
@@ -23,29 +24,31 @@
 def _is_hung(run: Run, now: float) -> bool:
     if run.phase is not RunPhase.RUNNING or run.stopping or run.task.run is not run:
         return False
-    if run.task.step.req.lasting or now - run.progress_at < _patience_s(run):
+    if run.task.step.req.lasting or now - run.progress_at < _hung_timeout_s(run):
         return False
     if run.task.step.req.filling and run.pace != FULL_PERCENT:
-        # Its pace was reduced on purpose.
+        # A filling task makes little or no progress while its pace is reduced.
         return False
     return not _waits_for_gang(run, now)
 
 
-def _patience_s(run: Run) -> float:
-    """Return how long the progress of a run may stand still."""
+def _hung_timeout_s(run: Run) -> float:
+    """Return how long the progress of a run may stay unchanged."""
     length_s = run.task.step.req.estimate_s
     if run.percent > 0:
         length_s = max(length_s, (run.progress_at - run.ordered_at) * 100 / run.percent)
-    return max(HUNG_S, length_s * HUNG_PERCENT / 100)
+    return max(MIN_HUNG_TIMEOUT_S, length_s * HUNG_TIMEOUT_PERCENT / 100)
 
 
 def _waits_for_gang(run: Run, now: float) -> bool:
-    """Tell whether a gang's run may stand still since other members are not there yet."""
+    """Return whether a run waits for members of its gang that have not started yet."""
     step = run.task.step
     if not step.req.gang:
         return False
     runs = [task.run for task in step.tasks]
     return any(
-        other is None or other.phase is not RunPhase.RUNNING or now - other.ordered_at < HUNG_S
+        other is None
+        or other.phase is not RunPhase.RUNNING
+        or now - other.ordered_at < MIN_HUNG_TIMEOUT_S
         for other in runs
     )
--- a/tests/dispatch/world.py
+++ b/tests/dispatch/world.py
@@ -1,4 +1,4 @@
-"""A dispatcher with hosts that tests can play the part of."""
+"""A dispatcher with simulated hosts that tests control."""
 
 from __future__ import annotations
 
@@ -58,15 +58,15 @@
 
 
 @define
-class HostPart:
-    """A host as the test plays it: what it runs and what has ended there."""
+class SimulatedHost:
+    """A simulated host: the runs that it reports as active and as ended."""
 
     id: str
     incarnation: int = 1
     clock_offset: float = 100.0
     running: dict = Factory(dict)
     ended: list = Factory(list)
-    count: int = 0
+    end_count: int = 0
 
     def run(self, order: StartOrder, percent: float = 0.0) -> None:
         self.running[(order.task, order.attempt)] = RunningTask(
@@ -75,10 +75,10 @@
 
     def end(self, order, how: EndKind = EndKind.DONE, checkpoint: str = "") -> None:
         self.running.pop((order.task, order.attempt), None)
-        self.count += 1
+        self.end_count += 1
         self.ended.append(
             EndedTask(
-                number=self.count,
+                number=self.end_count,
                 task=order.task,
                 attempt=order.attempt,
                 how=how,
@@ -96,7 +96,7 @@
 
 
 class World:
-    """The dispatcher, its hosts, and a clock that the test moves."""
+    """A dispatcher, its hosts, and a clock that the test advances."""
 
     def __init__(self, *hosts: str, roster: tuple[str, ...] = (), **fields) -> None:
         self.now = 10.0
@@ -110,12 +110,12 @@
             ),
             lease_s=LEASE_S,
         )
-        self.hosts: dict[str, HostPart] = {}
+        self.hosts: dict[str, SimulatedHost] = {}
         for id in hosts:
             self.add_host(id, **fields)
 
-    def add_host(self, id: str, **fields) -> HostPart:
-        self.hosts[id] = HostPart(id=id)
+    def add_host(self, id: str, **fields) -> SimulatedHost:
+        self.hosts[id] = SimulatedHost(id=id)
         self.dispatcher.host_listed(entry(id, **fields), now=self.now)
         self.deliver_reports(id)
         return self.hosts[id]
@@ -142,7 +142,7 @@
         return [order for order in self.decide(seconds) if isinstance(order, StartOrder)]
 
     def accept(self, *orders: StartOrder) -> None:
-        """Let hosts run the orders and answer them."""
+        """Run start orders on their hosts and report success to the dispatcher."""
         for order in orders:
             self.hosts[order.host].run(order)
             self.answer(order, Started(clock_s=self.now + 100.0))
