--- a/rhubarbferry/frontend/__init__.py
+++ b/rhubarbferry/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon that owns the connections of callers, operators and runners."""
+"""The frontend daemon: it accepts HTTP requests and forwards them to runners."""
--- a/rhubarbferry/frontend/app.py
+++ b/rhubarbferry/frontend/app.py
@@ -12,7 +12,7 @@
 from starlette.responses import JSONResponse, PlainTextResponse, Response
 from starlette.routing import Route
 
-from rhubarbferry.frontend.forward import SERVICES, Forwarder
+from rhubarbferry.frontend.forward import SERVICES_PATH, Forwarder
 from rhubarbferry.frontend.jobs import JobEndpoints
 from rhubarbferry.frontend.problems import Outcome, Problem
 from rhubarbferry.frontend.runners import STATUS_PATH
@@ -20,17 +20,17 @@
 
 @frozen(kw_only=True, slots=True)
 class Readiness:
-    """Whether this process takes requests, and why not."""
+    """Whether this process accepts requests, and the reason if it does not."""
 
     ready: bool
     reason: str = ""
 
 
 class Dispatch:
-    """Give requests to services straight to the forwarder, and all others to the routes.
+    """Send service requests straight to the forwarder and all others to the Starlette routes.
 
-    The routes look at each path in turn, with middleware round them; requests to services are
-    nearly all there are.
+    Nearly all requests are for services. Bypassing the router saves them its middleware and its
+    sequential path matching.
     """
 
     def __init__(self, *, forwarder: Forwarder, routes: Starlette) -> None:
@@ -38,23 +38,23 @@
         self._routes = routes
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Serve one call of the server."""
-        if scope["type"] == "http" and _names_service(scope["path"]):
+        """Handle one ASGI call."""
+        if scope["type"] == "http" and _is_service_path(scope["path"]):
             await self._forwarder(scope, receive, send)
         else:
             await self._routes(scope, receive, send)
 
 
-def _names_service(path: str) -> bool:
-    return path.startswith(SERVICES) and path[len(SERVICES) :][:1] not in ("", "/")
+def _is_service_path(path: str) -> bool:
+    return path.startswith(SERVICES_PATH) and path[len(SERVICES_PATH) :][:1] not in ("", "/")
 
 
 def build_app(
     *, forwarder: Forwarder, jobs: JobEndpoints, readiness: Callable[[], Readiness]
 ) -> Dispatch:
-    """Return the application.
+    """Return the ASGI application.
 
-    :param readiness: asked by ``/readyz``.
+    :param readiness: called by ``/readyz``.
     """
 
     async def healthz(request: Request) -> Response:
@@ -64,13 +64,13 @@
         return JSONResponse(forwarder.status())
 
     async def readyz(request: Request) -> Response:
-        found = readiness()
-        if found.ready:
+        state = readiness()
+        if state.ready:
             return PlainTextResponse("ready\n")
-        return PlainTextResponse(f"not ready: {found.reason}\n", status_code=503)
+        return PlainTextResponse(f"not ready: {state.reason}\n", status_code=503)
 
     async def metrics(request: Request) -> Response:
-        # Imported when first asked for: most processes of a test never are.
+        # Imported on first use, because most test processes never serve metrics.
         from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 
         return Response(generate_latest(), media_type=CONTENT_TYPE_LATEST)
--- a/rhubarbferry/frontend/attempts.py
+++ b/rhubarbferry/frontend/attempts.py
@@ -1,4 +1,4 @@
-"""Take a request to runners: grant, send, release; again elsewhere where that is allowed."""
+"""Send a request to runners: obtain a grant, send, release, and retry where that is allowed."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from rhubarbferry.frontend.runners import (
     Answer,
     AnswerBroken,
-    Broken,
     Exchange,
+    ExchangeBroken,
     NotSent,
     RunnerRefused,
     Runners,
@@ -29,33 +29,33 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.rpc.gen import ttypes as t
 
-MS = 1000
-# Answers up to this size are held whole before they are passed on, so that one that breaks can
-# still be replaced by another runner's.
-SMALL_ANSWER_BYTES = 64 * 1024
-MAX_TRIES = 5
-LIMIT_WORDS = ("limit", "rate is", "of the account", "quota")
-RELEASE_WAIT_S = 1.0
+MS_PER_S = 1000
+# Answers up to this size are buffered before they are sent to the caller, so that an answer that
+# breaks off can still be replaced by another runner's.
+MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
+MAX_ATTEMPTS = 5
+LIMIT_REASON_PHRASES = ("limit", "rate is", "of the account", "quota")
+RELEASE_ACCEPT_TIMEOUT_S = 1.0
 
 
 @frozen(kw_only=True, slots=True)
-class Whole:
-    """A whole answer, read to its end; its slot is released."""
+class BufferedAnswer:
+    """A completely read answer, whose slot has been released."""
 
     status: int
     headers: list[tuple[str, str]]
     body: bytes
-    announced: str | None
+    content_length_header: str | None
     outcome: Outcome = Outcome.DONE
 
 
 @define(kw_only=True, slots=True)
 class Attempt:
-    """One grant on its way.
+    """One attempt to run a request under a grant.
 
-    :param held: the grant as the guard knows it.
-    :param sent_at: when the exchange began.
-    :param released: tells whether the owner took the last word on the slot.
+    :param held: the grant as registered with the guard.
+    :param sent_at: start of the exchange, on the monotonic clock.
+    :param released: resolves to whether the owner accepted the latest release of the slot.
     """
 
     granted: Granted
@@ -68,34 +68,34 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Streaming:
-    """An answer whose body is still to be read and passed on.
+class StreamedAnswer:
+    """An answer whose body has still to be read and sent to the caller.
 
-    :param address: who answers.
-    :param settle: to be called at the end with whether all of it was read.
+    :param address: address of the runner or frontend that answers.
+    :param on_end: called at the end with whether the whole body was read.
     """
 
     answer: Answer
     address: str
     exchange: Exchange
-    settle: Callable[[bool], None]
+    on_end: Callable[[bool], None]
     outcome: Outcome = Outcome.DONE
 
 
 class RetryBudgets:
-    """The retry budget of each account; accounts are those of the configuration."""
+    """The retry budget of each account in the configuration."""
 
     def __init__(self, *, clock: Clock, ratio: float) -> None:
         self._clock = clock
         self._ratio = ratio
         self._budgets: dict[str, RetryBudget] = {}
 
-    def begun(self, account: str) -> None:
-        """Count a request."""
+    def add_request(self, account: str) -> None:
+        """Count a new request, which adds to the budget."""
         self._of(account).begun(now=self._clock.monotonic())
 
-    def take(self, account: str) -> bool:
-        """Take one retry; tell whether there was one."""
+    def take_retry(self, account: str) -> bool:
+        """Consume one retry; return whether the budget allowed it."""
         if self._of(account).take(now=self._clock.monotonic()):
             metrics.RETRIES.labels(account).inc()
             return True
@@ -110,8 +110,11 @@
 
 
 @define(kw_only=True, slots=True)
-class _Course:
-    """How far the tries for one request have come."""
+class _RequestState:
+    """The state of one request across its attempts.
+
+    :param bytes_sent: whether an attempt may have sent bytes to a runner.
+    """
 
     spec: RequestSpec
     caller: Caller
@@ -119,13 +122,13 @@
     priority: PriorityClass
     deadline: float
     excluded: list[str] = field(factory=list)
-    tries: int = 0
-    gone_out: bool = False
-    last: str = ""
+    attempts_made: int = 0
+    bytes_sent: bool = False
+    last_reason: str = ""
 
 
 class Attempts:
-    """Bring requests to runners by the rules for repeating them."""
+    """Send requests to runners and apply the retry rules."""
 
     def __init__(
         self,
@@ -152,14 +155,14 @@
         caller: Caller,
         partition: PartitionId,
         deadline: float,
-    ) -> Whole | Streaming | Problem:
-        """Return an answer, or the final word that there is none.
+    ) -> BufferedAnswer | StreamedAnswer | Problem:
+        """Return an answer, or the final problem if there is none.
 
-        :raises CallerGone: when the caller went while nothing had gone out.
+        :raises CallerGone: when the caller disconnected before any bytes were sent.
         """
         account = cell.accounts[spec.account]
-        self._budgets.begun(spec.account)
-        course = _Course(
+        self._budgets.add_request(spec.account)
+        state = _RequestState(
             spec=spec,
             caller=caller,
             partition=partition,
@@ -167,112 +170,119 @@
             deadline=deadline,
         )
         while True:
-            ended = await self._try(course)
-            if ended is not None:
-                return ended
-
-    async def _try(self, course: _Course) -> Whole | Streaming | Problem | None:
-        """Make one try; ``None`` means that another may follow."""
-        granted = await course.caller.unless_gone(
-            self._grants.ask(
-                partition=course.partition,
-                spec=course.spec,
-                priority=course.priority,
-                excluded=course.excluded,
-                deadline=course.deadline,
+            result = await self._attempt_once(state)
+            if result is not None:
+                return result
+
+    async def _attempt_once(
+        self, state: _RequestState
+    ) -> BufferedAnswer | StreamedAnswer | Problem | None:
+        """Make one attempt; return ``None`` if another may follow."""
+        granted = await state.caller.run_while_connected(
+            self._grants.acquire(
+                partition=state.partition,
+                spec=state.spec,
+                priority=state.priority,
+                excluded=state.excluded,
+                deadline=state.deadline,
             )
         )
         match granted:
             case Refused():
-                return self._refused(course, granted)
+                return self._refusal_problem(state, granted)
             case Granted():
-                attempt = self._hold(course, granted)
-                ended = await self._use(course, attempt)
-                return await self._given_back(course, attempt) if ended is None else ended
+                attempt = self._new_attempt(state, granted)
+                result = await self._use_grant(state, attempt)
+                return await self._await_release(state, attempt) if result is None else result
 
-    async def _use(self, course: _Course, attempt: Attempt) -> Whole | Streaming | Problem | None:
+    async def _use_grant(
+        self, state: _RequestState, attempt: Attempt
+    ) -> BufferedAnswer | StreamedAnswer | Problem | None:
         granted = attempt.granted
-        if self._guard.open(str(granted.partition), granted.epoch, attempt.held):
-            return await self._send(course, attempt)
+        if self._guard.add_grant(str(granted.partition), granted.epoch, attempt.held):
+            return await self._send(state, attempt)
         metrics.GRANTS_UNUSED.labels("epoch").inc()
         self._release(attempt, t.GrantEnd.NOT_SENT)
-        return self._not_sent(course, "the grant is of an earlier epoch")
+        return self._handle_not_sent(state, "the grant is of an earlier epoch")
 
-    async def _given_back(self, course: _Course, attempt: Attempt) -> Problem | None:
-        """Wait until the owner has the release, before it is asked again for this request.
+    async def _await_release(self, state: _RequestState, attempt: Attempt) -> Problem | None:
+        """Wait until the owner has accepted the release, before the next grant is requested.
 
-        Asked earlier, the owner may repeat the grant that is being given back; the release then
-        frees the slot while it is in use, and the slot is granted twice.
+        If the next grant request arrived first, the owner could repeat the grant that is being
+        released. The release would then free the slot while it is in use, and the owner could
+        grant it a second time.
         """
         assert attempt.released is not None
-        await asyncio.wait({attempt.released}, timeout=RELEASE_WAIT_S)
-        excluded = attempt.granted.runner_id in course.excluded
+        await asyncio.wait({attempt.released}, timeout=RELEASE_ACCEPT_TIMEOUT_S)
+        excluded = attempt.granted.runner_id in state.excluded
         if excluded or (attempt.released.done() and attempt.released.result()):
             return None
-        problem = problems.refused("the scheduler does not answer", problems.RETRY_SOON_S)
-        return problem.as_unknown() if course.gone_out else problem
+        problem = problems.refused("the scheduler does not answer", problems.DEFAULT_RETRY_AFTER_S)
+        return problem.as_unknown() if state.bytes_sent else problem
 
-    def _hold(self, course: _Course, granted: Granted) -> Attempt:
+    def _new_attempt(self, state: _RequestState, granted: Granted) -> Attempt:
         now = self._clock.monotonic()
         held = HeldGrant(
-            request_id=course.spec.request_id,
+            request_id=state.spec.request_id,
             grant_id=granted.grant_id,
             runner_id=granted.runner_id,
-            account=course.spec.account,
+            account=state.spec.account,
             until=granted.usable_until + self._cfg.ownership.longest_request_s,
         )
         return Attempt(
             granted=granted,
             held=held,
-            exchange=Exchange(request_id=course.spec.request_id),
-            spec=course.spec,
-            deadline=course.deadline,
+            exchange=Exchange(request_id=state.spec.request_id),
+            spec=state.spec,
+            deadline=state.deadline,
             sent_at=now,
         )
 
-    async def _send(self, course: _Course, attempt: Attempt) -> Whole | Streaming | Problem | None:
-        caller, spec, granted = course.caller, course.spec, attempt.granted
+    async def _send(
+        self, state: _RequestState, attempt: Attempt
+    ) -> BufferedAnswer | StreamedAnswer | Problem | None:
+        caller, spec, granted = state.caller, state.spec, attempt.granted
         partition = str(granted.partition)
         caller.sent_at = attempt.sent_at
         if spec.idempotent:
-            caller.on_gone(lambda: attempt.exchange.give_up("the caller has gone"))
+            caller.on_disconnect(lambda: attempt.exchange.abort("the caller has gone"))
         result = await self._runners.send(
             address=granted.runner_address,
             spec=spec,
-            body=caller.head if caller.whole else caller.body,
+            body=caller.body_prefix if caller.body_complete else caller.body,
             exchange=attempt.exchange,
             usable_until=granted.usable_until,
             may_send=lambda: self._guard.may_send(partition, granted.epoch, attempt.held),
-            deadline=course.deadline,
+            deadline=state.deadline,
         )
         match result:
             case NotSent(reason=reason, unreachable=unreachable):
-                # "Failed" tells the owner that this runner is to blame; its slot is free anyway.
+                # FAILED reports a fault of this runner to the owner. The slot is free either way.
                 end = t.GrantEnd.FAILED if unreachable else t.GrantEnd.NOT_SENT
                 metrics.GRANTS_UNUSED.labels("unreachable" if unreachable else "expired").inc()
                 self._close(attempt, end)
                 if unreachable:
-                    course.excluded.append(granted.runner_id)
-                return self._not_sent(course, reason)
+                    state.excluded.append(granted.runner_id)
+                return self._handle_not_sent(state, reason)
             case RunnerRefused(reason=reason):
                 self._close(attempt, t.GrantEnd.REFUSED_BY_RUNNER)
-                course.excluded.append(granted.runner_id)
-                return self._not_sent(course, reason)
-            case Broken(reason=reason, timeout=timeout):
-                self._lose_track(attempt)
-                return self._broken(course, attempt, reason, timeout)
+                state.excluded.append(granted.runner_id)
+                return self._handle_not_sent(state, reason)
+            case ExchangeBroken(reason=reason, timeout=timeout):
+                self._release_unknown(attempt)
+                return self._handle_broken(state, attempt, reason, timeout)
             case Answer():
-                return await self._read(course, attempt, result)
+                return await self._read(state, attempt, result)
 
     async def _read(
-        self, course: _Course, attempt: Attempt, answer: Answer
-    ) -> Whole | Streaming | Problem | None:
-        if answer.length is None or answer.length > SMALL_ANSWER_BYTES:
-            return Streaming(
+        self, state: _RequestState, attempt: Attempt, answer: Answer
+    ) -> BufferedAnswer | StreamedAnswer | Problem | None:
+        if answer.length is None or answer.length > MAX_BUFFERED_ANSWER_BYTES:
+            return StreamedAnswer(
                 answer=answer,
                 address=attempt.granted.runner_address,
                 exchange=attempt.exchange,
-                settle=lambda whole: self._settle(attempt, whole),
+                on_end=lambda whole: self._end_attempt(attempt, whole),
             )
         address = attempt.granted.runner_address
         try:
@@ -280,76 +290,80 @@
                 body = await answer.read()
         except AnswerBroken as exc:
             answer.close()
-            self._lose_track(attempt)
-            late = self._clock.monotonic() >= course.deadline
-            return self._broken(course, attempt, str(exc), late)
-        self._settle(attempt, whole=True)
-        return Whole(
+            self._release_unknown(attempt)
+            timed_out = self._clock.monotonic() >= state.deadline
+            return self._handle_broken(state, attempt, str(exc), timed_out)
+        self._end_attempt(attempt, whole=True)
+        return BufferedAnswer(
             status=answer.status,
             headers=answer.headers,
             body=body,
-            announced=answer.announced,
+            content_length_header=answer.content_length_header,
         )
 
-    def _refused(self, course: _Course, refused: Refused) -> Problem:
+    def _refusal_problem(self, state: _RequestState, refused: Refused) -> Problem:
         if refused.timed_out:
             problem = problems.no_slot_in_time()
         else:
-            limited = any(word in refused.reason for word in LIMIT_WORDS)
+            limited = any(word in refused.reason for word in LIMIT_REASON_PHRASES)
             problem = problems.refused(refused.reason, refused.retry_after_s, limited=limited)
-        return problem.as_unknown() if course.gone_out else problem
+        return problem.as_unknown() if state.bytes_sent else problem
 
-    def _not_sent(self, course: _Course, reason: str) -> Problem | None:
-        course.tries += 1
-        if course.caller.gone.is_set() and not course.gone_out:
+    def _handle_not_sent(self, state: _RequestState, reason: str) -> Problem | None:
+        state.attempts_made += 1
+        if state.caller.disconnected.is_set() and not state.bytes_sent:
             raise CallerGone
-        replayable = course.caller.replayable
-        if course.tries < MAX_TRIES and replayable and self._clock.monotonic() < course.deadline:
+        replayable = state.caller.replayable
+        if (
+            state.attempts_made < MAX_ATTEMPTS
+            and replayable
+            and self._clock.monotonic() < state.deadline
+        ):
             return None
-        problem = problems.refused(reason, problems.RETRY_SOON_S)
-        return problem.as_unknown() if course.gone_out else problem
+        problem = problems.refused(reason, problems.DEFAULT_RETRY_AFTER_S)
+        return problem.as_unknown() if state.bytes_sent else problem
 
-    def _broken(
-        self, course: _Course, attempt: Attempt, reason: str, timeout: bool
+    def _handle_broken(
+        self, state: _RequestState, attempt: Attempt, reason: str, timeout: bool
     ) -> Problem | None:
-        spec, caller = course.spec, course.caller
-        course.gone_out = True
-        course.tries += 1
-        course.excluded.append(attempt.granted.runner_id)
+        spec, caller = state.spec, state.caller
+        state.bytes_sent = True
+        state.attempts_made += 1
+        state.excluded.append(attempt.granted.runner_id)
         if caller.too_large:
             limit = self._cfg.requests.max_body_bytes
             return problems.body_too_large(limit, outcome=Outcome.UNKNOWN)
-        again = (
+        may_retry = (
             spec.idempotent
             and caller.replayable
-            and not caller.gone.is_set()
-            and course.tries < MAX_TRIES
-            and self._clock.monotonic() < course.deadline
+            and not caller.disconnected.is_set()
+            and state.attempts_made < MAX_ATTEMPTS
+            and self._clock.monotonic() < state.deadline
         )
-        if again and self._budgets.take(spec.account):
+        if may_retry and self._budgets.take_retry(spec.account):
             return None
         return problems.outcome_unknown(reason, timeout=timeout, idempotent=spec.idempotent)
 
-    def _settle(self, attempt: Attempt, whole: bool) -> None:
+    def _end_attempt(self, attempt: Attempt, whole: bool) -> None:
         if whole:
             self._close(attempt, t.GrantEnd.DONE)
         else:
-            self._lose_track(attempt)
+            self._release_unknown(attempt)
 
-    def _lose_track(self, attempt: Attempt) -> None:
-        """Say that the end is unknown; the slot is released once the runner says it ended."""
+    def _release_unknown(self, attempt: Attempt) -> None:
+        """Report an unknown outcome; free the slot when the runner reports the end."""
         self._release(attempt, t.GrantEnd.UNKNOWN)
         partition = str(attempt.granted.partition)
-        self._runners.watch_end(
+        self._runners.watch_request(
             address=attempt.granted.runner_address,
             request_id=attempt.held.request_id,
             until=attempt.held.until,
             on_end=lambda: self._close(attempt, t.GrantEnd.DONE),
-            on_lapse=lambda: self._guard.close(partition, attempt.held),
+            on_timeout=lambda: self._guard.remove_grant(partition, attempt.held),
         )
 
     def _close(self, attempt: Attempt, end: t.GrantEnd) -> None:
-        self._guard.close(str(attempt.granted.partition), attempt.held)
+        self._guard.remove_grant(str(attempt.granted.partition), attempt.held)
         self._release(attempt, end)
 
     def _release(self, attempt: Attempt, end: t.GrantEnd) -> None:
@@ -359,7 +373,7 @@
             grant_id=attempt.held.grant_id,
             runner_id=attempt.held.runner_id,
             end=end,
-            service_ms=max(0, round((now - attempt.sent_at) * MS)),
-            remaining_ms=max(0, round((attempt.held.until - now) * MS)),
+            service_ms=max(0, round((now - attempt.sent_at) * MS_PER_S)),
+            remaining_ms=max(0, round((attempt.held.until - now) * MS_PER_S)),
         )
         attempt.released = self._grants.release(attempt.granted.partition, release)
--- a/rhubarbferry/frontend/daemon.py
+++ b/rhubarbferry/frontend/daemon.py
@@ -1,4 +1,4 @@
-"""The frontend as a process: servers, ports, and an orderly end."""
+"""The frontend process: its servers, its ports and its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from rhubarbferry.conf.settings import Settings
 from rhubarbferry.frontend.app import Dispatch, Readiness, build_app
 from rhubarbferry.frontend.attempts import Attempts, RetryBudgets
-from rhubarbferry.frontend.forward import Forwarder, Room
+from rhubarbferry.frontend.forward import Forwarder, RequestLimiter
 from rhubarbferry.frontend.grants import GrantClient
 from rhubarbferry.frontend.guard import Guard, ProcessView
 from rhubarbferry.frontend.intents import IntentClient
 from rhubarbferry.frontend.jobs import JobEndpoints
 from rhubarbferry.frontend.owners import Owners
-from rhubarbferry.frontend.passing import RegionPass
+from rhubarbferry.frontend.passing import RegionForwarder
 from rhubarbferry.frontend.runners import Runners
 from rhubarbferry.frontend.spill import Spill, spill_rules
 from rhubarbferry.frontend.tasks import Background
-from rhubarbferry.frontend.waits import WaitBook
+from rhubarbferry.frontend.waits import ExpectedWaits
 from rhubarbferry.ports.clock import Clock, SystemClock
 from rhubarbferry.ports.ownership import CellView, OwnershipView, Role
 from rhubarbferry.reports.events import publish as publish_objectives
 from rhubarbferry.rpc import Pool, Server, Timing
 from rhubarbferry.rpc.services import GUARD, SCHEDULER
 
-OWNER_PATIENCE_LEASES = 3.0
-DRAIN_NOTICE_S = 0.5
-BACKLOG = 1024
+OWNER_TIMEOUT_LEASES = 3.0
+READINESS_PROPAGATION_S = 0.5
+LISTEN_BACKLOG = 1024
 
 
 class Membership(Protocol):
@@ -44,7 +44,7 @@
 
     @property
     def ownership(self) -> OwnershipView:
-        """The ownership table and the members, as last seen."""
+        """The latest known ownership table and members."""
         ...
 
     @property
@@ -59,24 +59,24 @@
 
     @property
     def store_lost(self) -> bool:
-        """Whether the store has not answered for longer than a lease lasts."""
+        """Whether the store has been unreachable for longer than a lease."""
         ...
 
     async def wait(self) -> None:
-        """Return when the membership has ended; raise what ended it."""
+        """Wait until the membership ends; raise the error that ended it."""
         ...
 
     async def drain(self, handover: bool = True) -> None:
-        """Mark this process as leaving."""
+        """Mark this process as draining."""
         ...
 
 
 @define(kw_only=True)
 class Frontend:
-    """The parts of a frontend, wired.
+    """The components of a running frontend.
 
-    :param polling: asks for expected waits.
-    :param draining: set by the daemon at SIGTERM; ``/readyz`` then says no.
+    :param wait_polling: task that polls expected waits from schedulers.
+    :param draining: set by the daemon on SIGTERM; ``/readyz`` then answers 503.
     """
 
     app: Dispatch
@@ -84,21 +84,21 @@
     runners: Runners
     pool: Pool
     background: Background
-    room: Room
-    polling: asyncio.Task[None]
+    limiter: RequestLimiter
+    wait_polling: asyncio.Task[None]
     draining: bool = False
 
     async def close(self, within_s: float) -> None:
         """Finish background work, then close all connections."""
-        self.polling.cancel()
-        await asyncio.gather(self.polling, return_exceptions=True)
+        self.wait_polling.cancel()
+        await asyncio.gather(self.wait_polling, return_exceptions=True)
         await self.background.finish(within_s)
         await self.runners.close()
         await self.pool.close()
 
 
 async def assemble(*, cfg: Settings, clock: Clock, node: Membership, guard: Guard) -> Frontend:
-    """Wire the parts of a frontend round a started ``node``."""
+    """Create the components of a frontend for a started ``node``."""
     requests = cfg.requests
     pool = Pool(
         service=SCHEDULER,
@@ -108,11 +108,11 @@
         clock=clock,
         ownership=node.ownership,
         pool=pool,
-        patience_s=OWNER_PATIENCE_LEASES * cfg.ownership.lease_s,
+        owner_timeout_s=OWNER_TIMEOUT_LEASES * cfg.ownership.lease_s,
         store_lost=lambda: node.store_lost,
     )
     background = Background()
-    waits = WaitBook(
+    waits = ExpectedWaits(
         clock=clock, owners=owners, ownership=node.ownership, poll_s=requests.wait_poll_s
     )
     grants = GrantClient(
@@ -127,7 +127,7 @@
     )
     runners = Runners(clock=clock, cfg=requests)
     await runners.start()
-    room = Room(max_requests=requests.max_waiting, max_bytes=requests.buffered_bytes)
+    limiter = RequestLimiter(max_requests=requests.max_waiting, max_bytes=requests.buffered_bytes)
     budgets = RetryBudgets(clock=clock, ratio=requests.retry_ratio)
     forwarder = Forwarder(
         clock=clock,
@@ -137,7 +137,7 @@
         attempts=Attempts(
             clock=clock, cfg=cfg, grants=grants, guard=guard, runners=runners, budgets=budgets
         ),
-        passing=RegionPass(
+        region_forwarder=RegionForwarder(
             clock=clock,
             ownership=node.ownership,
             runners=runners,
@@ -146,7 +146,7 @@
         ),
         intents=intents,
         runners=runners,
-        room=room,
+        limiter=limiter,
         spill=Spill(
             waits=waits,
             ownership=node.ownership,
@@ -171,14 +171,14 @@
         runners=runners,
         pool=pool,
         background=background,
-        room=room,
-        polling=asyncio.create_task(waits.run()),
+        limiter=limiter,
+        wait_polling=asyncio.create_task(waits.run()),
     )
     return frontend
 
 
 def make_http_server(app: Any, *, drain_s: float) -> Any:
-    """Return a uvicorn server that leaves the signals to the daemon."""
+    """Return a uvicorn server that leaves signal handling to the daemon."""
     import uvicorn
 
     from rhubarbferry.frontend.http import HttpProtocol
@@ -196,33 +196,34 @@
         server_header=False,
         timeout_keep_alive=75,
         timeout_graceful_shutdown=max(1, round(drain_s)),
-        backlog=BACKLOG,
+        backlog=LISTEN_BACKLOG,
     )
     return HttpServer(config)
 
 
 def bind_http(ip: str, port: int) -> socket.socket:
-    """Return a listening socket; ``port`` 0 takes a free one.
+    """Return a listening socket; ``port`` 0 selects a free port.
 
-    It listens from here on, since its address is told to others before the server takes it
-    over: a caller that came in between would be refused.
+    The socket listens at once, because its address is published before the server accepts
+    connections. A caller that connected in between would otherwise be refused.
     """
-    # With the protocol named, asyncio sets TCP_NODELAY on accepted connections. Without, the
-    # second write of each answer waits 40 ms for the delayed acknowledgement of the first.
+    # asyncio sets TCP_NODELAY on accepted connections only if the protocol is given here. Without
+    # it, the second write of each answer waits 40 ms for the delayed ACK of the first.
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((ip, port))
     sock.setblocking(False)
-    sock.listen(BACKLOG)
+    sock.listen(LISTEN_BACKLOG)
     return sock
 
 
 async def run(cfg: Settings) -> int:
     """Run a frontend until SIGTERM or SIGINT; return the exit code.
 
-    Once it serves, one JSON line on standard output names its addresses.
+    When the frontend is ready to serve, it prints its addresses to standard output as one line of
+    JSON.
     """
-    # Imported here, so that the parts above can be embedded without the platform's adapters.
+    # Imported here so that the components above can be used without the platform's adapters.
     from rhubarbferry.adapters.cell_store import open_cell_store
     from rhubarbferry.adapters.hosts import HttpHostList
     from rhubarbferry.coordination.node import Node
@@ -232,7 +233,7 @@
     hosts = HttpHostList(url=cfg.hosts.url, poll_s=cfg.hosts.poll_s, clock=clock)
     sock = bind_http(cfg.process.listen_ip, cfg.process.http_port)
     http_address = "{}:{}".format(*sock.getsockname())
-    state = _Late()
+    state = _StartupState()
     guard = Guard(clock=clock, longest_promise_s=cfg.ownership.promise_s, view=state.view)
     rpc = Server(service=GUARD, handlers=guard.handlers())
     await rpc.start(cfg.process.listen_ip, cfg.process.rpc_port)
@@ -246,7 +247,7 @@
         http_address=cfg.process.advertise_http or http_address,
         budget=cell.budget,
     )
-    # Known from the start: a successor may adopt this guard before the node has its first answer.
+    # Set before the node starts: a successor may adopt this guard before the store has answered.
     guard.member_id = node.member_id
     await node.start()
     guard.member_id = node.member_id
@@ -263,8 +264,8 @@
 
 
 @define(kw_only=True)
-class _Late:
-    """What is only there once the process has started, for the guard's ``status``."""
+class _StartupState:
+    """Components created during startup, for the guard's ``status`` call."""
 
     node: Any = None
     frontend: Frontend | None = None
@@ -288,28 +289,28 @@
     http_address: str,
     node: Membership,
 ) -> bool:
-    """Serve until told to stop; return whether something failed instead."""
+    """Serve until a stop signal; return whether a failure ended the service instead."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
     server = make_http_server(frontend.app, drain_s=cfg.process.drain_s)
     serving = asyncio.create_task(server.serve(sockets=[sock]))
-    line = {"address": rpc_address, "http_address": http_address, "member": node.member_id}
-    print(json.dumps(line), flush=True)
+    addresses = {"address": rpc_address, "http_address": http_address, "member": node.member_id}
+    print(json.dumps(addresses), flush=True)
     logger.info("frontend {} serves {}", node.member_id, http_address)
-    stopping = asyncio.create_task(stop.wait())
-    following = asyncio.create_task(node.wait())
-    await asyncio.wait({serving, stopping, following}, return_when=asyncio.FIRST_COMPLETED)
-    failed = not stopping.done()
-    stopping.cancel()
+    stop_wait = asyncio.create_task(stop.wait())
+    node_wait = asyncio.create_task(node.wait())
+    await asyncio.wait({serving, stop_wait, node_wait}, return_when=asyncio.FIRST_COMPLETED)
+    failed = not stop_wait.done()
+    stop_wait.cancel()
     frontend.draining = True
-    leaving = asyncio.create_task(node.drain(handover=False))
+    node_drain = asyncio.create_task(node.drain(handover=False))
     await drain(cfg, clock, frontend, server, serving)
-    following.cancel()
-    for found in await asyncio.gather(leaving, following, return_exceptions=True):
-        if isinstance(found, Exception):
-            logger.error("frontend {}: {!r}", node.member_id, found)
+    node_wait.cancel()
+    for result in await asyncio.gather(node_drain, node_wait, return_exceptions=True):
+        if isinstance(result, Exception):
+            logger.error("frontend {}: {!r}", node.member_id, result)
     logger.info("frontend {} drained", node.member_id)
     return failed
 
@@ -317,11 +318,11 @@
 async def drain(
     cfg: Settings, clock: Clock, frontend: Frontend, server: Any, serving: asyncio.Task[None]
 ) -> None:
-    """Say "not ready", let requests in progress finish, then close everything."""
+    """Report "not ready", let requests in progress finish, then close everything."""
     frontend.draining = True
     end = clock.monotonic() + cfg.process.drain_s
-    # Balancers look at /readyz now and then; what they still send in this time is served.
-    await clock.sleep(min(DRAIN_NOTICE_S, cfg.process.drain_s / 2))
+    # Load balancers poll /readyz at intervals; requests that they send until then are served.
+    await clock.sleep(min(READINESS_PROPAGATION_S, cfg.process.drain_s / 2))
     server.stop()
     await asyncio.wait({serving}, timeout=max(0.0, end - clock.monotonic()))
     if not serving.done():
--- a/rhubarbferry/frontend/forward.py
+++ b/rhubarbferry/frontend/forward.py
@@ -1,4 +1,4 @@
-"""One request to a service, from its headers to its answer: an ASGI application."""
+"""The ASGI application that serves requests to services."""
 
 from __future__ import annotations
 
@@ -17,25 +17,30 @@
 from rhubarbferry.core.refusals import RefusalReason
 from rhubarbferry.core.routing import choose_region
 from rhubarbferry.frontend import metrics, problems
-from rhubarbferry.frontend.attempts import Attempts, Streaming, Whole
+from rhubarbferry.frontend.attempts import Attempts, BufferedAnswer, StreamedAnswer
 from rhubarbferry.frontend.caller import (
-    HEAD_BYTES,
+    BODY_PREFIX_BYTES,
     BodyTooLarge,
     Caller,
     CallerGone,
     Receive,
     Send,
 )
-from rhubarbferry.frontend.grants import NO_SCHEDULER
+from rhubarbferry.frontend.grants import NO_SCHEDULER_REASON
 from rhubarbferry.frontend.headers import (
     RequestSpec,
+    is_forwarded,
     parse_request,
-    passed_on,
     request_id_of,
 )
-from rhubarbferry.frontend.intents import Begun, Duplicate, IntentClient, NotBegun
+from rhubarbferry.frontend.intents import (
+    DuplicateKey,
+    IntentClient,
+    IntentNotRecorded,
+    IntentRecorded,
+)
 from rhubarbferry.frontend.objectives import objective_event
-from rhubarbferry.frontend.passing import RegionPass
+from rhubarbferry.frontend.passing import RegionForwarder
 from rhubarbferry.frontend.problems import Outcome, Problem
 from rhubarbferry.frontend.runners import AnswerBroken, Runners
 from rhubarbferry.frontend.spill import Spill
@@ -46,37 +51,37 @@
 from rhubarbferry.reports.events import BOOK, Work, objective_of
 from rhubarbferry.rpc.gen import ttypes as t
 
-SERVICES = "/v1/services/"
-MS = 1000
-FINISHED_KEPT = 4096
-RECORDED_ID = "recorded-request-id"
-HELPED_ELSEWHERE = frozenset(
-    {RefusalReason.TOO_LATE.value, RefusalReason.QUEUE_FULL.value, NO_SCHEDULER}
+SERVICES_PATH = "/v1/services/"
+MS_PER_S = 1000
+MAX_FINISHED_IDS = 4096
+RECORDED_ID_HEADER = "recorded-request-id"
+SPILLABLE_REFUSALS = frozenset(
+    {RefusalReason.TOO_LATE.value, RefusalReason.QUEUE_FULL.value, NO_SCHEDULER_REASON}
 )
 
 
 @define(kw_only=True, slots=True)
-class Room:
-    """Requests in progress and the bytes of their bodies held in memory, both bounded."""
+class RequestLimiter:
+    """Limit the requests in progress and the memory that their buffered bodies take."""
 
     max_requests: int
     max_bytes: int
     requests: int = 0
-    held_bytes: int = 0
+    reserved_bytes: int = 0
 
-    def enter(self, size: int) -> bool:
-        """Take room for a request; ``False`` when there is none."""
-        if self.requests >= self.max_requests or self.held_bytes + size > self.max_bytes:
+    def admit(self, size: int) -> bool:
+        """Admit a request and reserve ``size`` bytes; return ``False`` if a limit is reached."""
+        if self.requests >= self.max_requests or self.reserved_bytes + size > self.max_bytes:
             return False
         self.requests += 1
-        self.held_bytes += size
+        self.reserved_bytes += size
         metrics.IN_PROGRESS.set(self.requests)
         return True
 
-    def leave(self, size: int) -> None:
-        """Give the room back."""
+    def release(self, size: int) -> None:
+        """Release the request and its ``size`` bytes."""
         self.requests -= 1
-        self.held_bytes -= size
+        self.reserved_bytes -= size
         metrics.IN_PROGRESS.set(self.requests)
 
 
@@ -87,8 +92,8 @@
     cell: Cell
     partition: PartitionId
     deadline: float
-    began: float
-    passed: bool
+    started_at: float
+    forwarded: bool
 
 
 class Forwarder:
@@ -104,8 +109,8 @@
         attempts: Attempts,
         intents: IntentClient,
         runners: Runners,
-        passing: RegionPass,
-        room: Room,
+        region_forwarder: RegionForwarder,
+        limiter: RequestLimiter,
         spill: Spill,
     ) -> None:
         self._clock = clock
@@ -115,14 +120,14 @@
         self._attempts = attempts
         self._intents = intents
         self._runners = runners
-        self._passing = passing
-        self._room = room
+        self._region_forwarder = region_forwarder
+        self._limiter = limiter
         self._spill = spill
         self._running: dict[str, None] = {}
-        self._finished: deque[str] = deque(maxlen=FINISHED_KEPT)
+        self._finished: deque[str] = deque(maxlen=MAX_FINISHED_IDS)
 
     def status(self) -> dict[str, Any]:
-        """Return what a frontend of another region asks while it waits for this one."""
+        """Return the status that frontends of other regions poll while they wait for an answer."""
         return {
             "slots": self._cfg.requests.max_waiting,
             "running": list(self._running),
@@ -132,16 +137,16 @@
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Serve one request."""
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         request_id = request_id_of(scope["headers"])
         caller = Caller(receive=receive, send=send, limit=self._cfg.requests.max_body_bytes)
         try:
-            req = self._check(scope, caller, request_id, began)
+            req = self._validate(scope, caller, request_id, started_at)
             if isinstance(req, Problem):
                 await _answer_problem(caller, request_id, req)
                 return
-            size = _held(req.spec)
-            if not self._room.enter(size):
+            size = _buffer_size(req.spec)
+            if not self._limiter.admit(size):
                 metrics.REFUSED_BUSY.inc()
                 account, now = req.spec.account, self._clock.monotonic()
                 BOOK.add(account, Work.REQUESTS, EventKind.REFUSED, now=now)
@@ -152,20 +157,20 @@
             try:
                 await self._serve(req)
             finally:
-                self._room.leave(size)
+                self._limiter.release(size)
                 self._running.pop(request_id, None)
                 self._finished.append(request_id)
         except Exception as exc:
-            # A fault of this program. The caller still gets a final and true word.
+            # A programming error. The caller still gets a final answer: the outcome is unknown.
             logger.opt(exception=exc).error("request {} failed", request_id)
-            if not caller.answering:
+            if not caller.answer_started:
                 fault = problems.outcome_unknown("a fault here", timeout=False, idempotent=False)
                 await _answer_problem(caller, request_id, fault)
         finally:
             caller.close()
 
-    def _check(
-        self, scope: dict[str, Any], caller: Caller, request_id: str, began: float
+    def _validate(
+        self, scope: dict[str, Any], caller: Caller, request_id: str, started_at: float
     ) -> _Request | Problem:
         cell = self._cell.current()
         if cell.revision == 0:
@@ -183,12 +188,12 @@
             case Failure(problem):
                 return problem
             case Success(spec):
-                passed = passed_on(scope["headers"])
-                return self._place(spec, caller, cell, began, passed)
+                forwarded = is_forwarded(scope["headers"])
+                return self._route(spec, caller, cell, started_at, forwarded)
         raise AssertionError("unreachable")
 
-    def _place(
-        self, spec: RequestSpec, caller: Caller, cell: Cell, began: float, passed: bool
+    def _route(
+        self, spec: RequestSpec, caller: Caller, cell: Cell, started_at: float, forwarded: bool
     ) -> _Request | Problem:
         if spec.account not in cell.accounts:
             return problems.unknown_account(spec.account)
@@ -200,81 +205,90 @@
             partitions=self._ownership.partitions(PartitionKind.RUNNER),
         )
         own = self._cfg.process.region
-        # Passed on once at most, or two regions that see the table differently would send a
-        # request to and fro until its deadline.
-        if partition is None or (passed and partition.region != own):
+        # A request is forwarded between regions at most once. Two regions whose ownership tables
+        # differ could otherwise forward it back and forth until its deadline.
+        if partition is None or (forwarded and partition.region != own):
             return problems.busy(f"no region has runners of {spec.service}")
-        if partition.region == own and not passed:
-            partition = self._spill.place(partition, _wait_class(spec, cell))
+        if partition.region == own and not forwarded:
+            partition = self._spill.select(partition, _wait_class(spec, cell))
         return _Request(
             spec=spec,
             caller=caller,
             cell=cell,
             partition=partition,
-            deadline=began + spec.timeout_s,
-            began=began,
-            passed=passed,
+            deadline=started_at + spec.timeout_s,
+            started_at=started_at,
+            forwarded=forwarded,
         )
 
     async def _serve(self, req: _Request) -> None:
         try:
             async with asyncio.timeout(req.deadline - self._clock.monotonic()):
-                await req.caller.read_head()
+                await req.caller.read_body_prefix()
         except CallerGone:
             metrics.CALLERS_GONE.inc()
-            await self._end(req, problems.truncated_body())
+            await self._send_problem(req, problems.truncated_body())
             return
         except BodyTooLarge:
-            await self._end(req, problems.body_too_large(self._cfg.requests.max_body_bytes))
+            await self._send_problem(
+                req, problems.body_too_large(self._cfg.requests.max_body_bytes)
+            )
             return
         except TimeoutError:
             remedy = "Send the body faster, or give a longer Request-Timeout."
-            late = problems.bad_field("body", "not whole by the deadline", remedy, status=408)
-            await self._end(req, late)
+            problem = problems.bad_field("body", "not whole by the deadline", remedy, status=408)
+            await self._send_problem(req, problem)
             return
         if req.partition.region != self._cfg.process.region:
-            await self._serve_elsewhere(req)
+            await self._serve_in_other_region(req)
         elif req.spec.idempotent:
             await self._serve_idempotent(req)
         else:
-            await self._serve_once(req)
+            await self._serve_non_idempotent(req)
 
-    async def _serve_elsewhere(self, req: _Request) -> None:
-        found = await self._passing.run(
+    async def _serve_in_other_region(self, req: _Request) -> None:
+        result = await self._region_forwarder.run(
             spec=req.spec,
             caller=req.caller,
             region=req.partition.region,
             deadline=req.deadline,
         )
-        await self._pass_on(req, found)
+        await self._send_result(req, result)
 
     async def _serve_idempotent(self, req: _Request) -> None:
-        found = await self._run(req)
-        if isinstance(found, Problem) and found.detail in HELPED_ELSEWHERE:
-            refuge = self._refuge(req, found)
-            if refuge is not None:
-                await self._serve_elsewhere(evolve(req, partition=refuge))
+        result = await self._run(req)
+        if isinstance(result, Problem) and result.detail in SPILLABLE_REFUSALS:
+            fallback = self._spill_after_refusal(req, result)
+            if fallback is not None:
+                await self._serve_in_other_region(evolve(req, partition=fallback))
                 return
-        await self._pass_on(req, found)
-
-    def _refuge(self, req: _Request, problem: Problem) -> PartitionId | None:
-        # A request that must not run twice is not moved: its key is on record for the owner's
-        # refusal, and the record of another try could cross the end of this one.
-        if req.passed or problem.outcome is not Outcome.NOT_RUN or req.caller.gone.is_set():
+        await self._send_result(req, result)
+
+    def _spill_after_refusal(self, req: _Request, problem: Problem) -> PartitionId | None:
+        # Only idempotent requests get here. A request that must not run twice stays in its region,
+        # because recording the intent of a second attempt could race with recording the outcome
+        # of the refused one.
+        if (
+            req.forwarded
+            or problem.outcome is not Outcome.NOT_RUN
+            or req.caller.disconnected.is_set()
+        ):
             return None
         left_s = req.deadline - self._clock.monotonic()
-        return self._spill.refuge(req.partition, _wait_class(req.spec, req.cell), left_s)
-
-    async def _pass_on(self, req: _Request, found: Whole | Streaming | Problem) -> None:
-        match found:
-            case Whole() as whole:
-                await self._pass_whole(req, whole)
-            case Streaming() as streaming:
-                await self._pass_streaming(req, streaming, keep=0)
+        return self._spill.fallback(req.partition, _wait_class(req.spec, req.cell), left_s)
+
+    async def _send_result(
+        self, req: _Request, result: BufferedAnswer | StreamedAnswer | Problem
+    ) -> None:
+        match result:
+            case BufferedAnswer() as whole:
+                await self._send_buffered(req, whole)
+            case StreamedAnswer() as streaming:
+                await self._send_streamed(req, streaming, max_recorded_bytes=0)
             case Problem() as problem:
-                await self._end(req, problem)
+                await self._send_problem(req, problem)
 
-    async def _run(self, req: _Request) -> Whole | Streaming | Problem:
+    async def _run(self, req: _Request) -> BufferedAnswer | StreamedAnswer | Problem:
         try:
             return await self._attempts.run(
                 cell=req.cell,
@@ -287,37 +301,37 @@
             metrics.CALLERS_GONE.inc()
             return problems.busy("the caller has gone")
 
-    async def _serve_once(self, req: _Request) -> None:
+    async def _serve_non_idempotent(self, req: _Request) -> None:
         fingerprint = _fingerprint(req.spec, req.caller)
         begun = await self._intents.begin(
             cell=req.cell, spec=req.spec, fingerprint=fingerprint, deadline=req.deadline
         )
         match begun:
-            case NotBegun(timed_out=True):
-                await self._end(req, problems.no_slot_in_time())
-            case NotBegun(reason=reason, retry_after_s=retry_after_s):
-                await self._end(req, problems.refused(reason, retry_after_s))
-            case Duplicate(reply=reply):
+            case IntentNotRecorded(timed_out=True):
+                await self._send_problem(req, problems.no_slot_in_time())
+            case IntentNotRecorded(reason=reason, retry_after_s=retry_after_s):
+                await self._send_problem(req, problems.refused(reason, retry_after_s))
+            case DuplicateKey(reply=reply):
                 await self._answer_duplicate(req, reply)
-            case Begun(home=home):
-                await self._run_once(req, home)
+            case IntentRecorded(home=home):
+                await self._run_recorded(req, home)
 
-    async def _run_once(self, req: _Request, home: PartitionId) -> None:
+    async def _run_recorded(self, req: _Request, home: PartitionId) -> None:
         spec = req.spec
-        # Until something is known to have gone out or not, the truth about an attempt that ends
-        # in an unforeseen way is "unknown"; the key would otherwise look as if still running.
+        # An attempt that ends with an unexpected error may have sent the request, so it is
+        # recorded as unknown. Without a record, the key would appear to be still running.
         outcome = t.RequestOutcome.UNKNOWN
         answer: t.RecordedAnswer | None = None
         try:
             match await self._run(req):
-                case Whole() as whole:
+                case BufferedAnswer() as whole:
                     outcome = t.RequestOutcome.DONE
-                    answer = self._record(spec, whole)
-                    await self._recorded(home, spec, outcome, answer)
-                    await self._pass_whole(req, whole)
-                case Streaming() as streaming:
+                    answer = self._build_record(spec, whole)
+                    await self._record_outcome(home, spec, outcome, answer)
+                    await self._send_buffered(req, whole)
+                case StreamedAnswer() as streaming:
                     kept = self._cfg.requests.kept_answer_bytes
-                    answer = await self._pass_streaming(req, streaming, keep=kept)
+                    answer = await self._send_streamed(req, streaming, max_recorded_bytes=kept)
                     if answer is not None:
                         outcome = t.RequestOutcome.DONE
                     self._intents.finish(home, spec, outcome, answer)
@@ -325,12 +339,12 @@
                     if problem.outcome is Outcome.NOT_RUN:
                         outcome = t.RequestOutcome.NOT_RUN
                     self._intents.finish(home, spec, outcome)
-                    await self._end(req, problem)
+                    await self._send_problem(req, problem)
         except BaseException:
             self._intents.finish(home, spec, outcome, answer)
             raise
 
-    async def _recorded(
+    async def _record_outcome(
         self,
         home: PartitionId,
         spec: RequestSpec,
@@ -340,7 +354,7 @@
         task = self._intents.finish(home, spec, outcome, answer)
         await asyncio.wait({task}, timeout=self._cfg.requests.record_wait_s)
 
-    def _record(self, spec: RequestSpec, whole: Whole) -> t.RecordedAnswer:
+    def _build_record(self, spec: RequestSpec, whole: BufferedAnswer) -> t.RecordedAnswer:
         kept = len(whole.body) <= self._cfg.requests.kept_answer_bytes
         return _recorded_answer(
             spec, whole.status, whole.headers, whole.body if kept else b"", kept
@@ -349,43 +363,53 @@
     async def _answer_duplicate(self, req: _Request, reply: t.IntentReply) -> None:
         match reply.verdict:
             case t.IntentVerdict.RUNNING:
-                retry_after_s = (reply.retry_after_ms or MS) / MS
-                await self._end(req, problems.key_running(retry_after_s))
+                retry_after_s = (reply.retry_after_ms or MS_PER_S) / MS_PER_S
+                await self._send_problem(req, problems.key_running(retry_after_s))
             case t.IntentVerdict.UNKNOWN:
-                await self._end(req, problems.key_unknown())
+                await self._send_problem(req, problems.key_unknown())
             case t.IntentVerdict.MISMATCH:
-                await self._end(req, problems.key_mismatch())
+                await self._send_problem(req, problems.key_mismatch())
             case _:
                 await self._answer_recorded(req, reply.answer)
 
     async def _answer_recorded(self, req: _Request, answer: t.RecordedAnswer | None) -> None:
         if answer is None or not answer.body_kept:
-            await self._end(req, problems.answer_not_kept(answer.status if answer else 0))
+            await self._send_problem(req, problems.answer_not_kept(answer.status if answer else 0))
             return
         headers = [(header.name, header.value) for header in answer.headers]
-        whole = Whole(status=answer.status, headers=headers, body=answer.body, announced=None)
-        await self._pass_whole(req, whole, request_id=answer.request_id)
+        whole = BufferedAnswer(
+            status=answer.status, headers=headers, body=answer.body, content_length_header=None
+        )
+        await self._send_buffered(req, whole, request_id=answer.request_id)
 
-    async def _pass_whole(self, req: _Request, whole: Whole, *, request_id: str = "") -> None:
-        self._count(req, whole.outcome, whole.status, len(whole.body))
-        length = whole.announced if not whole.body and whole.announced else str(len(whole.body))
+    async def _send_buffered(
+        self, req: _Request, whole: BufferedAnswer, *, request_id: str = ""
+    ) -> None:
+        self._record_metrics(req, whole.outcome, whole.status, len(whole.body))
+        length = (
+            whole.content_length_header
+            if not whole.body and whole.content_length_header
+            else str(len(whole.body))
+        )
         headers = _answer_headers(req.spec, whole.headers, request_id, whole.outcome)
-        if req.passed and request_id:
-            # The frontend that passed this on knows its answer by the id that it gave.
+        if req.forwarded and request_id:
+            # The forwarding frontend only accepts an answer with the request id that it sent.
             headers = [item for item in headers if item[0] != "request-id"]
             headers.append(("request-id", req.spec.request_id))
-            headers.append((RECORDED_ID, request_id))
+            headers.append((RECORDED_ID_HEADER, request_id))
         if whole.status not in (204, 304):
             headers.append(("content-length", length))
         await req.caller.answer(whole.status, headers, whole.body)
 
-    async def _pass_streaming(
-        self, req: _Request, streaming: Streaming, *, keep: int
+    async def _send_streamed(
+        self, req: _Request, streaming: StreamedAnswer, *, max_recorded_bytes: int
     ) -> t.RecordedAnswer | None:
-        """Pass an answer on as it comes; return its record, or ``None`` when it broke.
+        """Stream an answer to the caller; return its record, or ``None`` if it broke off.
+
+        If it breaks off, the final part is never sent. The connection then closes before the
+        Content-Length or the last chunk is reached, so the caller detects the truncation.
 
-        When it breaks, the last part is never sent, so that the connection is closed before the
-        announced length or the last chunk, and the caller sees that something is missing.
+        :param max_recorded_bytes: maximum number of body bytes to record.
         """
         answer = streaming.answer
         headers = _answer_headers(req.spec, answer.headers, "", streaming.outcome)
@@ -398,53 +422,53 @@
                 await req.caller.start_answer(answer.status, headers)
                 async for chunk in answer.chunks():
                     size += len(chunk)
-                    if size <= keep:
+                    if size <= max_recorded_bytes:
                         kept.append(chunk)
-                    # A caller that stops reading must not keep the runner's slot for ever.
+                    # A caller that stops reading must not hold the runner's slot past the deadline.
                     async with asyncio.timeout(req.deadline - self._clock.monotonic()):
                         await req.caller.send_chunk(chunk, more=True)
         except (AnswerBroken, TimeoutError):
-            streaming.settle(False)
-            self._count(req, Outcome.UNKNOWN, answer.status, size)
+            streaming.on_end(False)
+            self._record_metrics(req, Outcome.UNKNOWN, answer.status, size)
             return None
         except BaseException:
-            streaming.settle(False)
+            streaming.on_end(False)
             raise
         finally:
             answer.close()
-        streaming.settle(True)
+        streaming.on_end(True)
         await req.caller.send_chunk(b"", more=False)
-        self._count(req, streaming.outcome, answer.status, size)
-        whole = size <= keep
+        self._record_metrics(req, streaming.outcome, answer.status, size)
+        whole = size <= max_recorded_bytes
         body = b"".join(kept) if whole else b""
         return _recorded_answer(req.spec, answer.status, answer.headers, body, whole)
 
-    async def _end(self, req: _Request, problem: Problem) -> None:
-        self._count(req, problem.outcome, problem.status, 0)
+    async def _send_problem(self, req: _Request, problem: Problem) -> None:
+        self._record_metrics(req, problem.outcome, problem.status, 0)
         await _answer_problem(req.caller, req.spec.request_id, problem, key=req.spec.key)
 
-    def _count(self, req: _Request, outcome: Outcome, status: int, size: int) -> None:
+    def _record_metrics(self, req: _Request, outcome: Outcome, status: int, size: int) -> None:
         metrics.REQUESTS.labels(req.spec.account, outcome.value, str(status)).inc()
         now = self._clock.monotonic()
-        metrics.LATENCY.observe(now - req.began)
-        self._count_for_objective(req, outcome, status, now)
+        metrics.LATENCY.observe(now - req.started_at)
+        self._record_objective_event(req, outcome, status, now)
         region = req.partition.region
         if region != self._cfg.process.region:
             metrics.REGION_BYTES.labels("in", region).inc(size)
             metrics.REGION_BYTES.labels("out", region).inc(req.caller.size)
 
-    def _count_for_objective(
+    def _record_objective_event(
         self, req: _Request, outcome: Outcome, status: int, now: float
     ) -> None:
         account, sent_at = req.spec.account, req.caller.sent_at
         if outcome is Outcome.DONE and sent_at is not None:
-            metrics.START_WAIT.labels(account).observe(sent_at - req.began)
+            metrics.START_WAIT.labels(account).observe(sent_at - req.started_at)
         kind = objective_event(
             outcome=outcome,
             status=status,
-            start_wait_s=None if sent_at is None else sent_at - req.began,
-            waited_s=now - req.began,
-            caller_gone=req.caller.gone.is_set(),
+            start_wait_s=None if sent_at is None else sent_at - req.started_at,
+            waited_s=now - req.started_at,
+            caller_gone=req.caller.disconnected.is_set(),
             objective=objective_of(req.cell, account),
         )
         if kind is not None:
@@ -458,16 +482,16 @@
 
 def _target(scope: dict[str, Any]) -> tuple[str, str]:
     raw: bytes = scope.get("raw_path") or scope["path"].encode()
-    rest = raw.decode("latin-1").removeprefix(SERVICES)
+    rest = raw.decode("latin-1").removeprefix(SERVICES_PATH)
     service, _, path = rest.partition("/")
     query = scope.get("query_string", b"").decode("latin-1")
     return service, f"/{path}?{query}" if query else f"/{path}"
 
 
-def _held(spec: RequestSpec) -> int:
+def _buffer_size(spec: RequestSpec) -> int:
     if spec.content_length is None:
-        return HEAD_BYTES
-    return min(spec.content_length, HEAD_BYTES)
+        return BODY_PREFIX_BYTES
+    return min(spec.content_length, BODY_PREFIX_BYTES)
 
 
 def _fingerprint(spec: RequestSpec, caller: Caller) -> str:
@@ -478,15 +502,15 @@
 def _answer_headers(
     spec: RequestSpec, headers: list[tuple[str, str]], request_id: str, outcome: Outcome
 ) -> list[tuple[str, str]]:
-    found = [(name.lower(), value) for name, value in headers]
-    recorded = dict(found).get(RECORDED_ID, "")
-    found = [(name, value) for name, value in found if name != RECORDED_ID]
-    found.append(("request-id", request_id or recorded or spec.request_id))
-    found.append(("outcome", outcome.value))
+    result = [(name.lower(), value) for name, value in headers]
+    recorded = dict(result).get(RECORDED_ID_HEADER, "")
+    result = [(name, value) for name, value in result if name != RECORDED_ID_HEADER]
+    result.append(("request-id", request_id or recorded or spec.request_id))
+    result.append(("outcome", outcome.value))
     if spec.key:
-        found = [(name, value) for name, value in found if name != "idempotency-key"]
-        found.append(("idempotency-key", spec.key))
-    return found
+        result = [(name, value) for name, value in result if name != "idempotency-key"]
+        result.append(("idempotency-key", spec.key))
+    return result
 
 
 def _recorded_answer(
--- a/rhubarbferry/frontend/guard.py
+++ b/rhubarbferry/frontend/guard.py
@@ -1,9 +1,9 @@
-"""The fence of the runner partitions: which epoch may act here, and which grants are open.
+"""Fence the owners of runner partitions: track the highest epoch and the open grants of each.
 
-A successor of a partition's owner asks every frontend of the region to *adopt* it. From then on
-this process uses no grant of an earlier epoch, and the answer lists the grants still open. While
-an owner is past its lease it asks for short *promises*; a guard with an open promise adopts no
-one else until it has run out.
+A new owner of a partition requests every frontend of the region to *adopt* it. From then on this
+process rejects grants of earlier epochs; its reply lists the grants that are still open. An owner
+whose lease has expired requests short *promises* from the frontends. A guard that has given a
+promise adopts no other owner until the promise expires.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from rhubarbferry.rpc import Handler
 from rhubarbferry.rpc.gen import ttypes as t
 
-MS = 1000
+MS_PER_S = 1000
 
 
 @define(kw_only=True, slots=True)
 class HeldGrant:
-    """A grant whose slot is not known to be free.
+    """A grant whose slot may still be in use.
 
-    :param until: when its request must have ended, on the monotonic clock.
-    :param sent: whether bytes of the request may have gone out.
+    :param until: latest time at which its request can still run, on the monotonic clock.
+    :param sent: whether bytes of the request may have been sent.
     """
 
     request_id: str
@@ -46,7 +46,7 @@
 
 @frozen(kw_only=True, slots=True)
 class ProcessView:
-    """What ``status`` says about this process."""
+    """The process state that the ``status`` call reports."""
 
     config_revision: int = 0
     draining: bool = False
@@ -54,10 +54,10 @@
 
 
 class Guard:
-    """Epochs, promises and open grants of each runner partition, as this process holds them.
+    """Store the epoch, promise and open grants of each runner partition for this process.
 
-    :param longest_promise_s: longest promise that is given; one that asks for more is refused.
-    :param view: returns what ``status`` says.
+    :param longest_promise_s: maximum duration of a promise; longer requests are refused.
+    :param view: returns the process state for the ``status`` call.
     """
 
     def __init__(
@@ -74,37 +74,38 @@
         self._closed_below: dict[str, int] = {}
         self.member_id = ""
 
-    def open(self, partition: str, epoch: int, grant: HeldGrant) -> bool:
-        """Hold a grant that came in; ``False`` when its epoch has been overtaken: never use it.
+    def add_grant(self, partition: str, epoch: int, grant: HeldGrant) -> bool:
+        """Register a received grant; return ``False`` if its epoch is outdated.
 
-        Checking and holding are one step: a successor that adopts this guard either is told of
-        the grant or has it refused.
+        A grant that was not registered must not be used. The check and the registration happen
+        without an ``await`` in between, so a successor that adopts this guard either finds the
+        grant in the reply or has it rejected.
         """
         fence = self._fence(partition)
         if epoch < fence.state.highest_epoch:
             return False
-        # An owner that this guard has not heard of may have been adopted by a majority of others.
+        # The epoch may be new to this guard: a majority of other guards can adopt an owner.
         fence.state.highest_epoch = epoch
         fence.grants[(grant.request_id, grant.grant_id)] = grant
         return True
 
     def may_send(self, partition: str, epoch: int, grant: HeldGrant) -> bool:
-        """Tell whether a held grant may be used now; it counts as sent from then on."""
+        """Return whether a registered grant may be used now, and if so mark it as sent."""
         if epoch < self._fence(partition).state.highest_epoch:
             return False
         grant.sent = True
         return True
 
-    def close(self, partition: str, grant: HeldGrant) -> None:
-        """Forget a grant whose request is known to have ended, or must have."""
+    def remove_grant(self, partition: str, grant: HeldGrant) -> None:
+        """Remove a grant whose request has ended or can no longer be running."""
         self._fence(partition).grants.pop((grant.request_id, grant.grant_id), None)
 
-    def open_grants(self) -> int:
-        """Return how many grants are held."""
+    def open_grant_count(self) -> int:
+        """Return the number of registered grants."""
         return sum(len(fence.grants) for fence in self._fences.values())
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return the methods of the ``Guard`` service."""
+        """Return the handlers of the ``Guard`` RPC service, by method."""
         return {
             "ping": self._ping,
             "status": self._status,
@@ -116,7 +117,7 @@
     def _fence(self, partition: str) -> _Fence:
         fence = self._fences.get(partition)
         if fence is None:
-            # A set that was closed stays closed for partitions that come up later.
+            # A guard set closed for a region is closed for its later partitions too.
             closed = self._closed_below.get(_region(partition), 0)
             fence = _Fence(state=GuardState(closed_below=closed))
             self._fences[partition] = fence
@@ -143,12 +144,12 @@
         return t.AdoptReply(
             accepted=answer.accepted,
             highest_epoch=answer.highest_epoch,
-            promise_left_ms=_ms(answer.promise_left_s),
-            grants=self._listed(fence, now) if answer.accepted else [],
+            promise_left_ms=_ceil_ms(answer.promise_left_s),
+            grants=self._list_grants(fence, now) if answer.accepted else [],
             guard_id=self.member_id,
         )
 
-    def _listed(self, fence: _Fence, now: float) -> list[t.OpenGrant]:
+    def _list_grants(self, fence: _Fence, now: float) -> list[t.OpenGrant]:
         for key in [key for key, grant in fence.grants.items() if grant.until <= now]:
             del fence.grants[key]
         return [
@@ -157,24 +158,24 @@
                 grant_id=grant.grant_id,
                 runner_id=grant.runner_id,
                 account=grant.account,
-                remaining_ms=round((grant.until - now) * MS),
+                remaining_ms=round((grant.until - now) * MS_PER_S),
                 sent=grant.sent,
             )
             for grant in fence.grants.values()
         ]
 
     async def _promise(self, req: t.PromiseRequest) -> t.PromiseReply:
-        # The owner counts from before asking, this guard from answering: so a promise always
-        # ends later here than the owner believes. That is only so while this guard gives all
-        # that was asked for: one cut to its own limit would let a successor in while the owner
-        # still counts it.
+        # The owner counts the promise from before its request, and this guard from its reply, so
+        # the promise always ends later here than at the owner. This holds only if the guard
+        # grants the full duration. A promise shortened to the guard's limit would let a successor
+        # be adopted while the owner still relies on it.
         state = self._fence(req.partition).state
-        if req.duration_ms > self._longest_promise_s * MS:
+        if req.duration_ms > self._longest_promise_s * MS_PER_S:
             return t.PromiseReply(
                 given=False,
                 highest_epoch=state.highest_epoch,
                 guard_id=self.member_id,
-                limit_ms=int(self._longest_promise_s * MS),
+                limit_ms=int(self._longest_promise_s * MS_PER_S),
             )
         now = self._clock.monotonic()
         if req.duration_ms == NO_PROMISE_MS:
@@ -184,7 +185,7 @@
                 epoch=req.epoch,
                 owner=req.owner_id,
                 now=now,
-                duration_s=req.duration_ms / MS,
+                duration_s=req.duration_ms / MS_PER_S,
                 version=req.guard_version or 0,
             )
         return t.PromiseReply(
@@ -201,7 +202,7 @@
             if _region(partition) == req.region
         ]
         return t.CloseGuardSetReply(
-            closed=True, promise_left_ms=_ms(max(left, default=0.0)), guard_id=self.member_id
+            closed=True, promise_left_ms=_ceil_ms(max(left, default=0.0)), guard_id=self.member_id
         )
 
 
@@ -209,6 +210,6 @@
     return PartitionId.parse(partition).region
 
 
-def _ms(seconds: float) -> int:
-    # Up, since the one who waits for the end of a promise must not be told too little.
-    return math.ceil(seconds * MS)
+def _ceil_ms(seconds: float) -> int:
+    # Rounded up, so that a successor never stops waiting before the promise ends.
+    return math.ceil(seconds * MS_PER_S)
--- a/rhubarbferry/frontend/headers.py
+++ b/rhubarbferry/frontend/headers.py
@@ -1,4 +1,4 @@
-"""Read and check the request headers that this project defines."""
+"""Parse and validate the request headers of the frontend."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 TIMEOUT = "Request-Timeout"
 REQUEST_ID = "Request-Id"
 OUTCOME = "Outcome"
-# Set by a frontend that passes a request on to a frontend of the region named in it.
-PASSED_TO = "Passed-To-Region"
+# Set by a frontend that forwards a request to another region; its value is that region's name.
+PASSED_TO_REGION = "Passed-To-Region"
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}\Z")
-ID_FORM = re.compile(rb"[0-9a-f]{32}\Z")
-KEY_FORM = re.compile(r"[\x21-\x7e]{1,200}\Z")
-# RFC 9110: the methods whose repetition has the same effect as one request.
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}\Z")
+REQUEST_ID_PATTERN = re.compile(rb"[0-9a-f]{32}\Z")
+KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,200}\Z")
+# The idempotent methods of RFC 9110.
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
 HOP_BY_HOP = frozenset(
     {
@@ -46,7 +46,7 @@
         "upgrade",
     }
 )
-_OWN = frozenset(
+_CONSUMED_HEADERS = frozenset(
     {
         "client-account",
         "content-length",
@@ -67,14 +67,14 @@
 
 @frozen(kw_only=True, slots=True)
 class RequestSpec:
-    """What a caller asked, checked.
+    """A caller's request after validation.
 
     :param target: raw path and query for the runner.
-    :param key: the caller's key, or a new one for a request that is not idempotent.
-    :param priority: ``None`` when the account's own class counts.
-    :param timeout_s: seconds until the deadline.
-    :param content_length: ``None`` when the body comes in chunks.
-    :param headers: headers that go on to the runner.
+    :param key: the caller's idempotency key, or a generated one if the request is not idempotent.
+    :param priority: ``None`` selects the account's default class.
+    :param timeout_s: seconds from arrival to the deadline.
+    :param content_length: ``None`` when the body is chunked.
+    :param headers: headers that are forwarded to the runner.
     """
 
     request_id: str
@@ -91,21 +91,21 @@
 
 
 def new_id() -> str:
-    """Return a fresh id for a request or key."""
+    """Return a random id for a request or an idempotency key."""
     return secrets.token_hex(16)
 
 
 def request_id_of(raw: RawHeaders) -> str:
-    """Return the id of a request: the given one when it was passed on, else a new one."""
-    found = dict(raw)
-    given = found.get(b"request-id", b"")
-    if b"passed-to-region" in found and ID_FORM.match(given):
+    """Return the id sent by a forwarding frontend, or a new id for any other request."""
+    headers = dict(raw)
+    given = headers.get(b"request-id", b"")
+    if b"passed-to-region" in headers and REQUEST_ID_PATTERN.match(given):
         return given.decode()
     return new_id()
 
 
-def passed_on(raw: RawHeaders) -> bool:
-    """Tell whether another frontend has passed the request on."""
+def is_forwarded(raw: RawHeaders) -> bool:
+    """Return whether another frontend forwarded the request."""
     return any(name == b"passed-to-region" for name, _ in raw)
 
 
@@ -118,10 +118,10 @@
     cfg: RequestSettings,
     request_id: str,
 ) -> Result[RequestSpec, Problem]:
-    """Check the headers of a request for a service.
+    """Validate the headers of a service request.
 
-    :param raw: names in lower case and values, as they came.
-    :returns: the request, or the first problem with the field that it is about.
+    :param raw: the received headers; names are in lower case.
+    :returns: the request, or a problem that names the first invalid field.
     """
     try:
         return Success(_parse(method, service, target, raw, cfg, request_id))
@@ -145,42 +145,42 @@
         priority=_priority(raw),
         timeout_s=_timeout(raw, cfg),
         content_length=_content_length(raw, cfg),
-        headers=_passed_on(raw),
+        headers=_forwarded_headers(raw),
     )
 
 
-def one(raw: RawHeaders, name: str) -> str | None:
-    """Return the value of a header that may be given once."""
-    wanted = name.lower().encode()
-    values = [value for key, value in raw if key == wanted]
+def single_header(raw: RawHeaders, name: str) -> str | None:
+    """Return the value of a header, which may occur at most once."""
+    lower_name = name.lower().encode()
+    values = [value for key, value in raw if key == lower_name]
     if len(values) > 1:
         raise _Bad(problems.bad_field(name, "given more than once", "Give it once."))
     return values[0].decode("latin-1").strip() if values else None
 
 
 def account_of(raw: RawHeaders) -> str:
-    """Return the client account that a request names."""
-    value = one(raw, ACCOUNT)
+    """Return the client account in the request headers."""
+    value = single_header(raw, ACCOUNT)
     if value is None:
         raise _Bad(problems.bad_field(ACCOUNT, "missing", f"Name your account in {ACCOUNT}."))
-    if not NAME.match(value):
+    if not NAME_PATTERN.match(value):
         remedy = "Use letters, digits, '.', '_' and '-', at most 128."
         raise _Bad(problems.bad_field(ACCOUNT, "not the form of a name", remedy))
     return value
 
 
 def _key(raw: RawHeaders) -> str:
-    value = one(raw, KEY)
+    value = single_header(raw, KEY)
     if value is None:
         return ""
-    if not KEY_FORM.match(value):
+    if not KEY_PATTERN.match(value):
         remedy = "Use 1 to 200 visible ASCII characters."
         raise _Bad(problems.bad_field(KEY, "not the form of a key", remedy))
     return value
 
 
 def _idempotent(raw: RawHeaders, method: str) -> bool:
-    match one(raw, IDEMPOTENT):
+    match single_header(raw, IDEMPOTENT):
         case None:
             return method in IDEMPOTENT_METHODS
         case "true":
@@ -192,7 +192,7 @@
 
 
 def _priority(raw: RawHeaders) -> PriorityClass | None:
-    value = one(raw, PRIORITY)
+    value = single_header(raw, PRIORITY)
     if value is None:
         return None
     try:
@@ -203,7 +203,7 @@
 
 
 def _timeout(raw: RawHeaders, cfg: RequestSettings) -> float:
-    value = one(raw, TIMEOUT)
+    value = single_header(raw, TIMEOUT)
     if value is None:
         return cfg.default_timeout_s
     try:
@@ -217,8 +217,8 @@
 
 
 def _content_length(raw: RawHeaders, cfg: RequestSettings) -> int | None:
-    value = one(raw, "Content-Length")
-    if one(raw, "Transfer-Encoding") is not None:
+    value = single_header(raw, "Content-Length")
+    if single_header(raw, "Transfer-Encoding") is not None:
         return None
     if value is None:
         return 0
@@ -230,8 +230,12 @@
     return length
 
 
-def _passed_on(raw: RawHeaders) -> tuple[tuple[str, str], ...]:
-    named = one(raw, "Connection") or ""
-    dropped = {part.strip().lower() for part in named.split(",")} | HOP_BY_HOP | _OWN
+def _forwarded_headers(raw: RawHeaders) -> tuple[tuple[str, str], ...]:
+    connection_options = single_header(raw, "Connection") or ""
+    dropped = (
+        {part.strip().lower() for part in connection_options.split(",")}
+        | HOP_BY_HOP
+        | _CONSUMED_HEADERS
+    )
     decoded = ((name.decode("latin-1"), value.decode("latin-1")) for name, value in raw)
     return tuple((name, value) for name, value in decoded if name not in dropped)
--- a/rhubarbferry/frontend/http.py
+++ b/rhubarbferry/frontend/http.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 connections of callers."""
+"""The HTTP/1.1 protocol for connections from callers."""
 
 from __future__ import annotations
 
@@ -7,10 +7,13 @@
 
 
 class HttpProtocol(BoundedHttpProtocol):
-    """Answer what is no HTTP request with problem+json."""
+    """Answer malformed HTTP requests with problem+json."""
 
     def bad_request(self, *, begun: bool) -> bytes:
-        """Return the whole answer to what is no HTTP request."""
+        """Return the raw answer to a malformed request.
+
+        :param begun: whether the headers were valid and the body is malformed.
+        """
         problem = Problem(
             status=400,
             type="not-http",
--- a/rhubarbferry/frontend/intents.py
+++ b/rhubarbferry/frontend/intents.py
@@ -1,4 +1,4 @@
-"""Record the intent of a non-idempotent request before it goes out, and its outcome after."""
+"""Record the intent of a non-idempotent request before it is sent, and its outcome afterwards."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.rpc.gen import ttypes as t
 
-MS = 1000
-FINISH_FOR_S = 60.0
+MS_PER_S = 1000
+FINISH_RETRY_LIMIT_S = 60.0
 FINISH_TIMEOUT_S = 3.0
-PAUSE_S = 0.1
-LONGEST_PAUSE_S = 2.0
-STORE_LOST = "the store can't be reached, so nothing can be recorded"
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
+STORE_LOST_REASON = "the store can't be reached, so nothing can be recorded"
 
 
 @frozen(kw_only=True, slots=True)
-class Begun:
-    """The intent is on record: the request may go out, once."""
+class IntentRecorded:
+    """The intent is recorded: the request may be sent once."""
 
     home: PartitionId
 
 
 @frozen(kw_only=True, slots=True)
-class Duplicate:
-    """The key has a history: the request must not go out.
+class DuplicateKey:
+    """The key was used before: the request must not be sent.
 
-    :param reply: its verdict is RUNNING, RECORDED, UNKNOWN or MISMATCH.
+    :param reply: the home's reply, with verdict RUNNING, RECORDED, UNKNOWN or MISMATCH.
     """
 
     reply: t.IntentReply
 
 
 @frozen(kw_only=True, slots=True)
-class NotBegun:
-    """Nothing may go out, and this request has not."""
+class IntentNotRecorded:
+    """The intent could not be recorded; the request was not and must not be sent."""
 
     reason: str
     retry_after_s: float
@@ -50,7 +50,7 @@
 
 
 class IntentClient:
-    """Calls to the homes of idempotency keys."""
+    """Record intents and outcomes with the homes of idempotency keys."""
 
     def __init__(
         self, *, clock: Clock, owners: Owners, background: Background, frontend_id: str
@@ -62,10 +62,10 @@
 
     async def begin(
         self, *, cell: Cell, spec: RequestSpec, fingerprint: str, deadline: float
-    ) -> Begun | Duplicate | NotBegun:
-        """Commit the intent of ``spec``.
+    ) -> IntentRecorded | DuplicateKey | IntentNotRecorded:
+        """Record the intent to run ``spec``.
 
-        :param fingerprint: tells two requests with one key apart.
+        :param fingerprint: hash that distinguishes different requests with the same key.
         """
         home = home_of(
             account=spec.account,
@@ -84,42 +84,47 @@
                 request_id=spec.request_id,
                 fingerprint=fingerprint,
                 frontend_id=self._frontend_id,
-                remaining_ms=int(left * MS),
+                remaining_ms=int(left * MS_PER_S),
             )
 
-        found = await self._owners.call(
+        result = await self._owners.call(
             home,
             "begin_request",
             build,
             deadline=deadline,
-            moved=lambda reply: reply.verdict == t.IntentVerdict.NOT_OWNER,
+            not_owner=lambda reply: reply.verdict == t.IntentVerdict.NOT_OWNER,
         )
-        return self._read(home, spec, found, deadline)
+        return self._parse_reply(home, spec, result, deadline)
 
-    def _read(
-        self, home: PartitionId, spec: RequestSpec, found: Replied | NoReply, deadline: float
-    ) -> Begun | Duplicate | NotBegun:
-        match found:
+    def _parse_reply(
+        self, home: PartitionId, spec: RequestSpec, result: Replied | NoReply, deadline: float
+    ) -> IntentRecorded | DuplicateKey | IntentNotRecorded:
+        match result:
             case NoReply(unclear=unclear, store_lost=store_lost):
                 if unclear:
                     self.finish(home, spec, t.RequestOutcome.NOT_RUN)
-                late = not store_lost and self._clock.monotonic() >= deadline
-                reason = STORE_LOST if store_lost else "no scheduler answers for this key"
-                return NotBegun(reason=reason, retry_after_s=1.0, timed_out=late)
+                timed_out = not store_lost and self._clock.monotonic() >= deadline
+                reason = STORE_LOST_REASON if store_lost else "no scheduler answers for this key"
+                return IntentNotRecorded(reason=reason, retry_after_s=1.0, timed_out=timed_out)
             case Replied(reply=reply, unclear=unclear):
-                retry_after_s = (reply.retry_after_ms or MS) / MS
+                retry_after_s = (reply.retry_after_ms or MS_PER_S) / MS_PER_S
                 if reply.verdict == t.IntentVerdict.COMMITTED:
-                    return Begun(home=home)
+                    return IntentRecorded(home=home)
                 if unclear:
-                    # The reply to an earlier try was lost, so what closes the key may be this
-                    # very request, which has not gone out. Left alone the key would stay closed
-                    # until it lapses as unknown. The home takes this only for our request id.
+                    # The reply to an earlier call was lost, so the recorded intent may be that
+                    # of this request, which has not been sent. Without this outcome the key would
+                    # stay in use until it expires as unknown. The home accepts the outcome only
+                    # for the request id that it recorded.
                     self.finish(home, spec, t.RequestOutcome.NOT_RUN)
                 if reply.verdict == t.IntentVerdict.REFUSED:
-                    return NotBegun(reason=reply.reason or "refused", retry_after_s=retry_after_s)
+                    return IntentNotRecorded(
+                        reason=reply.reason or "refused", retry_after_s=retry_after_s
+                    )
                 if reply.verdict == t.IntentVerdict.RUNNING and unclear:
-                    return NotBegun(reason="the key's record is unclear", retry_after_s=1.0)
-                return Duplicate(reply=reply)
+                    return IntentNotRecorded(
+                        reason="the key's record is unclear", retry_after_s=1.0
+                    )
+                return DuplicateKey(reply=reply)
 
     def finish(
         self,
@@ -128,7 +133,7 @@
         outcome: t.RequestOutcome,
         answer: t.RecordedAnswer | None = None,
     ) -> asyncio.Task[None]:
-        """Record how the request ended, in the background; return the task."""
+        """Record the outcome of a request in the background; return the task."""
         return self._background.start(self._finish(home, spec, outcome, answer))
 
     async def _finish(
@@ -138,8 +143,8 @@
         outcome: t.RequestOutcome,
         answer: t.RecordedAnswer | None,
     ) -> None:
-        end = self._clock.monotonic() + FINISH_FOR_S
-        pause = PAUSE_S
+        end = self._clock.monotonic() + FINISH_RETRY_LIMIT_S
+        backoff_s = INITIAL_BACKOFF_S
         while self._clock.monotonic() < end:
             req = t.FinishRequest(
                 partition=str(home),
@@ -150,9 +155,11 @@
                 outcome=outcome,
                 answer=answer,
             )
-            reply = await self._owners.tell(home, "finish_request", req, timeout_s=FINISH_TIMEOUT_S)
+            reply = await self._owners.call_once(
+                home, "finish_request", req, timeout_s=FINISH_TIMEOUT_S
+            )
             if reply is not None and reply.recorded:
                 return
-            await self._clock.sleep(pause)
-            pause = min(pause * 2, LONGEST_PAUSE_S)
+            await self._clock.sleep(backoff_s)
+            backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
         metrics.RECORDS_LOST.inc()
--- a/rhubarbferry/frontend/job_forms.py
+++ b/rhubarbferry/frontend/job_forms.py
@@ -1,4 +1,4 @@
-"""Read the JSON of a job submission, naming the field that can't be taken."""
+"""Parse and validate the JSON of a job submission."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from rhubarbferry.conf.settings import JobSettings
 from rhubarbferry.core.cell import Cell
 from rhubarbferry.frontend import problems
-from rhubarbferry.frontend.headers import KEY_FORM, NAME
+from rhubarbferry.frontend.headers import KEY_PATTERN, NAME_PATTERN
 from rhubarbferry.frontend.problems import Problem
 from rhubarbferry.rpc.gen import ttypes as t
 
@@ -38,10 +38,10 @@
     }
 )
 SIZE_FIELDS = ("millicores", "memory_bytes", "accelerators")
-MAX_SIZE = 2**50
+MAX_RESOURCE_AMOUNT = 2**50
 MAX_ACCELERATORS = 2**20
 MAX_RUN_MS = 366 * 24 * 3600 * 1000
-MAX_PAYLOAD = 32 * 1024
+MAX_PAYLOAD_BYTES = 32 * 1024
 
 
 class _Bad(Exception):
@@ -53,11 +53,12 @@
 def parse_job(
     text: bytes, *, account_header: str | None, key_header: str | None, cell: Cell, cfg: JobSettings
 ) -> Result[t.JobSpec, Problem]:
-    """Check a submission.
+    """Validate a job submission.
 
-    :param text: the body, JSON.
-    :param account_header: the account, when the body names none; both must agree.
-    :param key_header: likewise for the key.
+    :param text: the JSON body.
+    :param account_header: the account to use if the body has none; if both exist, they must match.
+    :param key_header: the same for the idempotency key.
+    :returns: the job, or a problem that names the first invalid field.
     """
     try:
         return Success(_parse(_document(text), account_header, key_header, cell, cfg))
@@ -67,7 +68,7 @@
 
 def _document(text: bytes) -> Mapping[str, Any]:
     try:
-        doc = json.loads(text, parse_constant=_no_constant)
+        doc = json.loads(text, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as exc:
         raise _Bad("body", f"not JSON: {exc}"[:200], "Send one JSON object.") from exc
     if not isinstance(doc, dict):
@@ -78,7 +79,7 @@
     return doc
 
 
-def _no_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is not a number of JSON")
 
 
@@ -104,7 +105,7 @@
         key=_key(doc, key_header),
         job_template=_text(doc, "job_template", 128),
         region=_region(doc, cell),
-        payload=_text(doc, "payload", MAX_PAYLOAD),
+        payload=_text(doc, "payload", MAX_PAYLOAD_BYTES),
     )
 
 
@@ -112,7 +113,7 @@
     name = doc.get("account", header)
     if name is None:
         raise _Bad("account", "missing", "Name your account.")
-    if not isinstance(name, str) or not NAME.match(name):
+    if not isinstance(name, str) or not NAME_PATTERN.match(name):
         remedy = "Use letters, digits, '.', '_' and '-', at most 128."
         raise _Bad("account", "not the form of a name", remedy)
     if name not in cell.accounts:
@@ -127,7 +128,7 @@
     key = doc.get("key", header)
     if key is None:
         return None
-    if not isinstance(key, str) or not KEY_FORM.match(key):
+    if not isinstance(key, str) or not KEY_PATTERN.match(key):
         raise _Bad("key", "not the form of a key", "Use 1 to 200 visible ASCII characters.")
     if header is not None and header != key:
         raise _Bad("key", "body and Idempotency-Key differ", "Give one key.")
@@ -147,11 +148,11 @@
     doc: Mapping[str, Any], name: str, default: int | None, *, low: int, high: int, path: str = ""
 ) -> int:
     value = doc.get(name, default)
-    where = path + name
+    field_path = path + name
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _Bad(where, "missing or not a whole number", f"Give {low} to {high}.")
+        raise _Bad(field_path, "missing or not a whole number", f"Give {low} to {high}.")
     if not low <= value <= high:
-        raise _Bad(where, "out of range", f"Give {low} to {high}.")
+        raise _Bad(field_path, "out of range", f"Give {low} to {high}.")
     return value
 
 
@@ -162,7 +163,7 @@
     return value
 
 
-def _text(doc: Mapping[str, Any], name: str, longest: int) -> str | None:
+def _text(doc: Mapping[str, Any], name: str, max_bytes: int) -> str | None:
     value = doc.get(name)
     if value is None:
         return None
@@ -172,8 +173,8 @@
         length = len(value.encode())
     except UnicodeEncodeError as exc:
         raise _Bad(name, "not valid Unicode", "Give a text of valid Unicode.") from exc
-    if length > longest:
-        raise _Bad(name, "too long", f"Give at most {longest} bytes.")
+    if length > max_bytes:
+        raise _Bad(name, "too long", f"Give at most {max_bytes} bytes.")
     return value
 
 
@@ -192,7 +193,11 @@
         if name not in SIZE_FIELDS:
             raise _Bad(f"size.{name}"[:100], "no such field", f"Fields: {', '.join(SIZE_FIELDS)}.")
     return t.Resources(
-        millicores=_integer(size, "millicores", None, low=1, high=MAX_SIZE, path="size."),
-        memory_bytes=_integer(size, "memory_bytes", None, low=1, high=MAX_SIZE, path="size."),
+        millicores=_integer(
+            size, "millicores", None, low=1, high=MAX_RESOURCE_AMOUNT, path="size."
+        ),
+        memory_bytes=_integer(
+            size, "memory_bytes", None, low=1, high=MAX_RESOURCE_AMOUNT, path="size."
+        ),
         accelerators=_integer(size, "accelerators", 0, low=0, high=MAX_ACCELERATORS, path="size."),
     )
--- a/rhubarbferry/frontend/jobs.py
+++ b/rhubarbferry/frontend/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs over HTTP: submit, look at, cancel, list, explain."""
+"""The HTTP endpoints that submit, show, cancel, list and explain jobs."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from rhubarbferry.core.cell import Cell
 from rhubarbferry.core.partition import PartitionId, home_of, key_partition
 from rhubarbferry.frontend import problems
-from rhubarbferry.frontend.headers import NAME, new_id
-from rhubarbferry.frontend.intents import STORE_LOST
+from rhubarbferry.frontend.headers import NAME_PATTERN, new_id
+from rhubarbferry.frontend.intents import STORE_LOST_REASON
 from rhubarbferry.frontend.job_forms import parse_job
 from rhubarbferry.frontend.owners import NoReply, Owners, Replied
 from rhubarbferry.frontend.problems import Outcome, Problem
@@ -24,11 +24,11 @@
 from rhubarbferry.ports.ownership import CellView
 from rhubarbferry.rpc.gen import ttypes as t
 
-MS = 1000
-MAX_JOB_BYTES = 256 * 1024
-CALL_S = 10.0
-LIST_S = 3.0
-RANDOM_CHARS = 16
+MS_PER_S = 1000
+MAX_JOB_BODY_BYTES = 256 * 1024
+CALL_TIMEOUT_S = 10.0
+LIST_TIMEOUT_S = 3.0
+JOB_ID_RANDOM_CHARS = 16
 
 PHASES = {
     t.JobPhase.WAITING: "waiting",
@@ -51,7 +51,7 @@
 
 
 class JobEndpoints:
-    """Serve ``/v1/jobs`` by calls to the homes of the jobs."""
+    """Serve ``/v1/jobs`` by RPC calls to the homes of the jobs."""
 
     def __init__(self, *, clock: Clock, cfg: Settings, cell: CellView, owners: Owners) -> None:
         self._clock = clock
@@ -64,14 +64,14 @@
         """Return the routes."""
         return [
             Route("/v1/jobs", self.submit, methods=["POST"]),
-            Route("/v1/jobs", self.show_all, methods=["GET"]),
+            Route("/v1/jobs", self.list_all, methods=["GET"]),
             Route("/v1/jobs/{id}", self.show, methods=["GET"]),
             Route("/v1/jobs/{id}", self.cancel, methods=["DELETE"]),
             Route("/v1/jobs/{id}/explain", self.explain, methods=["GET"]),
         ]
 
     async def submit(self, request: Request) -> Response:
-        """Answer 202 once the job is on record."""
+        """Submit a job; answer 202 when the job is recorded."""
         cell = self._cell.current()
         if cell.revision == 0:
             return _problem(problems.not_configured())
@@ -94,39 +94,41 @@
 
     async def _submit(self, cell: Cell, spec: t.JobSpec) -> Response:
         home = self._home(cell, spec)
-        # The id is chosen here: a submission whose reply was lost can then be repeated, and the
-        # home recognises it.
-        job_id = f"{home.region}.{home.name}.{new_id()[:RANDOM_CHARS]}"
-        found = await self._owners.call(
+        # The frontend generates the id, so that the home recognizes a submission that is repeated
+        # after its reply was lost.
+        job_id = f"{home.region}.{home.name}.{new_id()[:JOB_ID_RANDOM_CHARS]}"
+        result = await self._owners.call(
             home,
             "submit_job",
             lambda epoch: t.SubmitRequest(
                 partition=str(home), epoch=epoch, job_id=job_id, spec=spec
             ),
-            deadline=self._clock.monotonic() + CALL_S,
-            moved=lambda reply: reply.verdict == t.SubmitVerdict.NOT_OWNER,
+            deadline=self._clock.monotonic() + CALL_TIMEOUT_S,
+            not_owner=lambda reply: reply.verdict == t.SubmitVerdict.NOT_OWNER,
         )
-        match found:
+        match result:
             case NoReply(unclear=True):
-                return _problem(_unclear(job_id))
+                return _problem(_submission_unclear(job_id))
             case NoReply(store_lost=True):
-                return _problem(problems.refused(STORE_LOST, problems.RETRY_SOON_S))
+                return _problem(problems.refused(STORE_LOST_REASON, problems.DEFAULT_RETRY_AFTER_S))
             case NoReply():
                 return _problem(problems.refused("no scheduler takes jobs now", 1.0))
             case Replied(reply=reply, unclear=unclear):
-                return self._submitted(reply, job_id, unclear)
+                return self._submit_answer(reply, job_id, unclear)
 
-    def _submitted(self, reply: t.SubmitReply, job_id: str, unclear: bool) -> Response:
-        retry_after_s = (reply.retry_after_ms or MS) / MS
+    def _submit_answer(self, reply: t.SubmitReply, job_id: str, unclear: bool) -> Response:
+        retry_after_s = (reply.retry_after_ms or MS_PER_S) / MS_PER_S
         match reply.verdict:
             case t.SubmitVerdict.ACCEPTED | t.SubmitVerdict.DUPLICATE:
-                found = reply.job_id or job_id
-                doc = {"id": found, "duplicate": found != job_id}
-                return JSONResponse(doc, status_code=202, headers={"Location": f"/v1/jobs/{found}"})
+                result = reply.job_id or job_id
+                doc = {"id": result, "duplicate": result != job_id}
+                return JSONResponse(
+                    doc, status_code=202, headers={"Location": f"/v1/jobs/{result}"}
+                )
             case t.SubmitVerdict.UNCLEAR:
-                return _problem(_unclear(job_id))
+                return _problem(_submission_unclear(job_id))
             case t.SubmitVerdict.UNAVAILABLE if unclear:
-                return _problem(_unclear(job_id))
+                return _problem(_submission_unclear(job_id))
             case t.SubmitVerdict.UNAVAILABLE:
                 return _problem(problems.refused(reply.reason or "unavailable", retry_after_s))
         limited = reply.retry_after_ms is not None
@@ -156,64 +158,66 @@
 
     async def show(self, request: Request) -> Response:
         """Answer with the state of a job."""
-        found = await self._ask(request, "get_job")
-        return found if isinstance(found, Response) else _job(found)
+        result = await self._call_home(request, "get_job")
+        return result if isinstance(result, Response) else _job(result)
 
     async def cancel(self, request: Request) -> Response:
         """Cancel a job and answer with its state."""
-        found = await self._ask(request, "cancel_job")
-        return found if isinstance(found, Response) else _job(found)
+        result = await self._call_home(request, "cancel_job")
+        return result if isinstance(result, Response) else _job(result)
 
     async def explain(self, request: Request) -> Response:
-        """Answer with the reasons why tasks of a job wait."""
-        found = await self._ask(request, "get_job")
-        if isinstance(found, Response):
-            return found
-        doc = _document(found.job) | {"explanation": found.explanation or []}
+        """Answer with a job and the reasons why its tasks wait."""
+        result = await self._call_home(request, "get_job")
+        if isinstance(result, Response):
+            return result
+        doc = _document(result.job) | {"explanation": result.explanation or []}
         return JSONResponse(doc)
 
-    async def _ask(self, request: Request, method: str) -> Response | t.JobReply:
+    async def _call_home(self, request: Request, method: str) -> Response | t.JobReply:
         job_id = request.path_params["id"]
         home = self._home_of_id(job_id)
         if home is None:
             return _problem(_no_such_job(job_id))
-        found = await self._owners.call(
+        result = await self._owners.call(
             home,
             method,
             lambda epoch: t.JobRequest(partition=str(home), epoch=epoch, job_id=job_id),
-            deadline=self._clock.monotonic() + CALL_S,
-            moved=lambda reply: reply.verdict == t.JobVerdict.NOT_OWNER,
+            deadline=self._clock.monotonic() + CALL_TIMEOUT_S,
+            not_owner=lambda reply: reply.verdict == t.JobVerdict.NOT_OWNER,
         )
-        match found:
+        match result:
             case NoReply(store_lost=store_lost):
-                reason = STORE_LOST if store_lost else "no scheduler answers for this job"
-                return _problem(_no_word(reason, problems.RETRY_SOON_S))
+                reason = STORE_LOST_REASON if store_lost else "no scheduler answers for this job"
+                return _problem(_status_unavailable(reason, problems.DEFAULT_RETRY_AFTER_S))
             case Replied(reply=reply) if reply.verdict == t.JobVerdict.FOUND:
                 return reply
             case Replied(reply=reply) if reply.verdict == t.JobVerdict.NO_SUCH_JOB:
-                # It may have run and been forgotten since.
+                # The job may have run and its record may have been deleted since.
                 return _problem(_no_such_job(job_id).as_unknown())
             case Replied(reply=reply):
-                retry_after_s = (reply.retry_after_ms or MS) / MS
-                return _problem(_no_word("the job's home can't answer now", retry_after_s))
+                retry_after_s = (reply.retry_after_ms or MS_PER_S) / MS_PER_S
+                return _problem(
+                    _status_unavailable("the job's home can't answer now", retry_after_s)
+                )
         raise AssertionError("unreachable")
 
     def _home_of_id(self, job_id: str) -> PartitionId | None:
         cell = self._cell.current()
-        # From the right, since the name of a region may have dots in it.
+        # Split from the right, because region names may contain dots.
         parts = job_id.rsplit(".", 2)
         if len(parts) != 3:
             return None
         region, number, name = parts
         known = region in cell.regions and number.isascii() and number.isdigit()
-        if not known or not NAME.match(name):
+        if not known or not NAME_PATTERN.match(name):
             return None
         if int(number) >= cell.key_partitions_per_region:
             return None
         return key_partition(region=region, number=int(number))
 
-    async def show_all(self, request: Request) -> Response:
-        """Answer with the jobs of an account, from all homes that answer."""
+    async def list_all(self, request: Request) -> Response:
+        """Answer with the jobs of an account from all homes that can be reached."""
         cell = self._cell.current()
         if cell.revision == 0:
             return _problem(problems.not_configured())
@@ -229,18 +233,18 @@
         ]
         replies = await asyncio.gather(*(self._list_home(home, account) for home in homes))
         missing = [str(home) for home, jobs in zip(homes, replies, strict=True) if jobs is None]
-        jobs = [_document(job) for found in replies for job in found or []]
+        jobs = [_document(job) for result in replies for job in result or []]
         return JSONResponse({"jobs": jobs, "complete": not missing, "missing": missing})
 
     async def _list_home(self, home: PartitionId, account: str) -> list[t.JobRecord] | None:
-        found = await self._owners.call(
+        result = await self._owners.call(
             home,
             "list_jobs",
             lambda epoch: t.JobListRequest(partition=str(home), epoch=epoch, account=account),
-            deadline=self._clock.monotonic() + LIST_S,
-            moved=lambda reply: reply.verdict == t.JobVerdict.NOT_OWNER,
+            deadline=self._clock.monotonic() + LIST_TIMEOUT_S,
+            not_owner=lambda reply: reply.verdict == t.JobVerdict.NOT_OWNER,
         )
-        match found:
+        match result:
             case Replied(reply=reply) if reply.verdict == t.JobVerdict.FOUND:
                 return reply.jobs
         return None
@@ -252,8 +256,8 @@
     try:
         async for chunk in request.stream():
             size += len(chunk)
-            if size > MAX_JOB_BYTES:
-                return problems.body_too_large(MAX_JOB_BYTES)
+            if size > MAX_JOB_BODY_BYTES:
+                return problems.body_too_large(MAX_JOB_BODY_BYTES)
             parts.append(chunk)
     except ClientDisconnect:
         return problems.truncated_body()
@@ -275,13 +279,13 @@
     )
 
 
-def _no_word(reason: str, retry_after_s: float) -> Problem:
-    # The outcome in an answer about a job is the job's. "Not run" would be untrue of one that
-    # has run, or of a cancellation whose record may stand.
+def _status_unavailable(reason: str, retry_after_s: float) -> Problem:
+    # The outcome in these answers is that of the job. "Not run" could be false: the job may have
+    # run, or a cancellation may have been recorded.
     return problems.refused(reason, retry_after_s).as_unknown()
 
 
-def _unclear(job_id: str) -> Problem:
+def _submission_unclear(job_id: str) -> Problem:
     return Problem(
         status=504,
         type="outcome-unknown",
--- a/rhubarbferry/frontend/metrics.py
+++ b/rhubarbferry/frontend/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of the frontend."""
+"""Prometheus metrics of the frontend."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     "Requests sent to another region though their own has the service",
     ["region", "reason"],
 )
-WAITS_ASKED = Counter(
+WAIT_POLLS = Counter(
     "rhubarbferry_waits_asked_total", "Questions for the expected wait of a region", ["region"]
 )
 REGION_BYTES = Counter(
--- a/rhubarbferry/frontend/objectives.py
+++ b/rhubarbferry/frontend/objectives.py
@@ -1,4 +1,4 @@
-"""What the end of a request means for its account's objective."""
+"""Classify finished requests for the service level objectives of their accounts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from rhubarbferry.reports.burn import EventKind
 from rhubarbferry.reports.events import judge_start
 
-FIRST_SERVER_FAULT = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 def objective_event(
@@ -19,13 +19,14 @@
     caller_gone: bool,
     objective: Objective,
 ) -> EventKind | None:
-    """Tell what a request counts as, or ``None`` when it says nothing about the cell.
+    """Return the event that a request counts as, or ``None`` if it does not count.
 
-    What the caller is to blame for does not count (a bad field, its own limit, a key used
-    before), nor does an answer from the record, since nothing was run for it.
+    Failures caused by the caller do not count: an invalid field, its own rate limit or a reused
+    key. Neither do recorded answers, because no request was run for them.
 
-    :param start_wait_s: until it last went to a runner; ``None`` when it never did.
-    :param waited_s: until its end.
+    :param start_wait_s: seconds from arrival until the request was last sent to a runner;
+        ``None`` if it never was.
+    :param waited_s: seconds from arrival until the end of the request.
     """
     match outcome:
         case Outcome.DONE if start_wait_s is not None:
@@ -33,11 +34,11 @@
         case Outcome.UNKNOWN if start_wait_s is not None:
             return EventKind.UNKNOWN
         case Outcome.NOT_RUN if caller_gone:
-            # A caller that gives up has waited for nothing. Left out, an overload that makes
-            # all callers give up would look like a cell that does well.
+            # A request that its caller cancelled counts as late if it waited too long. Otherwise an
+            # overload in which all callers cancel would look like a healthy cell.
             late = judge_start(waited_s, objective) is EventKind.LATE
             return EventKind.LATE if late else None
-        case Outcome.NOT_RUN if status >= FIRST_SERVER_FAULT:
+        case Outcome.NOT_RUN if status >= MIN_SERVER_ERROR_STATUS:
             return EventKind.REFUSED
         case _:
             return None
--- a/rhubarbferry/frontend/owners.py
+++ b/rhubarbferry/frontend/owners.py
@@ -1,4 +1,4 @@
-"""Call the owner of a partition, whoever that is by then."""
+"""Call the current owner of a partition, and follow changes of ownership."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from rhubarbferry.ports.ownership import OwnershipView
 from rhubarbferry.rpc import CallRejected, CallUnclear, PeerUnreachable, Pool
 
-LOOK_AGAIN_S = 0.05
+LOOKUP_INTERVAL_S = 0.05
 
 
 @frozen(kw_only=True, slots=True)
 class Replied:
-    """The owner answered ``reply``.
+    """The reply of the owner.
 
-    :param asked_at: when the call went out, on the monotonic clock.
-    :param epoch: the epoch of the owner that was asked.
-    :param unclear: whether an earlier try got no reply and may have had effect.
+    :param called_at: start of the call, on the monotonic clock.
+    :param epoch: epoch of the owner that was called.
+    :param unclear: whether an earlier call got no reply and may have taken effect.
     """
 
     reply: Any
-    asked_at: float
+    called_at: float
     epoch: int
     unclear: bool
 
 
 @frozen(kw_only=True, slots=True)
 class NoReply:
-    """No owner answered in time.
+    """No owner replied in time.
 
-    :param unclear: whether a try may have had effect.
-    :param store_lost: whether the store can't be reached, so that waiting was of no use.
+    :param unclear: whether a call may have taken effect.
+    :param store_lost: whether the calls ended early because the store is unreachable.
     """
 
     unclear: bool
@@ -43,10 +43,11 @@
 
 
 class Owners:
-    """Look up owners and call them; look again when one is not the owner any more.
+    """Look up and call the owners of partitions; repeat the lookup after a change of ownership.
 
-    :param patience_s: how long a partition may be without an owner that can be reached.
-    :param store_lost: tells whether this process has lost the store for longer than a lease.
+    :param owner_timeout_s: how long to wait for a partition to have a reachable owner.
+    :param store_lost: returns whether the store has been unreachable from this process for
+        longer than a lease.
     """
 
     def __init__(
@@ -55,13 +56,13 @@
         clock: Clock,
         ownership: OwnershipView,
         pool: Pool,
-        patience_s: float,
+        owner_timeout_s: float,
         store_lost: Callable[[], bool] = lambda: False,
     ) -> None:
         self._clock = clock
         self._ownership = ownership
         self._pool = pool
-        self._patience_s = patience_s
+        self._owner_timeout_s = owner_timeout_s
         self._store_lost = store_lost
 
     async def call(
@@ -71,19 +72,19 @@
         build: Callable[[int], Any],
         *,
         deadline: float,
-        moved: Callable[[Any], bool],
-        again: Callable[[], Any] | None = None,
+        not_owner: Callable[[Any], bool],
+        before_retry: Callable[[], Any] | None = None,
     ) -> Replied | NoReply:
-        """Call ``method`` until an owner answers for the partition.
+        """Call ``method`` until the partition's owner replies.
 
         :param build: returns the request for an epoch.
         :param deadline: on the monotonic clock.
-        :param moved: tells whether a reply means "not the owner".
-        :param again: awaited before a call is repeated that may have had effect.
+        :param not_owner: returns whether a reply means that the callee is not the owner.
+        :param before_retry: awaited before repeating a call that may have taken effect.
         """
         unclear = False
-        patience = self._clock.monotonic() + self._patience_s
-        while (now := self._clock.monotonic()) < min(deadline, patience):
+        owner_deadline = self._clock.monotonic() + self._owner_timeout_s
+        while (now := self._clock.monotonic()) < min(deadline, owner_deadline):
             owner = self._ownership.owner(partition)
             if owner is not None:
                 try:
@@ -94,37 +95,39 @@
                         timeout_s=deadline - now,
                         region=partition.region,
                     )
-                    if not moved(reply):
+                    if not not_owner(reply):
                         return Replied(
-                            reply=reply, asked_at=now, epoch=owner.epoch, unclear=unclear
+                            reply=reply, called_at=now, epoch=owner.epoch, unclear=unclear
                         )
-                    patience = self._clock.monotonic() + self._patience_s
+                    owner_deadline = self._clock.monotonic() + self._owner_timeout_s
                 except PeerUnreachable:
                     pass
                 except (CallUnclear, CallRejected):
-                    # Such a call may have waited in a queue for long; its successor gets the
-                    # whole time of a takeover, counted from now.
-                    patience = self._clock.monotonic() + self._patience_s
+                    # The call may have been queued at the owner for a long time. The wait for a
+                    # successor starts now, with the full time that a takeover may need.
+                    owner_deadline = self._clock.monotonic() + self._owner_timeout_s
                     unclear = True
-                    if again is not None:
-                        await again()
-            if self._hopeless(partition):
+                    if before_retry is not None:
+                        await before_retry()
+            if self._cannot_be_served(partition):
                 return NoReply(unclear=unclear, store_lost=True)
-            await self._clock.sleep(LOOK_AGAIN_S)
+            await self._clock.sleep(LOOKUP_INTERVAL_S)
         return NoReply(unclear=unclear)
 
-    def _hopeless(self, partition: PartitionId) -> bool:
-        """Tell whether nobody can answer for a partition before the store is back.
+    def _cannot_be_served(self, partition: PartitionId) -> bool:
+        """Return whether no owner can serve the partition until the store is reachable again.
 
-        Its owner was asked and is gone, or has not the records. A successor can't be named, and
-        could not record anything. Callers would wait for nothing up to their deadlines.
+        The known owner is gone or does not have the records. Without the store, no successor can
+        be elected or record anything, so callers would wait in vain until their deadlines.
         """
         return partition.kind is PartitionKind.KEY and self._store_lost()
 
-    async def tell(self, partition: PartitionId, method: str, req: Any, *, timeout_s: float) -> Any:
-        """Call the present owner once; ``None`` when there is none or it does not answer.
+    async def call_once(
+        self, partition: PartitionId, method: str, req: Any, *, timeout_s: float
+    ) -> Any:
+        """Call the current owner once; return ``None`` if there is none or it does not reply.
 
-        ``req.epoch`` is set to the owner's.
+        ``req.epoch`` is set to the epoch of the owner.
         """
         owner = self._ownership.owner(partition)
         if owner is None:
--- a/rhubarbferry/frontend/passing.py
+++ b/rhubarbferry/frontend/passing.py
@@ -1,8 +1,9 @@
-"""Pass requests on to the frontends of another region.
+"""Forward requests to the frontends of another region.
 
-The fence of a region's runners is made of the frontends of that region: a successor asks these,
-and no others, which grants are open. So a frontend opens no connection to runners elsewhere; it
-gives the whole request to a frontend there, which does all that the rules ask for.
+The frontends of a region fence its runners: a new owner collects the open grants from these
+frontends and no others. A frontend therefore never connects to runners of another region. It
+forwards the complete request to a frontend of that region, which obtains the grant and applies
+the retry rules.
 """
 
 from __future__ import annotations
@@ -13,20 +14,20 @@
 
 from rhubarbferry.frontend import problems
 from rhubarbferry.frontend.attempts import (
-    MAX_TRIES,
-    SMALL_ANSWER_BYTES,
+    MAX_ATTEMPTS,
+    MAX_BUFFERED_ANSWER_BYTES,
+    BufferedAnswer,
     RetryBudgets,
-    Streaming,
-    Whole,
+    StreamedAnswer,
 )
 from rhubarbferry.frontend.caller import Caller
-from rhubarbferry.frontend.headers import PASSED_TO, RequestSpec
+from rhubarbferry.frontend.headers import PASSED_TO_REGION, RequestSpec
 from rhubarbferry.frontend.problems import Outcome, Problem
 from rhubarbferry.frontend.runners import (
     Answer,
     AnswerBroken,
-    Broken,
     Exchange,
+    ExchangeBroken,
     NotSent,
     RunnerRefused,
     Runners,
@@ -34,22 +35,22 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.ownership import Member, OwnershipView, Role
 
-CONNECTIONS = 256
-CONNECT_S = 1.0
+MAX_CONNECTIONS_PER_FRONTEND = 256
+CONNECT_TIMEOUT_S = 1.0
 
 
 @frozen(kw_only=True, slots=True)
-class _Lost:
-    """Bytes went out to the other region and no whole answer came."""
+class _AnswerMissing:
+    """Bytes were sent to the other region, but no complete answer was received."""
 
     reason: str
     timeout: bool
 
 
-class RegionPass:
-    """Give requests to frontends of other regions.
+class RegionForwarder:
+    """Forward requests to frontends of other regions.
 
-    :param member_id: this process, which is never asked.
+    :param member_id: the member id of this process, which is never a target.
     """
 
     def __init__(
@@ -71,33 +72,33 @@
 
     async def run(
         self, *, spec: RequestSpec, caller: Caller, region: str, deadline: float
-    ) -> Whole | Streaming | Problem:
-        """Return the other frontend's answer, or the final word that there is none."""
-        self._budgets.begun(spec.account)
-        passed = evolve(
+    ) -> BufferedAnswer | StreamedAnswer | Problem:
+        """Return the other frontend's answer, or the final problem if there is none."""
+        self._budgets.add_request(spec.account)
+        forwarded = evolve(
             spec,
             target=f"/v1/services/{spec.service}{spec.target}",
-            headers=(*spec.headers, (PASSED_TO, region)),
+            headers=(*spec.headers, (PASSED_TO_REGION, region)),
         )
-        reason, gone_out = f"no frontend of region {region} can be reached", False
+        reason, bytes_sent = f"no frontend of region {region} can be reached", False
         for member in self._candidates(region):
             if not caller.replayable or self._clock.monotonic() >= deadline:
                 break
-            found = await self._ask(member, passed, caller, deadline)
-            match found:
-                case Whole() | Streaming():
-                    return found
+            result = await self._forward(member, forwarded, caller, deadline)
+            match result:
+                case BufferedAnswer() | StreamedAnswer():
+                    return result
                 case NotSent() | RunnerRefused():
-                    reason = found.reason
-                case _Lost(reason=reason, timeout=timeout):
-                    gone_out = True
-                    again = spec.idempotent and not timeout and not caller.gone.is_set()
-                    if not again or not self._budgets.take(spec.account):
+                    reason = result.reason
+                case _AnswerMissing(reason=reason, timeout=timeout):
+                    bytes_sent = True
+                    may_retry = spec.idempotent and not timeout and not caller.disconnected.is_set()
+                    if not may_retry or not self._budgets.take_retry(spec.account):
                         return problems.outcome_unknown(
                             reason, timeout=timeout, idempotent=spec.idempotent
                         )
-        problem = problems.refused(reason, problems.RETRY_SOON_S)
-        return problem.as_unknown() if gone_out else problem
+        problem = problems.refused(reason, problems.DEFAULT_RETRY_AFTER_S)
+        return problem.as_unknown() if bytes_sent else problem
 
     def _candidates(self, region: str) -> list[Member]:
         members = [
@@ -106,47 +107,47 @@
             if member.http_address and not member.draining and member.id != self._member_id
         ]
         self._rng.shuffle(members)
-        return members[:MAX_TRIES]
+        return members[:MAX_ATTEMPTS]
 
-    async def _ask(
+    async def _forward(
         self, member: Member, spec: RequestSpec, caller: Caller, deadline: float
-    ) -> Whole | Streaming | NotSent | RunnerRefused | _Lost:
+    ) -> BufferedAnswer | StreamedAnswer | NotSent | RunnerRefused | _AnswerMissing:
         exchange = Exchange(request_id=spec.request_id)
-        # When the connection is closed, the frontend there sees that its caller has gone, and
-        # goes on or gives up by the kind of the request.
-        caller.on_gone(lambda: exchange.give_up("the caller has gone"))
-        found = await self._runners.send(
+        # Closing the connection signals the disconnection to the other frontend, which then
+        # continues a non-idempotent request and cancels an idempotent one.
+        caller.on_disconnect(lambda: exchange.abort("the caller has gone"))
+        result = await self._runners.send(
             address=member.http_address,
             spec=spec,
-            body=caller.head if caller.whole else caller.body,
+            body=caller.body_prefix if caller.body_complete else caller.body,
             exchange=exchange,
-            usable_until=min(deadline, self._clock.monotonic() + CONNECT_S),
+            usable_until=min(deadline, self._clock.monotonic() + CONNECT_TIMEOUT_S),
             may_send=lambda: True,
             deadline=deadline,
-            connections=CONNECTIONS,
+            connections=MAX_CONNECTIONS_PER_FRONTEND,
         )
-        match found:
+        match result:
             case NotSent() | RunnerRefused():
-                return found
-            case Broken(reason=reason, timeout=timeout):
-                return _Lost(reason=reason, timeout=timeout)
+                return result
+            case ExchangeBroken(reason=reason, timeout=timeout):
+                return _AnswerMissing(reason=reason, timeout=timeout)
             case Answer():
-                return await self._read(member, exchange, found, deadline)
+                return await self._read(member, exchange, result, deadline)
 
     async def _read(
         self, member: Member, exchange: Exchange, answer: Answer, deadline: float
-    ) -> Whole | Streaming | _Lost:
+    ) -> BufferedAnswer | StreamedAnswer | _AnswerMissing:
         try:
             outcome = Outcome(answer.outcome)
         except ValueError:
             answer.close()
-            return _Lost(reason="the frontend there gave no outcome", timeout=False)
-        if answer.length is None or answer.length > SMALL_ANSWER_BYTES:
-            return Streaming(
+            return _AnswerMissing(reason="the frontend there gave no outcome", timeout=False)
+        if answer.length is None or answer.length > MAX_BUFFERED_ANSWER_BYTES:
+            return StreamedAnswer(
                 answer=answer,
                 address=member.http_address,
                 exchange=exchange,
-                settle=lambda whole: None,
+                on_end=lambda whole: None,
                 outcome=outcome,
             )
         try:
@@ -154,11 +155,11 @@
                 body = await answer.read()
         except AnswerBroken as exc:
             answer.close()
-            return _Lost(reason=str(exc), timeout=self._clock.monotonic() >= deadline)
-        return Whole(
+            return _AnswerMissing(reason=str(exc), timeout=self._clock.monotonic() >= deadline)
+        return BufferedAnswer(
             status=answer.status,
             headers=answer.headers,
             body=body,
-            announced=answer.announced,
+            content_length_header=answer.content_length_header,
             outcome=outcome,
         )
--- a/rhubarbferry/frontend/problems.py
+++ b/rhubarbferry/frontend/problems.py
@@ -1,4 +1,4 @@
-"""Answers that say what went wrong, as problem+json."""
+"""Error answers in the problem+json format."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 TYPE_PREFIX = "urn:rhubarbferry:problem:"
 CONTENT_TYPE = "application/problem+json"
-RETRY_SOON_S = 1.0
+DEFAULT_RETRY_AFTER_S = 1.0
 
 
 class Outcome(StrEnum):
-    """What is known about the execution of a request."""
+    """The known execution state of a request."""
 
     DONE = "done"
     NOT_RUN = "not-run"
@@ -26,15 +26,15 @@
 
 @frozen(kw_only=True, slots=True)
 class Problem:
-    """A final answer to a request that did not end well.
+    """The final answer to a request that failed.
 
     :param status: HTTP status.
     :param type: short name, see docs/reference/http.md.
     :param outcome: whether the request was run.
-    :param detail: what happened, in words.
+    :param detail: description of the failure.
     :param remedy: what the caller can do.
-    :param field: the header or JSON field at fault.
-    :param retry_after_s: when it makes sense to come back.
+    :param field: the invalid header or JSON field.
+    :param retry_after_s: seconds after which the caller may retry.
     """
 
     status: int
@@ -46,7 +46,7 @@
     retry_after_s: float | None = None
 
     def body(self) -> bytes:
-        """Return the JSON text."""
+        """Return the problem document as JSON."""
         doc: dict[str, object] = {
             "type": TYPE_PREFIX + self.type,
             "title": self.type.replace("-", " "),
@@ -63,18 +63,18 @@
 
     def headers(self) -> list[tuple[str, str]]:
         """Return the headers of the answer."""
-        found = [("content-type", CONTENT_TYPE), ("outcome", self.outcome.value)]
+        headers = [("content-type", CONTENT_TYPE), ("outcome", self.outcome.value)]
         if self.retry_after_s is not None:
-            found.append(("retry-after", str(max(1, math.ceil(self.retry_after_s)))))
-        return found
+            headers.append(("retry-after", str(max(1, math.ceil(self.retry_after_s)))))
+        return headers
 
     def as_unknown(self) -> Problem:
-        """Return the same problem for a request whose bytes have gone out before."""
+        """Return the same problem with an unknown outcome, for a request that may have run."""
         return evolve(self, outcome=Outcome.UNKNOWN)
 
 
 def bad_field(field: str, detail: str, remedy: str, *, status: int = 400) -> Problem:
-    """Return the problem of a header or JSON field that can't be taken."""
+    """Return the problem of an invalid header or JSON field."""
     return Problem(
         status=status,
         type="bad-field",
@@ -86,7 +86,7 @@
 
 
 def unknown_account(name: str) -> Problem:
-    """Return the problem of an account that the configuration does not have."""
+    """Return the problem of an account that is not in the configuration."""
     return Problem(
         status=403,
         type="unknown-account",
@@ -98,7 +98,7 @@
 
 
 def unknown_service(name: str) -> Problem:
-    """Return the problem of a service that the configuration does not have."""
+    """Return the problem of a service that is not in the configuration."""
     return Problem(
         status=404,
         type="unknown-service",
@@ -110,7 +110,7 @@
 
 
 def body_too_large(limit: int, *, outcome: Outcome = Outcome.NOT_RUN) -> Problem:
-    """Return the problem of a body over the limit."""
+    """Return the problem of a body that exceeds the size limit."""
     return Problem(
         status=413,
         type="body-too-large",
@@ -127,19 +127,19 @@
 
 
 def not_configured() -> Problem:
-    """Return the problem of a cell without configuration."""
+    """Return the problem of a cell without a configuration."""
     return Problem(
         status=503,
         type="not-configured",
         outcome=Outcome.NOT_RUN,
         detail="this process has no configuration yet",
         remedy="Come back shortly; operators: run `rhubarbferry apply`.",
-        retry_after_s=RETRY_SOON_S,
+        retry_after_s=DEFAULT_RETRY_AFTER_S,
     )
 
 
-def busy(detail: str, *, retry_after_s: float = RETRY_SOON_S) -> Problem:
-    """Return the problem of a process that has no room for one more request."""
+def busy(detail: str, *, retry_after_s: float = DEFAULT_RETRY_AFTER_S) -> Problem:
+    """Return the problem of a frontend that cannot accept another request now."""
     return Problem(
         status=503,
         type="busy",
@@ -151,7 +151,7 @@
 
 
 def refused(reason: str, retry_after_s: float, *, limited: bool = False) -> Problem:
-    """Return the problem of a request that the scheduler did not take."""
+    """Return the problem of a request that the scheduler refused."""
     return Problem(
         status=429 if limited else 503,
         type="limit-reached" if limited else "refused",
@@ -163,14 +163,14 @@
 
 
 def no_slot_in_time() -> Problem:
-    """Return the problem of a deadline that passed before a slot was free."""
+    """Return the problem of a deadline that passed before a slot became free."""
     return Problem(
         status=504,
         type="no-slot-in-time",
         outcome=Outcome.NOT_RUN,
         detail="the deadline passed before a runner had room",
         remedy="Send it again later, or with a longer Request-Timeout.",
-        retry_after_s=RETRY_SOON_S,
+        retry_after_s=DEFAULT_RETRY_AFTER_S,
     )
 
 
@@ -187,7 +187,7 @@
         outcome=Outcome.UNKNOWN,
         detail=detail,
         remedy=remedy,
-        retry_after_s=RETRY_SOON_S,
+        retry_after_s=DEFAULT_RETRY_AFTER_S,
     )
 
 
@@ -205,7 +205,7 @@
 
 
 def key_unknown() -> Problem:
-    """Return the problem of a key whose first request ended nobody knows how."""
+    """Return the problem of a key whose first request has an unknown outcome."""
     return Problem(
         status=409,
         type="key-outcome-unknown",
@@ -241,5 +241,5 @@
 
 
 def largest_timeout(cfg: RequestSettings) -> str:
-    """Return the remedy for a bad Request-Timeout."""
+    """Return the remedy for an invalid Request-Timeout."""
     return f"Give seconds above 0 and at most {cfg.max_timeout_s:g}, such as 2.5."
--- a/rhubarbferry/frontend/runners.py
+++ b/rhubarbferry/frontend/runners.py
@@ -1,11 +1,12 @@
-"""Connections to runners: one request each at a time, and probes that find silent ones.
+"""Connections to runners, and the probes that detect silent connections.
 
-Four endings of an attempt are kept apart, since what may follow depends on them:
+Each connection carries one request at a time. Sending a request has one of four results, which
+decide whether it may be retried:
 
-* :class:`NotSent`: no byte went out, so it was not run;
-* :class:`RunnerRefused`: the runner refused it before execution, so it was not run;
-* :class:`Broken`: bytes went out and no whole answer came, so nobody knows;
-* :class:`Answer`: the runner answers.
+* :class:`NotSent`: no bytes were sent, so the request was not run.
+* :class:`RunnerRefused`: the runner refused the request before execution, so it was not run.
+* :class:`ExchangeBroken`: bytes were sent but no valid answer was received; the outcome is unknown.
+* :class:`Answer`: the runner answered.
 """
 
 from __future__ import annotations
@@ -30,29 +31,30 @@
 STATUS_PATH = "/rhubarbferry/status"
 MAX_STATUS_BYTES = 1024 * 1024
 CHUNK_BYTES = 64 * 1024
-PROBES_PER_FRONTEND = 8
+MAX_PROBES_PER_RUNNER = 8
 KEEPALIVE_S = 15.0
-_SKIPPED = frozenset({"User-Agent", "Accept", "Accept-Encoding", "Content-Type"})
-# The server sets a date of its own; a second one would make the answer ambiguous.
-_ANSWER_OWN = frozenset({"request-id", "outcome", "content-length", "date"})
-_NO_BODY = frozenset({204, 304})
+_SKIPPED_AUTO_HEADERS = frozenset({"User-Agent", "Accept", "Accept-Encoding", "Content-Type"})
+# Headers that the frontend or its server sets; a second Date would make the answer ambiguous.
+_REPLACED_HEADERS = frozenset({"request-id", "outcome", "content-length", "date"})
+_NO_BODY_STATUSES = frozenset({204, 304})
 
 Body = bytes | Callable[[], AsyncIterator[bytes]]
 
 
 class _Expired(Exception):
-    """The grant ran out before the first byte."""
+    """The grant expired or was fenced before the first byte was sent."""
 
 
 class AnswerBroken(Exception):
-    """The answer ended early; what came of it must not be taken for the whole."""
+    """The answer ended early and must not be treated as complete."""
 
 
 @frozen(kw_only=True, slots=True)
 class NotSent:
-    """No byte went out.
+    """No bytes were sent.
 
-    :param unreachable: whether the runner is to blame; else the grant had run out.
+    :param unreachable: whether the runner was unreachable; otherwise the grant expired or the
+        deadline passed.
     """
 
     reason: str
@@ -61,16 +63,16 @@
 
 @frozen(kw_only=True, slots=True)
 class RunnerRefused:
-    """The runner refused before execution."""
+    """The runner refused the request before execution."""
 
     reason: str
 
 
 @frozen(kw_only=True, slots=True)
-class Broken:
-    """Bytes went out and no whole answer came.
+class ExchangeBroken:
+    """Bytes were sent but no valid answer was received.
 
-    :param timeout: whether the deadline was the reason.
+    :param timeout: whether the deadline passed.
     """
 
     reason: str
@@ -79,32 +81,33 @@
 
 @define(kw_only=True, slots=True)
 class Exchange:
-    """One request on one connection, as the probe looks at it.
+    """One request on one connection, as monitored by the probe.
 
-    :param waiting_since: since when we wait for the runner; ``None`` while we don't.
-    :param ended_seen: when a probe first said that it runs no more, with us still waiting.
-    :param given_up: why the exchange was given up, empty while it was not.
+    :param waiting_since: when the current wait for the runner began; ``None`` if there is none.
+    :param ended_reported_at: when a probe first reported, during that wait, that the request is not
+        running.
+    :param abort_reason: why the exchange was aborted; empty if it was not.
     """
 
     request_id: str
     waiting_since: float | None = None
-    ended_seen: float | None = None
-    given_up: str = ""
+    ended_reported_at: float | None = None
+    abort_reason: str = ""
     _timeout: asyncio.Timeout | None = None
 
-    def give_up(self, reason: str) -> None:
-        """End the wait for the runner, now and for the rest of the exchange."""
-        self.given_up = self.given_up or reason
+    def abort(self, reason: str) -> None:
+        """Abort the current wait and every later wait of this exchange."""
+        self.abort_reason = self.abort_reason or reason
         if self._timeout is not None:
             self._timeout.reschedule(asyncio.get_running_loop().time())
 
     @asynccontextmanager
-    async def waiting(self, clock: Clock, deadline: float) -> AsyncIterator[None]:
-        """Wait for the runner within, until the deadline or until given up.
+    async def bounded_wait(self, clock: Clock, deadline: float) -> AsyncIterator[None]:
+        """Bound a wait for the runner by the deadline and by :meth:`abort`.
 
-        :raises TimeoutError: in both cases; ``given_up`` tells which.
+        :raises TimeoutError: in both cases; ``abort_reason`` is set only after an abort.
         """
-        if self.given_up:
+        if self.abort_reason:
             raise TimeoutError
         self.waiting_since = clock.monotonic()
         try:
@@ -113,13 +116,13 @@
         finally:
             self._timeout = None
             self.waiting_since = None
-            self.ended_seen = None
+            self.ended_reported_at = None
 
 
 class Answer:
-    """A runner's answer; its request id is ours.
+    """A runner's answer, whose request id has been verified.
 
-    :param length: announced bytes of the body; ``None`` when it comes in chunks.
+    :ivar length: the body's length in bytes; ``None`` if it is chunked.
     """
 
     def __init__(
@@ -131,69 +134,69 @@
         self._deadline = deadline
         self.status = res.status
         self.outcome = res.headers.get(OUTCOME, "")
-        self.length = _length(res)
+        self.length = _body_length(res)
         self.headers = [
             (name, value)
-            for name, value in _decoded(res.raw_headers)
-            if name.lower() not in HOP_BY_HOP and name.lower() not in _ANSWER_OWN
+            for name, value in _decode_headers(res.raw_headers)
+            if name.lower() not in HOP_BY_HOP and name.lower() not in _REPLACED_HEADERS
         ]
 
     @property
-    def announced(self) -> str | None:
-        """The runner's ``Content-Length``, also of an answer without a body."""
+    def content_length_header(self) -> str | None:
+        """The runner's ``Content-Length``, which answers without a body can have too."""
         return self._res.headers.get("Content-Length")
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body.
+        """Yield the chunks of the body.
 
-        :raises AnswerBroken: when it ended early or was given up.
+        :raises AnswerBroken: when the body ended early or the exchange was aborted.
         """
         while True:
             try:
-                async with self._exchange.waiting(self._clock, self._deadline):
+                async with self._exchange.bounded_wait(self._clock, self._deadline):
                     chunk = await self._res.content.read(CHUNK_BYTES)
             except (aiohttp.ClientError, OSError) as exc:
                 metrics.TRUNCATED_ANSWERS.inc()
                 raise AnswerBroken(f"the answer ended early: {exc}") from exc
             except TimeoutError as exc:
-                raise AnswerBroken(self._exchange.given_up or "deadline") from exc
+                raise AnswerBroken(self._exchange.abort_reason or "deadline") from exc
             if not chunk:
                 return
             yield chunk
 
     async def read(self) -> bytes:
-        """Return the whole body; errors as in :meth:`chunks`."""
+        """Return the whole body; raise the same errors as :meth:`chunks`."""
         return b"".join([chunk async for chunk in self.chunks()])
 
     def close(self) -> None:
-        """Close the connection, unless the answer was read to its end."""
+        """Close the connection, unless the answer was read completely."""
         self._res.close()
 
 
 @define(kw_only=True)
-class _Watched:
-    """A request given up, whose slot stays taken until the runner says that it ended."""
+class _WatchedRequest:
+    """An aborted request, whose slot stays in use until the runner reports its end."""
 
     until: float
     on_end: Callable[[], None]
-    on_lapse: Callable[[], None]
-    seen: bool = False
+    on_timeout: Callable[[], None]
+    seen_running: bool = False
 
 
 @define(kw_only=True)
 class _Runner:
     address: str
-    by_id: dict[int, Exchange] = Factory(dict)
-    watched: dict[str, _Watched] = Factory(dict)
+    exchanges: dict[int, Exchange] = Factory(dict)
+    watched: dict[str, _WatchedRequest] = Factory(dict)
     connections: int
     session: aiohttp.ClientSession | None = None
     probe: asyncio.Task[None] | None = None
-    failing_since: float | None = None
+    probes_failing_since: float | None = None
 
 
 @frozen(kw_only=True, slots=True)
 class RunnerStatus:
-    """What a runner says of itself."""
+    """The status document of a runner."""
 
     running: frozenset[str]
     finished: frozenset[str]
@@ -201,53 +204,53 @@
 
 
 class Runners:
-    """Send requests to runners over kept connections, probing them meanwhile."""
+    """Send requests to runners over persistent connections and probe the runners meanwhile."""
 
     def __init__(self, *, clock: Clock, cfg: RequestSettings) -> None:
         self._clock = clock
         self._cfg = cfg
         self._runners: dict[str, _Runner] = {}
-        self._retired: set[asyncio.Task[None]] = set()
-        self._probes: aiohttp.ClientSession | None = None
+        self._session_closers: set[asyncio.Task[None]] = set()
+        self._probe_session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Make the session of the probes; needs a running loop."""
-        # A probe must not share the fate of the connections that it looks after.
-        self._probes = aiohttp.ClientSession(
-            connector=aiohttp.TCPConnector(force_close=True, limit_per_host=PROBES_PER_FRONTEND)
+        """Create the HTTP session for probes; requires a running event loop."""
+        # Probes use new connections, since existing ones may have failed silently.
+        self._probe_session = aiohttp.ClientSession(
+            connector=aiohttp.TCPConnector(force_close=True, limit_per_host=MAX_PROBES_PER_RUNNER)
         )
 
     def _open_session(self, connections: int) -> aiohttp.ClientSession:
         trace = aiohttp.TraceConfig()
-        trace.on_request_headers_sent.append(self._before_headers)
+        trace.on_request_headers_sent.append(self._check_before_headers)
         session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=connections, keepalive_timeout=KEEPALIVE_S),
             auto_decompress=False,
             cookie_jar=aiohttp.DummyCookieJar(),
-            skip_auto_headers=_SKIPPED,
+            skip_auto_headers=_SKIPPED_AUTO_HEADERS,
             trace_configs=[trace],
             timeout=aiohttp.ClientTimeout(total=None),
             read_bufsize=CHUNK_BYTES,
         )
-        # The client would repeat a GET by itself when a kept connection turns out closed. Whether
-        # a request may be repeated is for the caller's word and the retry budget to decide: a GET
-        # may be marked as not idempotent, and would then run twice.
+        # aiohttp repeats a GET on its own if a persistent connection turns out to be closed. A GET
+        # that the caller marked as not idempotent could then run twice. Retries are decided by
+        # the request's idempotency and the retry budget instead.
         session._retry_connection = False
         return session
 
-    def _retire(self, runner: _Runner, *, after_s: float) -> None:
-        """Open new connections from now on; those in use may end.
+    def _retire_session(self, runner: _Runner, *, after_s: float) -> None:
+        """Use new connections from now on, and let requests on the old ones finish.
 
-        What made one connection silent has mostly hit the idle ones beside it too, and each
-        would cost the next request on it the whole time until it is found out.
+        The fault that silenced one connection has usually hit the idle ones too. Each of them
+        would delay its next request by the full detection time.
 
-        :param after_s: when the old ones are closed, in use or not.
+        :param after_s: seconds after which the old connections are closed, even if in use.
         """
         session, runner.session = runner.session, None
         if session is not None:
             task = asyncio.create_task(self._close_later(session, after_s))
-            self._retired.add(task)
-            task.add_done_callback(self._retired.discard)
+            self._session_closers.add(task)
+            task.add_done_callback(self._session_closers.discard)
 
     async def _close_later(self, session: aiohttp.ClientSession, after_s: float) -> None:
         try:
@@ -260,17 +263,17 @@
         probes = [runner.probe for runner in self._runners.values() if runner.probe is not None]
         for task in probes:
             task.cancel()
-        for task in list(self._retired):
+        for task in list(self._session_closers):
             task.cancel()
-        await asyncio.gather(*probes, *self._retired, return_exceptions=True)
+        await asyncio.gather(*probes, *self._session_closers, return_exceptions=True)
         sessions = [runner.session for runner in self._runners.values()]
-        for session in (*sessions, self._probes):
+        for session in (*sessions, self._probe_session):
             if session is not None:
                 await session.close()
 
-    async def _before_headers(self, session: Any, ctx: SimpleNamespace, params: Any) -> None:
-        # The last look before bytes leave. A process that was stopped for a while after it got a
-        # grant wakes up here: without this look it would use a slot that may be another's by now.
+    async def _check_before_headers(self, session: Any, ctx: SimpleNamespace, params: Any) -> None:
+        # The last check before bytes are sent. If the process was suspended after it received the
+        # grant, the slot may have been granted to another request by the time it resumes.
         ctx.trace_request_ctx()
 
     async def send(
@@ -284,16 +287,17 @@
         may_send: Callable[[], bool],
         deadline: float,
         connections: int = 0,
-    ) -> NotSent | RunnerRefused | Broken | Answer:
-        """Send a request and return how it ended, or its answer with the body still to read.
+    ) -> NotSent | RunnerRefused | ExchangeBroken | Answer:
+        """Send a request; return its answer with an unread body, or why there is none.
 
-        :param usable_until: no byte goes out after this time on the monotonic clock.
-        :param may_send: asked right before the first byte.
-        :param connections: most connections to this address; 0 for the setting.
+        :param usable_until: end of the grant on the monotonic clock; the request is not sent
+            after it.
+        :param may_send: called immediately before the first byte is sent.
+        :param connections: maximum number of connections to this address; 0 selects the setting.
         """
         sent = False
 
-        def check() -> None:
+        def check_grant() -> None:
             nonlocal sent
             if self._clock.monotonic() >= usable_until or not may_send():
                 raise _Expired
@@ -301,22 +305,24 @@
 
         runner = self._track(address, exchange, connections)
         try:
-            async with exchange.waiting(self._clock, deadline):
-                res = await self._request(runner, spec, body, usable_until, deadline, check)
+            async with exchange.bounded_wait(self._clock, deadline):
+                res = await self._request(runner, spec, body, usable_until, deadline, check_grant)
         except _Expired:
             return NotSent(reason="the grant ran out", unreachable=False)
         except TimeoutError as exc:
             if not sent:
-                late = self._clock.monotonic() >= deadline
-                return NotSent(reason=f"no connection: {exc}", unreachable=not late)
-            return Broken(reason=exchange.given_up or "deadline", timeout=not exchange.given_up)
+                deadline_passed = self._clock.monotonic() >= deadline
+                return NotSent(reason=f"no connection: {exc}", unreachable=not deadline_passed)
+            return ExchangeBroken(
+                reason=exchange.abort_reason or "deadline", timeout=not exchange.abort_reason
+            )
         except (aiohttp.ClientError, OSError, ValueError) as exc:
             if not sent:
                 return NotSent(reason=f"no connection: {exc}", unreachable=True)
-            return Broken(reason=f"connection lost: {type(exc).__name__}")
+            return ExchangeBroken(reason=f"connection lost: {type(exc).__name__}")
         finally:
             self._untrack(runner, exchange)
-        return self._accept(res, spec, exchange, deadline)
+        return self._check_answer(res, spec, exchange, deadline)
 
     async def _request(
         self,
@@ -325,7 +331,7 @@
         body: Body,
         usable_until: float,
         deadline: float,
-        check: Callable[[], None],
+        check_grant: Callable[[], None],
     ) -> aiohttp.ClientResponse:
         if runner.session is None:
             runner.session = self._open_session(runner.connections)
@@ -339,7 +345,7 @@
             data=body if isinstance(body, bytes) else body(),
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(total=None, connect=left),
-            trace_request_ctx=check,
+            trace_request_ctx=check_grant,
         )
 
     def _headers(self, spec: RequestSpec, body: Body, deadline: float) -> list[tuple[str, str]]:
@@ -354,52 +360,55 @@
             found.append(("Content-Length", str(spec.content_length)))
         return found
 
-    def _accept(
+    def _check_answer(
         self,
         res: aiohttp.ClientResponse,
         spec: RequestSpec,
         exchange: Exchange,
         deadline: float,
-    ) -> RunnerRefused | Broken | Answer:
+    ) -> RunnerRefused | ExchangeBroken | Answer:
         if res.headers.get(REQUEST_ID) != spec.request_id:
-            # An answer that belongs to another request must not reach this caller. It shows as
-            # the counter; the connection is out of step, so it is not used again.
+            # An answer to another request must not reach this caller. The connection is out of
+            # sync, so it is closed.
             metrics.FOREIGN_ANSWERS.inc()
             res.close()
-            return Broken(reason="the runner answered another request")
+            return ExchangeBroken(reason="the runner answered another request")
         if res.status == 503 and res.headers.get(OUTCOME) == Outcome.NOT_RUN:
             res.close()
             return RunnerRefused(reason="it was refused before execution")
-        if not _framed(res, spec.method):
-            # Without a length or chunks a cut answer looks like a whole one.
+        if not _has_framing(res, spec.method):
+            # Without a length or chunks, a truncated answer looks like a complete one.
             res.close()
-            return Broken(reason="the runner's answer has neither a length nor chunks")
+            return ExchangeBroken(reason="the runner's answer has neither a length nor chunks")
         return Answer(res=res, exchange=exchange, clock=self._clock, deadline=deadline)
 
     @asynccontextmanager
     async def tracked(self, address: str, exchange: Exchange) -> AsyncIterator[None]:
-        """Keep the probe looking while the body of an answer is read."""
+        """Monitor an exchange with probes while the body of its answer is read."""
         runner = self._track(address, exchange)
         try:
             yield
         finally:
             self._untrack(runner, exchange)
 
-    def watch_end(
+    def watch_request(
         self,
         *,
         address: str,
         request_id: str,
         until: float,
         on_end: Callable[[], None],
-        on_lapse: Callable[[], None],
+        on_timeout: Callable[[], None],
     ) -> None:
-        """Call ``on_end`` once the runner says that a request has ended.
+        """Call ``on_end`` when the runner reports that an aborted request has ended.
 
-        :param until: when it must have ended; ``on_lapse`` is called then.
+        :param until: latest time at which the request can still run, on the monotonic clock.
+        :param on_timeout: called instead if ``until`` passes without such a report.
         """
         runner = self._runner(address)
-        runner.watched[request_id] = _Watched(until=until, on_end=on_end, on_lapse=on_lapse)
+        runner.watched[request_id] = _WatchedRequest(
+            until=until, on_end=on_end, on_timeout=on_timeout
+        )
         self._keep_probing(runner)
 
     def _runner(self, address: str, connections: int = 0) -> _Runner:
@@ -411,48 +420,50 @@
 
     def _track(self, address: str, exchange: Exchange, connections: int = 0) -> _Runner:
         runner = self._runner(address, connections)
-        runner.by_id[id(exchange)] = exchange
+        runner.exchanges[id(exchange)] = exchange
         self._keep_probing(runner)
         return runner
 
     def _untrack(self, runner: _Runner, exchange: Exchange) -> None:
-        runner.by_id.pop(id(exchange), None)
+        runner.exchanges.pop(id(exchange), None)
 
     def _keep_probing(self, runner: _Runner) -> None:
         if runner.probe is None:
             runner.probe = asyncio.create_task(self._probe_loop(runner))
 
     async def _probe_loop(self, runner: _Runner) -> None:
-        # One idle round before the task ends, so that steady traffic does not make a new task
-        # and a new wait for each request.
+        # The task ends only after a second idle round, so that steady traffic does not start a new
+        # task and a new interval for each request.
         idle = 0
         try:
             while idle < 2:
                 await self._clock.sleep(self._cfg.probe_s)
-                if not runner.by_id and not runner.watched:
+                if not runner.exchanges and not runner.watched:
                     idle += 1
                     continue
                 idle = 0
-                if runner.watched or self._overdue(runner):
-                    self._judge(runner, await self._status(runner.address))
+                if runner.watched or self._has_overdue_exchange(runner):
+                    self._apply_status(runner, await self._fetch_status(runner.address))
         finally:
             runner.probe = None
-            if not runner.by_id and not runner.watched:
+            if not runner.exchanges and not runner.watched:
                 self._runners.pop(runner.address, None)
-                self._retire(runner, after_s=0.0)
+                self._retire_session(runner, after_s=0.0)
 
-    def _overdue(self, runner: _Runner) -> bool:
-        edge = self._clock.monotonic() - self._cfg.probe_s / 2
+    def _has_overdue_exchange(self, runner: _Runner) -> bool:
+        overdue_since = self._clock.monotonic() - self._cfg.probe_s / 2
         return any(
-            exchange.waiting_since is not None and exchange.waiting_since <= edge
-            for exchange in runner.by_id.values()
+            exchange.waiting_since is not None and exchange.waiting_since <= overdue_since
+            for exchange in runner.exchanges.values()
         )
 
-    async def _status(self, address: str) -> RunnerStatus | None:
-        assert self._probes is not None
+    async def _fetch_status(self, address: str) -> RunnerStatus | None:
+        assert self._probe_session is not None
         timeout = aiohttp.ClientTimeout(total=self._cfg.probe_s)
         try:
-            async with self._probes.get(f"http://{address}{STATUS_PATH}", timeout=timeout) as res:
+            async with self._probe_session.get(
+                f"http://{address}{STATUS_PATH}", timeout=timeout
+            ) as res:
                 text = await res.content.read(MAX_STATUS_BYTES)
                 while chunk := await res.content.read(MAX_STATUS_BYTES):
                     text += chunk
@@ -468,80 +479,81 @@
             metrics.PROBES_FAILED.inc()
             return None
 
-    def _judge(self, runner: _Runner, status: RunnerStatus | None) -> None:
+    def _apply_status(self, runner: _Runner, status: RunnerStatus | None) -> None:
         now = self._clock.monotonic()
         if status is None:
-            if runner.failing_since is None:
-                runner.failing_since = now - self._cfg.probe_s
+            if runner.probes_failing_since is None:
+                runner.probes_failing_since = now - self._cfg.probe_s
         else:
-            runner.failing_since = None
-        for exchange in list(runner.by_id.values()):
-            self._judge_exchange(runner, exchange, status, now)
+            runner.probes_failing_since = None
+        for exchange in list(runner.exchanges.values()):
+            self._check_exchange(runner, exchange, status, now)
         for request_id, watched in list(runner.watched.items()):
-            self._judge_watched(runner, request_id, watched, status, now)
+            self._check_watched(runner, request_id, watched, status, now)
 
-    def _judge_exchange(
+    def _check_exchange(
         self, runner: _Runner, exchange: Exchange, status: RunnerStatus | None, now: float
     ) -> None:
         if exchange.waiting_since is None:
             return
         if status is None:
-            failing = now - (runner.failing_since or now)
+            failing = now - (runner.probes_failing_since or now)
             waited = now - exchange.waiting_since
             if min(failing, waited) >= self._cfg.silence_s - self._cfg.probe_s:
-                self._silent(runner, exchange, "the runner can't be reached any more")
+                self._abort_silent(runner, exchange, "the runner can't be reached any more")
             return
         if exchange.request_id in status.running:
-            exchange.ended_seen = None
+            exchange.ended_reported_at = None
             return
-        # The runner works on new connections and runs this request no more, or never got it. An
-        # answer may still be under way, so the connection gets some time before it is given up.
-        if exchange.ended_seen is None:
-            exchange.ended_seen = now
-        if now - exchange.ended_seen >= self._cfg.silence_s - 2 * self._cfg.probe_s:
-            self._silent(runner, exchange, "the connection to the runner went silent")
-
-    def _silent(self, runner: _Runner, exchange: Exchange, reason: str) -> None:
+        # The runner answers on new connections and is not running this request: it ended, or it
+        # never arrived. Its answer may still be in transit, so the exchange is aborted only after
+        # a delay.
+        if exchange.ended_reported_at is None:
+            exchange.ended_reported_at = now
+        if now - exchange.ended_reported_at >= self._cfg.silence_s - 2 * self._cfg.probe_s:
+            self._abort_silent(runner, exchange, "the connection to the runner went silent")
+
+    def _abort_silent(self, runner: _Runner, exchange: Exchange, reason: str) -> None:
         metrics.SILENT_RUNNER_CONNECTIONS.inc()
-        exchange.give_up(reason)
-        self._retire(runner, after_s=self._cfg.max_timeout_s)
+        exchange.abort(reason)
+        self._retire_session(runner, after_s=self._cfg.max_timeout_s)
 
-    def _judge_watched(
+    def _check_watched(
         self,
         runner: _Runner,
         request_id: str,
-        watched: _Watched,
+        watched: _WatchedRequest,
         status: RunnerStatus | None,
         now: float,
     ) -> None:
         if status is not None:
             ended = request_id not in status.running and (
-                watched.seen or request_id in status.finished
+                watched.seen_running or request_id in status.finished
             )
-            # "Never heard of it" proves nothing: its bytes may still lie unread in the runner's
-            # socket and be run later. Such a slot stays taken until the request must have ended.
+            # A request that the runner does not list may still be unread in the runner's socket
+            # buffer and run later. Its slot stays in use until the request can no longer run.
             if ended:
                 del runner.watched[request_id]
                 watched.on_end()
                 return
-            watched.seen = watched.seen or request_id in status.running
+            watched.seen_running = watched.seen_running or request_id in status.running
         if now >= watched.until:
             del runner.watched[request_id]
-            watched.on_lapse()
+            watched.on_timeout()
 
 
-def _decoded(raw: tuple[tuple[bytes, bytes], ...]) -> list[tuple[str, str]]:
+def _decode_headers(raw: tuple[tuple[bytes, bytes], ...]) -> list[tuple[str, str]]:
     return [(name.decode("latin-1"), value.decode("latin-1")) for name, value in raw]
 
 
-def _length(res: aiohttp.ClientResponse) -> int | None:
-    if res.method == "HEAD" or res.status in _NO_BODY:
+def _body_length(res: aiohttp.ClientResponse) -> int | None:
+    if res.method == "HEAD" or res.status in _NO_BODY_STATUSES:
         return 0
     return res.content_length
 
 
-def _framed(res: aiohttp.ClientResponse, method: str) -> bool:
-    if method == "HEAD" or res.status in _NO_BODY:
+def _has_framing(res: aiohttp.ClientResponse, method: str) -> bool:
+    if method == "HEAD" or res.status in _NO_BODY_STATUSES:
         return True
     chunked = "chunked" in res.headers.get("Transfer-Encoding", "").lower()
     return chunked or res.content_length is not None
--- a/tests/frontend/conftest.py
+++ b/tests/frontend/conftest.py
@@ -5,30 +5,30 @@
 
 import attrs
 import pytest
-from frontend_stage import CFG, Stage, build_stage
+from frontend_harness import CFG, FrontendHarness, build_harness
 
 from rhubarbferry.rpc import Server
 
 
 @pytest.fixture
-async def make_stage() -> AsyncIterator[Callable[..., Awaitable[Stage]]]:
-    built: list[tuple[Stage, Server]] = []
+async def make_harness() -> AsyncIterator[Callable[..., Awaitable[FrontendHarness]]]:
+    started: list[tuple[FrontendHarness, Server]] = []
 
-    async def make(region: str = "a", **requests: Any) -> Stage:
+    async def make(region: str = "a", **requests: Any) -> FrontendHarness:
         cfg = attrs.evolve(
             CFG,
             process=attrs.evolve(CFG.process, region=region),
             requests=attrs.evolve(CFG.requests, **requests),
         )
-        built.append(await build_stage(cfg))
-        return built[-1][0]
+        started.append(await build_harness(cfg))
+        return started[-1][0]
 
     yield make
-    for stage, rpc in built:
-        await stage.close()
+    for harness, rpc in started:
+        await harness.close()
         await rpc.close()
 
 
 @pytest.fixture
-async def stage(make_stage) -> Stage:
-    return await make_stage()
+async def harness(make_harness) -> FrontendHarness:
+    return await make_harness()
--- a/tests/frontend/frontend_stage.py
+++ b/tests/frontend/frontend_harness.py
@@ -1,4 +1,4 @@
-"""A frontend in this process, with a scheduler played from tables and real runner stand-ins."""
+"""Run a frontend in the test process, with a fake scheduler and test runners."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from rhubarbferry.rpc.services import GUARD, SCHEDULER
 from rhubarbferry.test.runner import Runner
 
-BOUND_S = 10.0
+TIMEOUT_S = 10.0
 PARTITION = "runner/a/s"
 
 CELL = Cell(
@@ -52,22 +52,22 @@
 )
 
 
-async def until(condition: Callable[[], Any]) -> None:
-    async with asyncio.timeout(BOUND_S):
-        while not condition():  # noqa: ASYNC110 - any condition, also of other tasks
+async def wait_until(condition: Callable[[], Any]) -> None:
+    async with asyncio.timeout(TIMEOUT_S):
+        while not condition():  # noqa: ASYNC110 - the condition can depend on other tasks
             await asyncio.sleep(0.005)
 
 
 @define
-class View:
-    """Ownership as the table of a test has it: partition -> (address, epoch)."""
+class FakeOwnership:
+    """An ownership view backed by a dict of partition to (address, epoch)."""
 
     owners: dict[str, tuple[str, int]] = Factory(dict)
     frontends: list[Member] = Factory(list)
 
     def owner(self, partition: PartitionId) -> Owner | None:
-        found = self.owners.get(str(partition))
-        return None if found is None else Owner(member_id="m", address=found[0], epoch=found[1])
+        result = self.owners.get(str(partition))
+        return None if result is None else Owner(member_id="m", address=result[0], epoch=result[1])
 
     def partitions(self, kind: PartitionKind, region: str | None = None) -> tuple[PartitionId, ...]:
         parsed = map(PartitionId.parse, self.owners)
@@ -80,7 +80,7 @@
 
 
 @define
-class CurrentCell:
+class FakeCellView:
     cell: Cell = CELL
 
     def current(self) -> Cell:
@@ -90,21 +90,22 @@
 @define
 class FakeNode:
     member_id: str = "frontend-1"
-    ownership: View = Factory(View)
-    cell: CurrentCell = Factory(CurrentCell)
+    ownership: FakeOwnership = Factory(FakeOwnership)
+    cell: FakeCellView = Factory(FakeCellView)
     config_text: str = ""
     store_lost: bool = False
 
 
 class FakeScheduler:
-    """Grants slots of its runners in turn; a test replaces what it wants otherwise.
+    """A scheduler that grants slots of the first runner that is not excluded.
 
-    ``rules`` maps a method to a function that answers first; ``None`` from it means "as usual".
+    ``overrides`` maps a method to a function that is called before the default handler. If it
+    returns ``None``, the default handler answers.
     """
 
     def __init__(self) -> None:
         self.runners: list[Runner] = []
-        self.rules: dict[str, Callable[[Any], Awaitable[Any]]] = {}
+        self.overrides: dict[str, Callable[[Any], Awaitable[Any]]] = {}
         self.calls: list[tuple[str, Any]] = []
         self.intents: dict[tuple[str, str], dict[str, Any]] = {}
         self.jobs: dict[str, t.JobSpec] = {}
@@ -119,9 +120,9 @@
     def _handler(self, name: str) -> Callable[[Any], Awaitable[Any]]:
         async def handle(req: Any) -> Any:
             self.calls.append((name, req))
-            rule = self.rules.get(name)
-            found = None if rule is None else await rule(req)
-            return await getattr(self, f"_{name}")(req) if found is None else found
+            override = self.overrides.get(name)
+            result = None if override is None else await override(req)
+            return await getattr(self, f"_{name}")(req) if result is None else result
 
         return handle
 
@@ -131,10 +132,10 @@
     def releases(self) -> list[t.Release]:
         return [release for req in self.called("release") for release in req.releases]
 
-    def ends(self) -> list[str]:
+    def release_ends(self) -> list[str]:
         return [t.GrantEnd(release.end).name for release in self.releases()]
 
-    def finished(self) -> list[t.FinishRequest]:
+    def finish_requests(self) -> list[t.FinishRequest]:
         return self.called("finish_request")
 
     async def _ping(self, req: t.PingRequest) -> t.PingReply:
@@ -186,12 +187,12 @@
         )
 
     async def _finish_request(self, req: t.FinishRequest) -> t.FinishReply:
-        place = (req.account, req.key)
+        key = (req.account, req.key)
         if req.outcome == t.RequestOutcome.NOT_RUN:
-            self.intents.pop(place, None)
-        elif place in self.intents:
-            self.intents[place]["outcome"] = req.outcome
-            self.intents[place]["answer"] = req.answer
+            self.intents.pop(key, None)
+        elif key in self.intents:
+            self.intents[key]["outcome"] = req.outcome
+            self.intents[key]["answer"] = req.answer
         return t.FinishReply(recorded=True, epoch=self.epoch)
 
     async def _submit_job(self, req: t.SubmitRequest) -> t.SubmitReply:
@@ -238,8 +239,8 @@
 
 
 @define
-class Stage:
-    """One frontend, one scheduler and its runners, and a client of the frontend."""
+class FrontendHarness:
+    """A frontend, its fake scheduler and runners, and an HTTP client."""
 
     cfg: Settings
     node: FakeNode
@@ -268,28 +269,28 @@
         account: str = "acme",
         **headers: str,
     ) -> tuple[int, Any, bytes]:
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
+        all_headers = {name.replace("_", "-"): value for name, value in headers.items()}
         if account:
-            named["Client-Account"] = account
+            all_headers["Client-Account"] = account
         url = f"http://{self.address}{path}"
-        async with asyncio.timeout(BOUND_S):
-            async with self.client.request(method, url, data=body, headers=named) as res:
+        async with asyncio.timeout(TIMEOUT_S):
+            async with self.client.request(method, url, data=body, headers=all_headers) as res:
                 return res.status, res.headers, await res.read()
 
-    async def raw(self, text: bytes, *, close: bool = False) -> bytes:
-        """Send bytes as they are and return what comes back until the connection closes."""
+    async def send_raw(self, text: bytes, *, close: bool = False) -> bytes:
+        """Send raw bytes and return everything received until the connection closes."""
         host, _, port = self.address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(text)
         if close:
             writer.write_eof()
-        async with asyncio.timeout(BOUND_S):
-            found = await reader.read()
+        async with asyncio.timeout(TIMEOUT_S):
+            result = await reader.read()
         writer.close()
-        return found
+        return result
 
     async def call_guard(self, method: str, req: Any) -> Any:
-        return await self.guards.call(self.guard_address, method, req, timeout_s=BOUND_S)
+        return await self.guards.call(self.guard_address, method, req, timeout_s=TIMEOUT_S)
 
     async def close(self) -> None:
         await self.client.close()
@@ -302,7 +303,7 @@
             await runner.close()
 
 
-async def build_stage(cfg: Settings) -> tuple[Stage, Server]:
+async def build_harness(cfg: Settings) -> tuple[FrontendHarness, Server]:
     clock = SystemClock()
     scheduler = FakeScheduler()
     await scheduler.server.start("127.0.0.1", 0)
@@ -317,7 +318,7 @@
     sock = bind_http("127.0.0.1", 0)
     http = make_http_server(frontend.app, drain_s=5.0)
     serving = asyncio.create_task(http.serve(sockets=[sock]))
-    stage = Stage(
+    harness = FrontendHarness(
         cfg=cfg,
         node=node,
         scheduler=scheduler,
@@ -330,5 +331,5 @@
         client=aiohttp.ClientSession(),
         guards=Pool(service=GUARD),
     )
-    await until(lambda: http.started)
-    return stage, rpc
+    await wait_until(lambda: http.started)
+    return harness, rpc
--- a/tests/frontend/test_gathering.py
+++ b/tests/frontend/test_gathering.py
@@ -1,4 +1,4 @@
-"""Answers that leave with one write."""
+"""Tests of the transport that combines the writes of an answer."""
 
 from __future__ import annotations
 
@@ -14,55 +14,61 @@
     """Record writes and closes in order."""
 
     def __init__(self) -> None:
-        self.seen: list[Any] = []
+        self.calls: list[Any] = []
 
     def write(self, data: bytes) -> None:
-        self.seen.append(data)
+        self.calls.append(data)
 
     def close(self) -> None:
-        self.seen.append("close")
+        self.calls.append("close")
 
     def abort(self) -> None:
-        self.seen.append("abort")
+        self.calls.append("abort")
 
 
 LARGE = b"x" * GATHERED_BYTES
 
 
 @pytest.mark.parametrize(
-    ("parts", "at_once"),
+    ("parts", "sent_at_once"),
     [
         ([b"head", b"body"], []),
         ([b"head", LARGE], [b"head" + LARGE]),
         ([LARGE, b"rest"], [LARGE]),
     ],
 )
-async def test_parts_of_one_turn_leave_together(parts: list[bytes], at_once: list[bytes]) -> None:
+async def test_writes_of_one_loop_iteration_are_sent_together(
+    parts: list[bytes], sent_at_once: list[bytes]
+) -> None:
     inner = FakeTransport()
     transport = GatheringTransport(inner)  # type: ignore[arg-type]
     for part in parts:
         transport.write(part)
-    assert inner.seen == at_once
+    assert inner.calls == sent_at_once
     await asyncio.sleep(0)
-    assert b"".join(inner.seen) == b"".join(parts)
+    assert b"".join(inner.calls) == b"".join(parts)
 
 
-async def test_an_answer_leaves_before_its_connection_closes() -> None:
-    """A caller asks for the connection to be closed after the answer. Were it closed first, the
-    caller would see a broken connection in place of its answer."""
+async def test_an_answer_is_sent_before_its_connection_closes() -> None:
+    """A caller requests that the connection is closed after the answer.
+
+    If the connection closed first, the caller would get an error instead of the answer.
+    """
     inner = FakeTransport()
     transport = GatheringTransport(inner)  # type: ignore[arg-type]
     transport.write(b"answer")
     transport.close()
-    assert inner.seen == [b"answer", "close"]
+    assert inner.calls == [b"answer", "close"]
+
 
+async def test_nothing_is_sent_after_an_abort() -> None:
+    """Aborting a connection discards buffered data.
 
-async def test_nothing_leaves_after_an_abort() -> None:
-    """The rest of an answer is dropped so that the caller sees that something is missing. Were it
-    sent all the same, a cut answer could look like a whole one."""
+    If the data were still sent, a truncated answer could look like a complete one.
+    """
     inner = FakeTransport()
     transport = GatheringTransport(inner)  # type: ignore[arg-type]
     transport.write(b"part")
     transport.abort()
     await asyncio.sleep(0)
-    assert inner.seen == ["abort"]
+    assert inner.calls == ["abort"]
--- a/tests/frontend/test_guard.py
+++ b/tests/frontend/test_guard.py
@@ -10,8 +10,8 @@
 
 
 @define
-class Hand:
-    """A clock that a test moves."""
+class ManualClock:
+    """A clock that advances only under control of the test."""
 
     now: float = 100.0
 
@@ -25,13 +25,13 @@
         self.now += seconds
 
 
-def make(clock: Hand) -> Guard:
+def make_guard(clock: ManualClock) -> Guard:
     guard = Guard(clock=clock, longest_promise_s=3.0)
     guard.member_id = "g"
     return guard
 
 
-def held(number: int, until: float = 160.0) -> HeldGrant:
+def make_grant(number: int, until: float = 160.0) -> HeldGrant:
     return HeldGrant(
         request_id=f"q{number}", grant_id=number, runner_id="r", account="acme", until=until
     )
@@ -51,14 +51,19 @@
     return await guard.handlers()["promise"](req)
 
 
-async def test_a_successor_is_told_of_all_grants_that_may_still_hold_a_slot() -> None:
-    clock = Hand()
-    guard = make(clock)
-    sent, waiting, ended, old = held(1), held(2), held(3), held(4, until=100.5)
+async def test_adoption_lists_all_grants_that_may_hold_a_slot() -> None:
+    clock = ManualClock()
+    guard = make_guard(clock)
+    sent, waiting, ended, old = (
+        make_grant(1),
+        make_grant(2),
+        make_grant(3),
+        make_grant(4, until=100.5),
+    )
     for grant in (sent, waiting, ended, old):
-        assert guard.open(PARTITION, 1, grant)
+        assert guard.add_grant(PARTITION, 1, grant)
     assert guard.may_send(PARTITION, 1, sent)
-    guard.close(PARTITION, ended)
+    guard.remove_grant(PARTITION, ended)
     clock.now = 101.0
     reply = await adopt(guard, 2)
     assert reply.accepted and reply.guard_id == "g"
@@ -66,39 +71,39 @@
     assert listed == {("q1", True, 59_000), ("q2", False, 59_000)}
 
 
-async def test_after_adoption_nothing_of_an_earlier_epoch_is_used() -> None:
-    """An owner that was frozen past its lease wakes up with grants on their way.
+async def test_adoption_fences_earlier_epochs() -> None:
+    """An owner that was suspended past its lease resumes while its grants are in transit.
 
-    The successor has been told what is open here; a grant that it was not told of is refused,
-    and one that it was told of but which has not gone out stays here.
+    The successor received the list of open grants at adoption. A grant that was not on the list
+    is rejected, and a listed one that was not sent yet can no longer be sent.
     """
-    guard = make(Hand())
-    known = held(1)
-    guard.open(PARTITION, 1, known)
+    guard = make_guard(ManualClock())
+    known = make_grant(1)
+    guard.add_grant(PARTITION, 1, known)
     await adopt(guard, 2)
-    assert not guard.open(PARTITION, 1, held(2))
+    assert not guard.add_grant(PARTITION, 1, make_grant(2))
     assert not guard.may_send(PARTITION, 1, known)
-    assert guard.open(PARTITION, 4, held(3))
-    assert not guard.open(PARTITION, 3, held(4))
+    assert guard.add_grant(PARTITION, 4, make_grant(3))
+    assert not guard.add_grant(PARTITION, 3, make_grant(4))
 
 
 @pytest.mark.parametrize(("epoch", "accepted"), [(1, False), (2, True), (3, True)])
-async def test_epochs_do_not_go_back(epoch, accepted) -> None:
-    guard = make(Hand())
+async def test_epochs_never_decrease(epoch, accepted) -> None:
+    guard = make_guard(ManualClock())
     await adopt(guard, 2)
     reply = await adopt(guard, epoch)
     assert (reply.accepted, reply.highest_epoch) == (accepted, max(epoch, 2))
     assert reply.grants == []
 
 
-async def test_an_open_promise_keeps_successors_away() -> None:
-    """The owner is cut off from the store and goes on with promises of its guards.
+async def test_an_open_promise_blocks_adoption() -> None:
+    """An owner without access to the store keeps granting under promises from its guards.
 
-    A successor that the store has let in gets no acknowledgement before the promise is over, so
-    that the two never decide at the same time.
+    A successor that the store has elected is not adopted before the promise expires, so the two
+    owners never grant at the same time.
     """
-    clock = Hand()
-    guard = make(clock)
+    clock = ManualClock()
+    guard = make_guard(clock)
     assert (await promise(guard, 1)).given
     refused = await adopt(guard, 2)
     assert (
@@ -111,14 +116,15 @@
     assert not (await promise(guard, 1)).given
 
 
-async def test_a_promise_past_the_guards_own_limit_is_refused_and_never_shortened() -> None:
-    """The operators raise the length of promises, and the schedulers restart before this guard.
+async def test_a_promise_above_the_limit_is_refused_and_not_shortened() -> None:
+    """The promise duration is raised, and the schedulers restart before this guard.
 
-    The owner counts all that it has asked for. Given less, it would go on granting after this
-    guard has let a successor in, and two requests would get one slot.
+    The owner relies on the full duration that it requested. If the guard shortened the promise,
+    the owner would still grant slots after the guard had adopted a successor, and two requests
+    could get the same slot.
     """
-    clock = Hand()
-    guard = make(clock)
+    clock = ManualClock()
+    guard = make_guard(clock)
     refused = await promise(guard, 1, duration_ms=3001)
     assert (refused.given, refused.limit_ms) == (False, 3000)
     assert (await adopt(guard, 2)).promise_left_ms == 0
@@ -126,21 +132,21 @@
     assert (taken.given, taken.limit_ms) == (True, None)
 
 
-async def test_a_shorter_promise_does_not_cut_a_longer_one_short() -> None:
-    guard = make(Hand())
+async def test_a_shorter_promise_does_not_shorten_a_longer_one() -> None:
+    guard = make_guard(ManualClock())
     await promise(guard, 1, duration_ms=3000)
     await promise(guard, 1, duration_ms=1)
     assert (await adopt(guard, 2)).promise_left_ms == pytest.approx(3000, abs=1)
 
 
-async def test_a_closed_guard_set_gets_no_promise_any_more() -> None:
-    """The frontends of a region change, and an owner still counts by the old set.
+async def test_a_closed_guard_set_gives_no_promises() -> None:
+    """The frontends of a region change while an owner still uses the old guard set.
 
-    A majority of the old set and one of the new need not share a guard, so once the change has
-    begun the old set gives no promises, here not for partitions that come up later either.
+    A majority of the old set and a majority of the new set need not share a guard. The old set
+    therefore gives no promises once the change has begun, including for later partitions.
     """
-    clock = Hand()
-    guard = make(clock)
+    clock = ManualClock()
+    guard = make_guard(clock)
     await promise(guard, 1)
     clock.now += 1.0
     reply = await guard.handlers()["close_guard_set"](t.CloseGuardSetRequest(region="a", version=2))
@@ -154,7 +160,7 @@
             assert (await guard.handlers()["promise"](req)).given is given
 
 
-async def test_partitions_have_fences_of_their_own() -> None:
-    guard = make(Hand())
+async def test_partitions_are_fenced_independently() -> None:
+    guard = make_guard(ManualClock())
     await adopt(guard, 9)
-    assert guard.open("runner/a/other", 1, held(1))
+    assert guard.add_grant("runner/a/other", 1, make_grant(1))
--- a/tests/frontend/test_inputs.py
+++ b/tests/frontend/test_inputs.py
@@ -4,13 +4,13 @@
 
 import attrs
 import pytest
-from frontend_stage import until
+from frontend_harness import wait_until
 
 from rhubarbferry.core.cell import Cell
 
 
 @attrs.frozen
-class Bad:
+class BadRequest:
     name: str
     status: int
     field: str
@@ -21,54 +21,54 @@
 
 
 BAD_REQUESTS = [
-    Bad("no account", 400, "Client-Account", account=""),
-    Bad("odd account", 400, "Client-Account", account="../x"),
-    Bad("unknown account", 403, "Client-Account", account="nobody"),
-    Bad("unknown service", 404, "service", path="/v1/services/nothing/w"),
-    Bad("no service", 404, "path", path="/v1/services//w"),
-    Bad("idempotent", 400, "Idempotent", {"Idempotent": "maybe"}),
-    Bad("priority", 400, "Priority", {"Priority": "first"}),
-    Bad("timeout word", 400, "Request-Timeout", {"Request-Timeout": "soon"}),
-    Bad("timeout nan", 400, "Request-Timeout", {"Request-Timeout": "nan"}),
-    Bad("timeout inf", 400, "Request-Timeout", {"Request-Timeout": "inf"}),
-    Bad("timeout negative", 400, "Request-Timeout", {"Request-Timeout": "-1"}),
-    Bad("timeout zero", 400, "Request-Timeout", {"Request-Timeout": "0"}),
-    Bad("timeout long", 400, "Request-Timeout", {"Request-Timeout": "9"}),
-    Bad("key empty", 400, "Idempotency-Key", {"Idempotency-Key": ""}),
-    Bad("key long", 400, "Idempotency-Key", {"Idempotency-Key": "k" * 201}),
-    Bad("key with a space", 400, "Idempotency-Key", {"Idempotency-Key": "a b"}),
-    Bad("key not ascii", 400, "Idempotency-Key", {"Idempotency-Key": "ключ"}),
-    Bad("body too large", 413, "body", body=b"x" * (1024 * 1024 + 1)),
-    Bad("headers too large", 400, "headers", {"X-Long": "x" * 70_000}),
+    BadRequest("no account", 400, "Client-Account", account=""),
+    BadRequest("odd account", 400, "Client-Account", account="../x"),
+    BadRequest("unknown account", 403, "Client-Account", account="nobody"),
+    BadRequest("unknown service", 404, "service", path="/v1/services/nothing/w"),
+    BadRequest("no service", 404, "path", path="/v1/services//w"),
+    BadRequest("idempotent", 400, "Idempotent", {"Idempotent": "maybe"}),
+    BadRequest("priority", 400, "Priority", {"Priority": "first"}),
+    BadRequest("timeout word", 400, "Request-Timeout", {"Request-Timeout": "soon"}),
+    BadRequest("timeout nan", 400, "Request-Timeout", {"Request-Timeout": "nan"}),
+    BadRequest("timeout inf", 400, "Request-Timeout", {"Request-Timeout": "inf"}),
+    BadRequest("timeout negative", 400, "Request-Timeout", {"Request-Timeout": "-1"}),
+    BadRequest("timeout zero", 400, "Request-Timeout", {"Request-Timeout": "0"}),
+    BadRequest("timeout long", 400, "Request-Timeout", {"Request-Timeout": "9"}),
+    BadRequest("key empty", 400, "Idempotency-Key", {"Idempotency-Key": ""}),
+    BadRequest("key long", 400, "Idempotency-Key", {"Idempotency-Key": "k" * 201}),
+    BadRequest("key with a space", 400, "Idempotency-Key", {"Idempotency-Key": "a b"}),
+    BadRequest("key not ascii", 400, "Idempotency-Key", {"Idempotency-Key": "ключ"}),
+    BadRequest("body too large", 413, "body", body=b"x" * (1024 * 1024 + 1)),
+    BadRequest("headers too large", 400, "headers", {"X-Long": "x" * 70_000}),
 ]
 
 
 @pytest.mark.parametrize("bad", BAD_REQUESTS, ids=lambda bad: bad.name)
-async def test_bad_requests_get_a_problem_that_names_the_field(stage, bad) -> None:
-    runner = await stage.add_runner()
-    status, headers, body = await stage.request(
+async def test_invalid_requests_get_a_problem_that_names_the_field(harness, bad) -> None:
+    runner = await harness.add_runner()
+    status, headers, body = await harness.request(
         "PUT", bad.path, body=bad.body, account=bad.account, **bad.headers
     )
     assert (status, headers["Outcome"]) == (bad.status, "not-run")
     doc = json.loads(body)
     assert headers["Content-Type"] == "application/problem+json"
     assert doc["field"] == bad.field and doc["remedy"] and doc["outcome"] == "not-run"
-    assert runner.record == [] and stage.scheduler.calls == []
-    status, _, _ = await stage.request("GET")
+    assert runner.record == [] and harness.scheduler.calls == []
+    status, _, _ = await harness.request("GET")
     assert status == 200
 
 
-async def test_a_chunked_body_over_the_limit_is_refused(stage) -> None:
-    runner = await stage.add_runner()
+async def test_a_chunked_body_over_the_limit_is_refused(harness) -> None:
+    runner = await harness.add_runner()
 
     async def endless():
         for _ in range(40):
             yield b"x" * 65_536
 
-    status, headers, body = await stage.request("PUT", body=endless())
+    status, headers, body = await harness.request("PUT", body=endless())
     assert status == 413 and headers["Outcome"] in ("not-run", "unknown")
     assert json.loads(body)["field"] == "body"
-    await until(lambda: stage.frontend.room.requests == 0)
+    await wait_until(lambda: harness.frontend.limiter.requests == 0)
     assert runner.counts.executions == 0
 
 
@@ -88,18 +88,18 @@
 
 
 @pytest.mark.parametrize("text", RAW.values(), ids=RAW.keys())
-async def test_bytes_that_are_no_good_request_get_a_400(stage, text) -> None:
-    runner = await stage.add_runner()
-    answer = await stage.raw(text)
+async def test_malformed_requests_get_a_400(harness, text) -> None:
+    runner = await harness.add_runner()
+    answer = await harness.send_raw(text)
     assert answer.startswith(b"HTTP/1.1 400 ")
     assert b"application/problem+json" in answer and b'"field": ' in answer
     assert runner.record == []
 
 
-async def test_without_a_configuration_nothing_is_taken(stage) -> None:
-    stage.node.cell.cell = Cell()
+async def test_without_a_configuration_requests_are_refused(harness) -> None:
+    harness.node.cell.cell = Cell()
     for method, path in (("GET", "/v1/services/s/w"), ("POST", "/v1/jobs"), ("GET", "/v1/jobs")):
-        status, headers, _ = await stage.request(method, path)
+        status, headers, _ = await harness.request(method, path)
         assert (status, headers["Outcome"]) == (503, "not-run") and "Retry-After" in headers
 
 
@@ -153,9 +153,11 @@
 @pytest.mark.parametrize(
     ("change", "expected", "field"), BAD_JOBS, ids=lambda value: str(value)[:40]
 )
-async def test_bad_jobs_get_a_problem_that_names_the_field(stage, change, expected, field) -> None:
+async def test_invalid_jobs_get_a_problem_that_names_the_field(
+    harness, change, expected, field
+) -> None:
     text = change if isinstance(change, bytes) else json.dumps(GOOD_JOB | change).encode()
-    status, headers, body = await stage.request("POST", "/v1/jobs", body=text)
+    status, headers, body = await harness.request("POST", "/v1/jobs", body=text)
     assert (status, headers["Outcome"]) == (expected, "not-run")
     assert json.loads(body)["field"] == field
-    assert stage.scheduler.jobs == {}
+    assert harness.scheduler.jobs == {}
--- a/tests/frontend/test_objectives.py
+++ b/tests/frontend/test_objectives.py
@@ -26,7 +26,7 @@
         (Outcome.RUNNING, 409, None, 0.1, False, None),
     ],
 )
-def test_what_a_request_counts_as(
+def test_objective_event(
     outcome: Outcome,
     status: int,
     start_wait_s: float | None,
