--- a/tests/frontend/test_owners.py
+++ b/tests/frontend/test_owners.py
@@ -1,21 +1,21 @@
 from __future__ import annotations
 
 import pytest
-from frontend_stage import View
-from test_guard import Hand
+from frontend_harness import FakeOwnership
+from test_guard import ManualClock
 
 from rhubarbferry.core.partition import PartitionId
 from rhubarbferry.frontend.owners import NoReply, Owners, Replied
 from rhubarbferry.rpc import CallRejected, CallTimeout, CallUnclear, PeerSilent, PeerUnreachable
 
 PARTITION = PartitionId.parse("runner/a/s")
-MOVED, GOOD = "moved", "good"
+NOT_OWNER, OK_REPLY = "moved", "good"
 
 
-class Script:
-    """A pool that plays one step for each call: seconds it takes and how it ends."""
+class ScriptedPool:
+    """A pool that follows a script: the duration and the result of each call."""
 
-    def __init__(self, clock: Hand, steps: list) -> None:
+    def __init__(self, clock: ManualClock, steps: list) -> None:
         self.clock = clock
         self.steps = list(steps)
         self.sent: list[int] = []
@@ -29,15 +29,25 @@
         return end
 
 
-LOST = CallUnclear("lost")
-GONE = PeerUnreachable("gone")
+REPLY_LOST = CallUnclear("lost")
+UNREACHABLE = PeerUnreachable("gone")
 CASES = [
-    ("at once", [(0.0, GOOD)], True, False),
-    ("moved once", [(0.0, MOVED), (0.0, GOOD)], True, False),
-    ("moved after a long wait", [(20.0, MOVED), (0.0, GONE), (0.0, GOOD)], True, False),
-    ("killed after a long wait", [(20.0, LOST), (0.0, GONE), (0.0, GOOD)], True, True),
-    ("silent", [(3.0, PeerSilent("x")), (0.0, GOOD)], True, True),
-    ("rejected", [(0.0, CallRejected("x")), (0.0, GOOD)], True, True),
+    ("at once", [(0.0, OK_REPLY)], True, False),
+    ("moved once", [(0.0, NOT_OWNER), (0.0, OK_REPLY)], True, False),
+    (
+        "moved after a long wait",
+        [(20.0, NOT_OWNER), (0.0, UNREACHABLE), (0.0, OK_REPLY)],
+        True,
+        False,
+    ),
+    (
+        "killed after a long wait",
+        [(20.0, REPLY_LOST), (0.0, UNREACHABLE), (0.0, OK_REPLY)],
+        True,
+        True,
+    ),
+    ("silent", [(3.0, PeerSilent("x")), (0.0, OK_REPLY)], True, True),
+    ("rejected", [(0.0, CallRejected("x")), (0.0, OK_REPLY)], True, True),
     ("nobody", [], False, False),
     ("too late", [(40.0, CallTimeout("x"))], False, True),
 ]
@@ -46,55 +56,59 @@
 @pytest.mark.parametrize(
     ("steps", "replied", "unclear"), [case[1:] for case in CASES], ids=[case[0] for case in CASES]
 )
-async def test_an_owner_is_looked_for_within_the_deadline(steps, replied, unclear) -> None:
-    """The owner of a partition moves, dies, freezes or can't be reached during a call.
+async def test_the_owner_lookup_is_repeated_within_the_deadline(steps, replied, unclear) -> None:
+    """The owner of a partition changes, fails, stops answering or is unreachable during a call.
 
-    The caller's request goes on with the next owner while there is time, however long it had
-    waited before; without any owner it is refused well before its deadline.
+    The request is repeated with the next owner until the deadline, however long it has already
+    waited. If there is no owner at all, the call ends well before the deadline.
     """
-    clock = Hand()
-    pool = Script(clock, steps)
-    view = View(owners={str(PARTITION): ("address", 4)})
-    owners = Owners(clock=clock, ownership=view, pool=pool, patience_s=9.0)
+    clock = ManualClock()
+    pool = ScriptedPool(clock, steps)
+    view = FakeOwnership(owners={str(PARTITION): ("address", 4)})
+    owners = Owners(clock=clock, ownership=view, pool=pool, owner_timeout_s=9.0)
     repeated: list[int] = []
 
-    async def again() -> None:
+    async def before_retry() -> None:
         repeated.append(len(pool.sent))
 
     started = clock.now
-    found = await owners.call(
+    result = await owners.call(
         PARTITION,
         "grant",
         lambda epoch: epoch,
         deadline=started + 30.0,
-        moved=lambda reply: reply == MOVED,
-        again=again,
+        not_owner=lambda reply: reply == NOT_OWNER,
+        before_retry=before_retry,
     )
-    assert isinstance(found, Replied if replied else NoReply)
-    assert found.unclear is unclear and bool(repeated) is unclear
+    assert isinstance(result, Replied if replied else NoReply)
+    assert result.unclear is unclear and bool(repeated) is unclear
     assert set(pool.sent) == {4}
     if not replied and not steps:
         assert clock.now - started < 10.0
     if replied:
-        assert found.asked_at <= clock.now
+        assert result.called_at <= clock.now
 
 
-async def test_without_an_owner_nothing_is_sent() -> None:
-    clock = Hand()
-    pool = Script(clock, [])
-    owners = Owners(clock=clock, ownership=View(), pool=pool, patience_s=9.0)
-    found = await owners.call(
-        PARTITION, "grant", lambda epoch: epoch, deadline=clock.now + 30.0, moved=lambda _: False
+async def test_without_an_owner_no_call_is_sent() -> None:
+    clock = ManualClock()
+    pool = ScriptedPool(clock, [])
+    owners = Owners(clock=clock, ownership=FakeOwnership(), pool=pool, owner_timeout_s=9.0)
+    result = await owners.call(
+        PARTITION,
+        "grant",
+        lambda epoch: epoch,
+        deadline=clock.now + 30.0,
+        not_owner=lambda _: False,
     )
-    assert found == NoReply(unclear=False) and pool.sent == []
+    assert result == NoReply(unclear=False) and pool.sent == []
 
 
 KEYS = PartitionId.parse("key/a/0")
 LOST_CASES = [
     ("no owner", False, [], False),
-    ("owner gone", True, [(0.0, GONE)], False),
-    ("not the owner", True, [(0.0, MOVED)], False),
-    ("owner killed", True, [(0.2, LOST)], True),
+    ("owner gone", True, [(0.0, UNREACHABLE)], False),
+    ("not the owner", True, [(0.0, NOT_OWNER)], False),
+    ("owner killed", True, [(0.2, REPLY_LOST)], True),
 ]
 
 
@@ -103,70 +117,74 @@
     [case[1:] for case in LOST_CASES],
     ids=[case[0] for case in LOST_CASES],
 )
-async def test_an_hour_without_the_store_makes_no_caller_wait(owned, steps, unclear) -> None:
-    """The store is down for an hour, and the owner of some keys is gone or has not their records.
+async def test_calls_fail_at_once_while_the_store_is_down(owned, steps, unclear) -> None:
+    """The store is down for an hour, and the owner of some keys is gone or lacks their records.
 
-    Nobody can take over. A caller who waited for that would sit out the whole deadline for an
-    answer that is known from the start; asked at any time of the hour, it comes at once.
+    No other scheduler can take over without the store. Calls must fail at once at any time of the
+    hour instead of waiting until their deadline.
     """
-    clock = Hand()
-    view = View(owners={str(KEYS): ("address", 4)} if owned else {})
-    began = clock.now
-    while clock.now < began + 3600.0:
+    clock = ManualClock()
+    view = FakeOwnership(owners={str(KEYS): ("address", 4)} if owned else {})
+    started = clock.now
+    while clock.now < started + 3600.0:
         owners = Owners(
             clock=clock,
             ownership=view,
-            pool=Script(clock, steps),
-            patience_s=9.0,
+            pool=ScriptedPool(clock, steps),
+            owner_timeout_s=9.0,
             store_lost=lambda: True,
         )
-        asked_at = clock.now
-        found = await owners.call(
+        called_at = clock.now
+        result = await owners.call(
             KEYS,
             "begin_request",
             lambda epoch: epoch,
             deadline=clock.now + 30.0,
-            moved=lambda reply: reply == MOVED,
+            not_owner=lambda reply: reply == NOT_OWNER,
         )
-        assert found == NoReply(unclear=unclear, store_lost=True)
-        assert clock.now - asked_at < 0.3
-        clock.now = asked_at + 97.0
+        assert result == NoReply(unclear=unclear, store_lost=True)
+        assert clock.now - called_at < 0.3
+        clock.now = called_at + 97.0
 
 
-async def test_an_answer_counts_also_without_the_store() -> None:
-    """Only this host is cut off from the store; the owner of the keys has it and records."""
-    clock = Hand()
+async def test_a_reply_is_returned_while_the_store_is_lost() -> None:
+    """Only this host has lost the store; the owner of the keys can still record."""
+    clock = ManualClock()
     owners = Owners(
         clock=clock,
-        ownership=View(owners={str(KEYS): ("address", 4)}),
-        pool=Script(clock, [(0.0, GOOD)]),
-        patience_s=9.0,
+        ownership=FakeOwnership(owners={str(KEYS): ("address", 4)}),
+        pool=ScriptedPool(clock, [(0.0, OK_REPLY)]),
+        owner_timeout_s=9.0,
         store_lost=lambda: True,
     )
-    found = await owners.call(
-        KEYS, "begin_request", lambda epoch: epoch, deadline=clock.now + 30.0, moved=lambda _: False
+    result = await owners.call(
+        KEYS,
+        "begin_request",
+        lambda epoch: epoch,
+        deadline=clock.now + 30.0,
+        not_owner=lambda _: False,
     )
-    assert isinstance(found, Replied)
+    assert isinstance(result, Replied)
 
 
-async def test_owners_of_runners_are_looked_for_also_without_the_store() -> None:
-    """The store is down and the owner of the runners has to gather promises anew.
+async def test_runner_owner_lookup_is_repeated_while_the_store_is_lost() -> None:
+    """The store is down, and the owner of a runner partition has to renew its promises.
 
-    It needs no store for that, so the caller's request waits for it.
+    It does not need the store for that, so the request waits for the owner.
     """
-    clock = Hand()
+    clock = ManualClock()
     owners = Owners(
         clock=clock,
-        ownership=View(owners={str(PARTITION): ("address", 4)}),
-        pool=Script(clock, [(0.0, MOVED), (0.0, GOOD)]),
-        patience_s=9.0,
+        ownership=FakeOwnership(owners={str(PARTITION): ("address", 4)}),
+        pool=ScriptedPool(clock, [(0.0, NOT_OWNER), (0.0, OK_REPLY)]),
+        owner_timeout_s=9.0,
         store_lost=lambda: True,
     )
-    found = await owners.call(
+    result = await owners.call(
         PARTITION,
         "grant",
         lambda epoch: epoch,
         deadline=clock.now + 30.0,
-        moved=lambda reply: reply == MOVED,
+        not_owner=lambda reply: reply == NOT_OWNER,
     )
-    assert isinstance(found, Replied)
+    assert isinstance(result, Replied)
--- a/tests/frontend/test_passing.py
+++ b/tests/frontend/test_passing.py
@@ -4,8 +4,8 @@
 
 import aiohttp
 import pytest
-from frontend_stage import PARTITION, until
-from test_forward import head
+from frontend_harness import PARTITION, wait_until
+from test_forward import answer_head
 
 from rhubarbferry.frontend import metrics
 from rhubarbferry.ports.ownership import Member, Role
@@ -23,115 +23,115 @@
 
 
 @pytest.fixture
-async def regions(make_stage):
-    """Return the frontend of a region without runners, and that of the region that has them."""
-    here, there = await make_stage(region="b"), await make_stage()
-    here.node.ownership.owners[PARTITION] = there.node.ownership.owners[PARTITION]
-    here.node.ownership.frontends.append(member("there", there.address))
-    return here, there
+async def regions(make_harness):
+    """Return two frontends: one in a region without runners, one in the region with the runners."""
+    local, remote = await make_harness(region="b"), await make_harness()
+    local.node.ownership.owners[PARTITION] = remote.node.ownership.owners[PARTITION]
+    local.node.ownership.frontends.append(member("there", remote.address))
+    return local, remote
 
 
-async def test_requests_reach_runners_elsewhere_through_a_frontend_there(regions) -> None:
-    here, there = regions
-    runner = await there.add_runner()
+async def test_requests_reach_other_regions_through_their_frontends(regions) -> None:
+    local, remote = regions
+    runner = await remote.add_runner()
     before = metrics.REGION_BYTES.labels("out", "a")._value.get()
-    status, headers, body = await here.request("POST", body=b"x" * 1000, Idempotency_Key="k")
+    status, headers, body = await local.request("POST", body=b"x" * 1000, Idempotency_Key="k")
     assert (status, headers["Outcome"]) == (200, "done")
-    assert head(body)["request_id"] == headers["Request-Id"]
+    assert answer_head(body)["request_id"] == headers["Request-Id"]
     assert headers.getall("Idempotency-Key") == ["k"]
     assert runner.counts.executions == 1 and runner.record[0].key == "k"
     assert runner.record[0].path == "/work"
-    assert len(there.scheduler.called("grant")) == 1 and here.scheduler.calls == []
+    assert len(remote.scheduler.called("grant")) == 1 and local.scheduler.calls == []
     assert metrics.REGION_BYTES.labels("out", "a")._value.get() == before + 1000
-    again = await here.request("POST", body=b"x" * 1000, Idempotency_Key="k")
+    again = await local.request("POST", body=b"x" * 1000, Idempotency_Key="k")
     assert again[2] == body and runner.counts.executions == 1
     assert again[1].getall("Request-Id") == headers.getall("Request-Id")
     assert "Recorded-Request-Id" not in again[1]
 
 
-async def test_what_is_not_idempotent_gets_its_key_before_it_is_passed_on(regions) -> None:
-    here, there = regions
-    runner = await there.add_runner()
-    _, headers, _ = await here.request("POST", Answer_Bytes="200000")
+async def test_a_non_idempotent_request_gets_its_key_before_forwarding(regions) -> None:
+    local, remote = regions
+    runner = await remote.add_runner()
+    _, headers, _ = await local.request("POST", Answer_Bytes="200000")
     assert headers["Idempotency-Key"] == runner.record[0].key != ""
 
 
-async def test_problems_come_back_as_they_are(regions) -> None:
-    here, there = regions
-    runner = await there.add_runner()
+async def test_problems_are_returned_unchanged(regions) -> None:
+    local, remote = regions
+    runner = await remote.add_runner()
     runner.set_faults(hang_up=True)
-    status, headers, _ = await here.request("POST", Idempotency_Key="k")
+    status, headers, _ = await local.request("POST", Idempotency_Key="k")
     assert (status, headers["Outcome"]) == (502, "unknown")
-    status, headers, _ = await here.request("POST", Idempotency_Key="k")
+    status, headers, _ = await local.request("POST", Idempotency_Key="k")
     assert (status, headers["Outcome"]) == (409, "unknown")
 
 
-async def test_a_dead_frontend_elsewhere_is_passed_over(regions) -> None:
-    here, there = regions
-    await there.add_runner()
+async def test_unreachable_frontends_are_skipped(regions) -> None:
+    local, remote = regions
+    await remote.add_runner()
     for port in range(1, 4):
-        here.node.ownership.frontends.append(member(f"dead{port}", f"127.0.0.1:{port}"))
+        local.node.ownership.frontends.append(member(f"dead{port}", f"127.0.0.1:{port}"))
     for _ in range(3):
-        status, headers, _ = await here.request("POST")
+        status, headers, _ = await local.request("POST")
         assert (status, headers["Outcome"]) == (200, "done")
 
 
-async def test_a_request_is_passed_on_once_at_most(regions) -> None:
-    """Two regions see the table of partitions differently and each points at the other.
+async def test_a_request_is_forwarded_at_most_once(regions) -> None:
+    """The ownership tables of two regions differ, and each region selects the other.
 
-    The caller is told at once, instead of the request going to and fro.
+    The request is refused at once instead of being forwarded back and forth.
     """
-    here, there = regions
-    del there.node.ownership.owners[PARTITION]
-    there.node.ownership.owners["runner/b/s"] = ("127.0.0.1:1", 1)
-    there.node.ownership.frontends.append(
+    local, remote = regions
+    del remote.node.ownership.owners[PARTITION]
+    remote.node.ownership.owners["runner/b/s"] = ("127.0.0.1:1", 1)
+    remote.node.ownership.frontends.append(
         Member(
             id="here",
             role=Role.FRONTEND,
             address="",
-            http_address=here.address,
+            http_address=local.address,
             region="b",
             failure_domain="x",
         )
     )
-    status, headers, _ = await here.request("GET")
+    status, headers, _ = await local.request("GET")
     assert (status, headers["Outcome"]) == (503, "not-run")
 
 
 @pytest.mark.parametrize("answer", [{"Answer_Bytes": "500000"}, {"Answer_Chunked": "true"}])
-async def test_an_answer_cut_elsewhere_is_cut_here(regions, answer) -> None:
+async def test_a_truncated_answer_stays_truncated(regions, answer) -> None:
     """A runner in another region breaks off a long answer.
 
-    The break travels through both frontends to the caller.
+    Both frontends must pass the truncation on, so that the caller detects it.
     """
-    here, there = regions
-    runner = await there.add_runner()
+    local, remote = regions
+    runner = await remote.add_runner()
     runner.set_faults(truncate=True)
     with pytest.raises(aiohttp.ClientPayloadError):
-        await here.request("GET", **answer)
+        await local.request("GET", **answer)
 
 
-async def test_waiting_elsewhere_is_not_taken_for_silence(regions) -> None:
-    here, there = regions
-    await there.add_runner()
-    status, headers, _ = await here.request("GET", Work_Ms="1200")
+async def test_a_long_remote_request_is_not_treated_as_silent(regions) -> None:
+    local, remote = regions
+    await remote.add_runner()
+    status, headers, _ = await local.request("GET", Work_Ms="1200")
     assert (status, headers["Outcome"]) == (200, "done")
 
 
-async def test_a_caller_that_leaves_gives_up_its_place_elsewhere_too(regions) -> None:
-    """A caller goes away while its request waits for a slot in another region.
+async def test_a_disconnected_caller_leaves_the_remote_queue(regions) -> None:
+    """A caller disconnects while its request waits in the queue of another region.
 
-    Its place in the queue there goes to others.
+    The request is removed from that queue.
     """
-    here, there = regions
-    gate = asyncio.Event()
+    local, remote = regions
+    grant_allowed = asyncio.Event()
 
     async def wait(req) -> None:
-        await gate.wait()
-
-    there.scheduler.rules["grant"] = wait
-    asked = asyncio.create_task(here.request("GET"))
-    await until(lambda: there.scheduler.called("grant"))
-    asked.cancel()
-    await until(lambda: there.scheduler.called("abandon"))
-    gate.set()
+        await grant_allowed.wait()
+
+    remote.scheduler.overrides["grant"] = wait
+    request = asyncio.create_task(local.request("GET"))
+    await wait_until(lambda: remote.scheduler.called("grant"))
+    request.cancel()
+    await wait_until(lambda: remote.scheduler.called("abandon"))
+    grant_allowed.set()
--- a/tests/frontend/test_process.py
+++ b/tests/frontend/test_process.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 import pytest
-from frontend_stage import BOUND_S
+from frontend_harness import TIMEOUT_S
 
 ENTRY = "import sys; from rhubarbferry.management import main; sys.exit(main())"
 
@@ -18,15 +18,15 @@
 
 
 async def first_line(process: subprocess.Popen) -> dict:
-    async with asyncio.timeout(BOUND_S):
+    async with asyncio.timeout(TIMEOUT_S):
         return json.loads(await asyncio.to_thread(process.stdout.readline))
 
 
 @pytest.mark.processes
-async def test_a_frontend_starts_unconfigured_and_ends_in_order(tmp_path) -> None:
-    """A frontend is started in a new cell and taken out of service again.
+async def test_a_frontend_starts_unconfigured_and_stops_on_sigterm(tmp_path) -> None:
+    """A frontend is started in a cell without a configuration and stopped again.
 
-    It tells balancers that it is not ready, and callers when to come back; SIGTERM ends it with
+    /readyz answers 503, requests are refused with Retry-After, and SIGTERM ends the process with
     exit code 0.
     """
     store = spawn("-m", "rhubarbferry.test.store", "--port", "0")
@@ -49,7 +49,7 @@
                 assert (res.status, res.headers["Outcome"]) == (503, "not-run")
                 assert "Retry-After" in res.headers
         frontend.send_signal(signal.SIGTERM)
-        assert await asyncio.to_thread(frontend.wait, BOUND_S) == 0
+        assert await asyncio.to_thread(frontend.wait, TIMEOUT_S) == 0
     finally:
         for process in (frontend, store):
             if process is not None:
--- a/tests/frontend/test_runners.py
+++ b/tests/frontend/test_runners.py
@@ -3,10 +3,10 @@
 import asyncio
 
 import pytest
-from frontend_stage import BOUND_S, CFG
+from frontend_harness import CFG, TIMEOUT_S
 
 from rhubarbferry.frontend.headers import RequestSpec
-from rhubarbferry.frontend.runners import Answer, Broken, Exchange, NotSent, Runners
+from rhubarbferry.frontend.runners import Answer, Exchange, ExchangeBroken, NotSent, Runners
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.test.runner import Runner
 
@@ -25,15 +25,15 @@
 )
 
 
-class PausedClock(SystemClock):
+class SuspendedClock(SystemClock):
     ahead = 0.0
 
     def monotonic(self) -> float:
         return super().monotonic() + self.ahead
 
 
-class PausedRunners(Runners):
-    """The process is stopped for a while after it has looked whether the grant is usable."""
+class SuspendedRunners(Runners):
+    """Advance the clock by 5 s after the first check of the grant, as a suspended process would."""
 
     def _headers(self, *args):
         self._clock.ahead = 5.0
@@ -49,29 +49,29 @@
         exchange=Exchange(request_id=SPEC.request_id),
         usable_until=now + 0.9,
         may_send=lambda: True,
-        deadline=now + BOUND_S,
+        deadline=now + TIMEOUT_S,
     )
 
 
 @pytest.fixture
 async def runner():
-    made = Runner(id="r", service="s")
-    await made.start()
-    yield made
-    await made.close()
+    runner = Runner(id="r", service="s")
+    await runner.start()
+    yield runner
+    await runner.close()
 
 
-async def test_a_process_that_was_stopped_with_a_grant_does_not_use_it(runner) -> None:
-    """The process is stopped by its host between getting a grant and sending the request.
+async def test_a_resumed_process_does_not_use_an_expired_grant(runner) -> None:
+    """The process is suspended between receiving a grant and sending the request.
 
-    When it goes on, the slot may be another's. It sends nothing, and the caller's request is
-    taken to a runner under a new grant.
+    When it resumes, the slot may belong to another request. Nothing is sent, so that the request
+    can be repeated under a new grant.
     """
-    runners = PausedRunners(clock=PausedClock(), cfg=CFG.requests)
+    runners = SuspendedRunners(clock=SuspendedClock(), cfg=CFG.requests)
     await runners.start()
-    found = await send(runners, runner.address)
+    result = await send(runners, runner.address)
     await runners.close()
-    assert isinstance(found, NotSent) and not found.unreachable
+    assert isinstance(result, NotSent) and not result.unreachable
     assert runner.record == []
 
 
@@ -87,35 +87,35 @@
 
 ANSWERS = [
     (b"HTTP/1.1 200 OK\r\nRequest-Id: q1\r\nContent-Length: 2\r\n\r\nok", Answer),
-    (b"HTTP/1.1 200 OK\r\nRequest-Id: q1\r\n\r\nok", Broken),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Broken),
-    (b"HTTP/1.1 200 OK\r\nRequest-Id: q2\r\nContent-Length: 2\r\n\r\nok", Broken),
-    (b"HTTP/1.1 503 No\r\nOutcome: not-run\r\nContent-Length: 0\r\n\r\n", Broken),
-    (b"nonsense\r\n\r\n", Broken),
-    (b"", Broken),
+    (b"HTTP/1.1 200 OK\r\nRequest-Id: q1\r\n\r\nok", ExchangeBroken),
+    (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", ExchangeBroken),
+    (b"HTTP/1.1 200 OK\r\nRequest-Id: q2\r\nContent-Length: 2\r\n\r\nok", ExchangeBroken),
+    (b"HTTP/1.1 503 No\r\nOutcome: not-run\r\nContent-Length: 0\r\n\r\n", ExchangeBroken),
+    (b"nonsense\r\n\r\n", ExchangeBroken),
+    (b"", ExchangeBroken),
 ]
 
 
 @pytest.mark.parametrize(("text", "expected"), ANSWERS)
-async def test_only_answers_that_are_ours_and_can_be_told_whole_count(text, expected) -> None:
-    """A runner answers without saying for whom, without a length, or with nonsense.
+async def test_only_verified_and_complete_answers_are_accepted(text, expected) -> None:
+    """A runner answers without a request id, without a length, or with invalid HTTP.
 
-    Nobody can tell whether the request was run or whether the answer is whole, so it is dropped.
+    It is then unknown whether the request was run or the answer is complete, so it is dropped.
     """
     server, address = await serve_once(text)
     runners = Runners(clock=SystemClock(), cfg=CFG.requests)
     await runners.start()
-    found = await send(runners, address)
-    if isinstance(found, Answer):
-        assert await found.read() == b"ok"
+    result = await send(runners, address)
+    if isinstance(result, Answer):
+        assert await result.read() == b"ok"
     await runners.close()
     server.close()
-    assert isinstance(found, expected)
+    assert isinstance(result, expected)
 
 
-async def test_a_runner_that_is_not_there_has_been_sent_nothing() -> None:
+async def test_an_unreachable_runner_is_reported_as_not_sent() -> None:
     runners = Runners(clock=SystemClock(), cfg=CFG.requests)
     await runners.start()
-    found = await send(runners, "127.0.0.1:1")
+    result = await send(runners, "127.0.0.1:1")
     await runners.close()
-    assert isinstance(found, NotSent) and found.unreachable
+    assert isinstance(result, NotSent) and result.unreachable
