--- a/rhubarbferry/frontend/attempts.py
+++ b/rhubarbferry/frontend/attempts.py
@@ -34,6 +34,7 @@
 # breaks off can still be replaced by another runner's.
 MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
 MAX_ATTEMPTS = 5
+# A refusal whose reason contains one of these is caused by a limit of the account: HTTP 429.
 LIMIT_REASON_PHRASES = ("limit", "rate is", "of the account", "quota")
 RELEASE_ACCEPT_TIMEOUT_S = 1.0
 
@@ -282,7 +283,7 @@
                 answer=answer,
                 address=attempt.granted.runner_address,
                 exchange=attempt.exchange,
-                on_end=lambda whole: self._end_attempt(attempt, whole),
+                on_end=lambda complete: self._end_attempt(attempt, complete),
             )
         address = attempt.granted.runner_address
         try:
@@ -293,7 +294,7 @@
             self._release_unknown(attempt)
             timed_out = self._clock.monotonic() >= state.deadline
             return self._handle_broken(state, attempt, str(exc), timed_out)
-        self._end_attempt(attempt, whole=True)
+        self._end_attempt(attempt, complete=True)
         return BufferedAnswer(
             status=answer.status,
             headers=answer.headers,
@@ -344,8 +345,8 @@
             return None
         return problems.outcome_unknown(reason, timeout=timeout, idempotent=spec.idempotent)
 
-    def _end_attempt(self, attempt: Attempt, whole: bool) -> None:
-        if whole:
+    def _end_attempt(self, attempt: Attempt, complete: bool) -> None:
+        if complete:
             self._close(attempt, t.GrantEnd.DONE)
         else:
             self._release_unknown(attempt)
--- a/rhubarbferry/frontend/daemon.py
+++ b/rhubarbferry/frontend/daemon.py
@@ -15,16 +15,16 @@
 from rhubarbferry.conf.settings import Settings
 from rhubarbferry.frontend.app import Dispatch, Readiness, build_app
 from rhubarbferry.frontend.attempts import Attempts, RetryBudgets
+from rhubarbferry.frontend.background import Background
 from rhubarbferry.frontend.forward import Forwarder, RequestLimiter
 from rhubarbferry.frontend.grants import GrantClient
 from rhubarbferry.frontend.guard import Guard, ProcessView
 from rhubarbferry.frontend.intents import IntentClient
 from rhubarbferry.frontend.jobs import JobEndpoints
 from rhubarbferry.frontend.owners import Owners
-from rhubarbferry.frontend.passing import RegionForwarder
+from rhubarbferry.frontend.region_forwarding import RegionForwarder
 from rhubarbferry.frontend.runners import Runners
 from rhubarbferry.frontend.spill import Spill, spill_rules
-from rhubarbferry.frontend.tasks import Background
 from rhubarbferry.frontend.waits import ExpectedWaits
 from rhubarbferry.ports.clock import Clock, SystemClock
 from rhubarbferry.ports.ownership import CellView, OwnershipView, Role
@@ -32,7 +32,9 @@
 from rhubarbferry.rpc import Pool, Server, Timing
 from rhubarbferry.rpc.services import GUARD, SCHEDULER
 
+# How long a request waits for a reachable partition owner, in multiples of the lease duration.
 OWNER_TIMEOUT_LEASES = 3.0
+# Time between failing /readyz and closing the listening socket.
 READINESS_PROPAGATION_S = 0.5
 LISTEN_BACKLOG = 1024
 
--- a/rhubarbferry/frontend/forward.py
+++ b/rhubarbferry/frontend/forward.py
@@ -40,8 +40,8 @@
     IntentRecorded,
 )
 from rhubarbferry.frontend.objectives import objective_event
-from rhubarbferry.frontend.passing import RegionForwarder
 from rhubarbferry.frontend.problems import Outcome, Problem
+from rhubarbferry.frontend.region_forwarding import RegionForwarder
 from rhubarbferry.frontend.runners import AnswerBroken, Runners
 from rhubarbferry.frontend.spill import Spill
 from rhubarbferry.frontend.waits import WaitClass
@@ -55,6 +55,7 @@
 MS_PER_S = 1000
 MAX_FINISHED_IDS = 4096
 RECORDED_ID_HEADER = "recorded-request-id"
+# Reasons for a refusal after which another region may still serve the request in time.
 SPILLABLE_REFUSALS = frozenset(
     {RefusalReason.TOO_LATE.value, RefusalReason.QUEUE_FULL.value, NO_SCHEDULER_REASON}
 )
@@ -281,8 +282,8 @@
         self, req: _Request, result: BufferedAnswer | StreamedAnswer | Problem
     ) -> None:
         match result:
-            case BufferedAnswer() as whole:
-                await self._send_buffered(req, whole)
+            case BufferedAnswer() as buffered:
+                await self._send_buffered(req, buffered)
             case StreamedAnswer() as streaming:
                 await self._send_streamed(req, streaming, max_recorded_bytes=0)
             case Problem() as problem:
@@ -303,10 +304,10 @@
 
     async def _serve_non_idempotent(self, req: _Request) -> None:
         fingerprint = _fingerprint(req.spec, req.caller)
-        begun = await self._intents.begin(
+        intent = await self._intents.begin(
             cell=req.cell, spec=req.spec, fingerprint=fingerprint, deadline=req.deadline
         )
-        match begun:
+        match intent:
             case IntentNotRecorded(timed_out=True):
                 await self._send_problem(req, problems.no_slot_in_time())
             case IntentNotRecorded(reason=reason, retry_after_s=retry_after_s):
@@ -324,11 +325,11 @@
         answer: t.RecordedAnswer | None = None
         try:
             match await self._run(req):
-                case BufferedAnswer() as whole:
+                case BufferedAnswer() as buffered:
                     outcome = t.RequestOutcome.DONE
-                    answer = self._build_record(spec, whole)
+                    answer = self._build_record(spec, buffered)
                     await self._record_outcome(home, spec, outcome, answer)
-                    await self._send_buffered(req, whole)
+                    await self._send_buffered(req, buffered)
                 case StreamedAnswer() as streaming:
                     kept = self._cfg.requests.kept_answer_bytes
                     answer = await self._send_streamed(req, streaming, max_recorded_bytes=kept)
@@ -354,10 +355,10 @@
         task = self._intents.finish(home, spec, outcome, answer)
         await asyncio.wait({task}, timeout=self._cfg.requests.record_wait_s)
 
-    def _build_record(self, spec: RequestSpec, whole: BufferedAnswer) -> t.RecordedAnswer:
-        kept = len(whole.body) <= self._cfg.requests.kept_answer_bytes
+    def _build_record(self, spec: RequestSpec, buffered: BufferedAnswer) -> t.RecordedAnswer:
+        kept = len(buffered.body) <= self._cfg.requests.kept_answer_bytes
         return _recorded_answer(
-            spec, whole.status, whole.headers, whole.body if kept else b"", kept
+            spec, buffered.status, buffered.headers, buffered.body if kept else b"", kept
         )
 
     async def _answer_duplicate(self, req: _Request, reply: t.IntentReply) -> None:
@@ -377,29 +378,29 @@
             await self._send_problem(req, problems.answer_not_kept(answer.status if answer else 0))
             return
         headers = [(header.name, header.value) for header in answer.headers]
-        whole = BufferedAnswer(
+        buffered = BufferedAnswer(
             status=answer.status, headers=headers, body=answer.body, content_length_header=None
         )
-        await self._send_buffered(req, whole, request_id=answer.request_id)
+        await self._send_buffered(req, buffered, request_id=answer.request_id)
 
     async def _send_buffered(
-        self, req: _Request, whole: BufferedAnswer, *, request_id: str = ""
+        self, req: _Request, buffered: BufferedAnswer, *, request_id: str = ""
     ) -> None:
-        self._record_metrics(req, whole.outcome, whole.status, len(whole.body))
+        self._record_metrics(req, buffered.outcome, buffered.status, len(buffered.body))
         length = (
-            whole.content_length_header
-            if not whole.body and whole.content_length_header
-            else str(len(whole.body))
+            buffered.content_length_header
+            if not buffered.body and buffered.content_length_header
+            else str(len(buffered.body))
         )
-        headers = _answer_headers(req.spec, whole.headers, request_id, whole.outcome)
+        headers = _answer_headers(req.spec, buffered.headers, request_id, buffered.outcome)
         if req.forwarded and request_id:
             # The forwarding frontend only accepts an answer with the request id that it sent.
             headers = [item for item in headers if item[0] != "request-id"]
             headers.append(("request-id", req.spec.request_id))
             headers.append((RECORDED_ID_HEADER, request_id))
-        if whole.status not in (204, 304):
+        if buffered.status not in (204, 304):
             headers.append(("content-length", length))
-        await req.caller.answer(whole.status, headers, whole.body)
+        await req.caller.answer(buffered.status, headers, buffered.body)
 
     async def _send_streamed(
         self, req: _Request, streaming: StreamedAnswer, *, max_recorded_bytes: int
@@ -439,9 +440,9 @@
         streaming.on_end(True)
         await req.caller.send_chunk(b"", more=False)
         self._record_metrics(req, streaming.outcome, answer.status, size)
-        whole = size <= max_recorded_bytes
-        body = b"".join(kept) if whole else b""
-        return _recorded_answer(req.spec, answer.status, answer.headers, body, whole)
+        complete = size <= max_recorded_bytes
+        body = b"".join(kept) if complete else b""
+        return _recorded_answer(req.spec, answer.status, answer.headers, body, complete)
 
     async def _send_problem(self, req: _Request, problem: Problem) -> None:
         self._record_metrics(req, problem.outcome, problem.status, 0)
--- a/rhubarbferry/frontend/grants.py
+++ b/rhubarbferry/frontend/grants.py
@@ -10,9 +10,9 @@
 from rhubarbferry.core.cell import PriorityClass
 from rhubarbferry.core.partition import PartitionId
 from rhubarbferry.frontend import metrics
+from rhubarbferry.frontend.background import Background
 from rhubarbferry.frontend.headers import RequestSpec
 from rhubarbferry.frontend.owners import NoReply, Owners, Replied
-from rhubarbferry.frontend.tasks import Background
 from rhubarbferry.frontend.waits import ExpectedWaits, WaitClass
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.rpc.gen import ttypes as t
--- a/rhubarbferry/frontend/guard.py
+++ b/rhubarbferry/frontend/guard.py
@@ -84,7 +84,7 @@
         fence = self._fence(partition)
         if epoch < fence.state.highest_epoch:
             return False
-        # The epoch may be new to this guard: a majority of other guards can adopt an owner.
+        # A majority of other guards may have adopted this owner, so its epoch can be new here.
         fence.state.highest_epoch = epoch
         fence.grants[(grant.request_id, grant.grant_id)] = grant
         return True
--- a/rhubarbferry/frontend/intents.py
+++ b/rhubarbferry/frontend/intents.py
@@ -9,9 +9,9 @@
 from rhubarbferry.core.cell import Cell
 from rhubarbferry.core.partition import PartitionId, home_of
 from rhubarbferry.frontend import metrics
+from rhubarbferry.frontend.background import Background
 from rhubarbferry.frontend.headers import RequestSpec
 from rhubarbferry.frontend.owners import NoReply, Owners, Replied
-from rhubarbferry.frontend.tasks import Background
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.rpc.gen import ttypes as t
 
--- a/rhubarbferry/frontend/jobs.py
+++ b/rhubarbferry/frontend/jobs.py
@@ -17,7 +17,7 @@
 from rhubarbferry.frontend import problems
 from rhubarbferry.frontend.headers import NAME_PATTERN, new_id
 from rhubarbferry.frontend.intents import STORE_LOST_REASON
-from rhubarbferry.frontend.job_forms import parse_job
+from rhubarbferry.frontend.job_parsing import parse_job
 from rhubarbferry.frontend.owners import NoReply, Owners, Replied
 from rhubarbferry.frontend.problems import Outcome, Problem
 from rhubarbferry.ports.clock import Clock
--- a/rhubarbferry/frontend/owners.py
+++ b/rhubarbferry/frontend/owners.py
@@ -118,7 +118,7 @@
         """Return whether no owner can serve the partition until the store is reachable again.
 
         The known owner is gone or does not have the records. Without the store, no successor can
-        be elected or record anything, so callers would wait in vain until their deadlines.
+        claim the partition or record anything, so callers would wait in vain until their deadlines.
         """
         return partition.kind is PartitionKind.KEY and self._store_lost()
 
--- a/rhubarbferry/frontend/passing.py
+++ b/rhubarbferry/frontend/region_forwarding.py
@@ -147,7 +147,7 @@
                 answer=answer,
                 address=member.http_address,
                 exchange=exchange,
-                on_end=lambda whole: None,
+                on_end=lambda complete: None,
                 outcome=outcome,
             )
         try:
--- a/rhubarbferry/frontend/runners.py
+++ b/rhubarbferry/frontend/runners.py
@@ -350,15 +350,15 @@
 
     def _headers(self, spec: RequestSpec, body: Body, deadline: float) -> list[tuple[str, str]]:
         left = max(0.0, deadline - self._clock.monotonic())
-        found = list(spec.headers)
-        found.append(("Request-Id", spec.request_id))
-        found.append(("Client-Account", spec.account))
-        found.append(("Request-Timeout", f"{left:.3f}"))
+        headers = list(spec.headers)
+        headers.append(("Request-Id", spec.request_id))
+        headers.append(("Client-Account", spec.account))
+        headers.append(("Request-Timeout", f"{left:.3f}"))
         if spec.key:
-            found.append(("Idempotency-Key", spec.key))
+            headers.append(("Idempotency-Key", spec.key))
         if not isinstance(body, bytes) and spec.content_length is not None:
-            found.append(("Content-Length", str(spec.content_length)))
-        return found
+            headers.append(("Content-Length", str(spec.content_length)))
+        return headers
 
     def _check_answer(
         self,
--- a/rhubarbferry/frontend/waits.py
+++ b/rhubarbferry/frontend/waits.py
@@ -23,6 +23,7 @@
 
 MS_PER_S = 1000
 CALL_TIMEOUT_S = 0.5
+# Ages in multiples of the poll interval, after which waits and demand are dropped.
 MAX_WAIT_AGE_POLLS = 2.5
 MAX_DEMAND_AGE_POLLS = 3.0
 MAX_CLASSES = 64
--- a/tests/frontend/test_guard.py
+++ b/tests/frontend/test_guard.py
@@ -99,8 +99,8 @@
 async def test_an_open_promise_blocks_adoption() -> None:
     """An owner without access to the store keeps granting under promises from its guards.
 
-    A successor that the store has elected is not adopted before the promise expires, so the two
-    owners never grant at the same time.
+    A successor that has claimed the partition in the store is not adopted before the promise
+    expires, so the two owners never grant at the same time.
     """
     clock = ManualClock()
     guard = make_guard(clock)
--- a/tests/frontend/test_jobs.py
+++ b/tests/frontend/test_jobs.py
@@ -128,8 +128,8 @@
 async def test_without_store_and_owner_recorded_work_is_refused_at_once(harness) -> None:
     """The store is unreachable for longer than a lease, and the owner of the keys has failed.
 
-    Jobs and non-idempotent requests are refused at once as not run, because no new owner can be
-    elected without the store.
+    Jobs and non-idempotent requests are refused at once as not run, because no new owner can
+    claim the keys without the store.
     """
     harness.node.store_lost = True
     for name in ("key/a/0", "key/a/1"):
