--- a/rhubarbferry/frontend/attempts.py
+++ b/rhubarbferry/frontend/attempts.py
@@ -261,12 +261,12 @@
                 # FAILED reports a fault of this runner to the owner. The slot is free either way.
                 end = t.GrantEnd.FAILED if unreachable else t.GrantEnd.NOT_SENT
                 metrics.GRANTS_UNUSED.labels("unreachable" if unreachable else "expired").inc()
-                self._close(attempt, end)
+                self._close_grant(attempt, end)
                 if unreachable:
                     state.excluded.append(granted.runner_id)
                 return self._handle_not_sent(state, reason)
             case RunnerRefused(reason=reason):
-                self._close(attempt, t.GrantEnd.REFUSED_BY_RUNNER)
+                self._close_grant(attempt, t.GrantEnd.REFUSED_BY_RUNNER)
                 state.excluded.append(granted.runner_id)
                 return self._handle_not_sent(state, reason)
             case ExchangeBroken(reason=reason, timeout=timeout):
@@ -347,7 +347,7 @@
 
     def _end_attempt(self, attempt: Attempt, complete: bool) -> None:
         if complete:
-            self._close(attempt, t.GrantEnd.DONE)
+            self._close_grant(attempt, t.GrantEnd.DONE)
         else:
             self._release_unknown(attempt)
 
@@ -359,11 +359,11 @@
             address=attempt.granted.runner_address,
             request_id=attempt.held.request_id,
             until=attempt.held.until,
-            on_end=lambda: self._close(attempt, t.GrantEnd.DONE),
+            on_end=lambda: self._close_grant(attempt, t.GrantEnd.DONE),
             on_timeout=lambda: self._guard.remove_grant(partition, attempt.held),
         )
 
-    def _close(self, attempt: Attempt, end: t.GrantEnd) -> None:
+    def _close_grant(self, attempt: Attempt, end: t.GrantEnd) -> None:
         self._guard.remove_grant(str(attempt.granted.partition), attempt.held)
         self._release(attempt, end)
 
--- a/rhubarbferry/frontend/forward.py
+++ b/rhubarbferry/frontend/forward.py
@@ -227,7 +227,7 @@
             async with asyncio.timeout(req.deadline - self._clock.monotonic()):
                 await req.caller.read_body_prefix()
         except CallerGone:
-            metrics.CALLERS_GONE.inc()
+            metrics.CALLERS_DISCONNECTED.inc()
             await self._send_problem(req, problems.truncated_body())
             return
         except BodyTooLarge:
@@ -299,7 +299,7 @@
                 deadline=req.deadline,
             )
         except CallerGone:
-            metrics.CALLERS_GONE.inc()
+            metrics.CALLERS_DISCONNECTED.inc()
             return problems.busy("the caller has gone")
 
     async def _serve_non_idempotent(self, req: _Request) -> None:
@@ -367,7 +367,7 @@
                 retry_after_s = (reply.retry_after_ms or MS_PER_S) / MS_PER_S
                 await self._send_problem(req, problems.key_running(retry_after_s))
             case t.IntentVerdict.UNKNOWN:
-                await self._send_problem(req, problems.key_unknown())
+                await self._send_problem(req, problems.key_outcome_unknown())
             case t.IntentVerdict.MISMATCH:
                 await self._send_problem(req, problems.key_mismatch())
             case _:
--- a/rhubarbferry/frontend/grants.py
+++ b/rhubarbferry/frontend/grants.py
@@ -25,7 +25,7 @@
 MAX_RELEASES_PER_BATCH = 1000
 MAX_QUEUED_RELEASES = 100_000
 MAX_ABANDON_ATTEMPTS = 20
-DEFAULT_RETRY_MS = 1000
+DEFAULT_RETRY_AFTER_MS = 1000
 NO_SCHEDULER_REASON = "no scheduler decides for this service"
 
 
@@ -222,5 +222,5 @@
             # the end of the grant at the owner, however long the reply took.
             usable_until=called_at + ((reply.waited_ms or 0) + (reply.usable_ms or 0)) / MS_PER_S,
         )
-    retry_ms = DEFAULT_RETRY_MS if reply.retry_after_ms is None else reply.retry_after_ms
+    retry_ms = DEFAULT_RETRY_AFTER_MS if reply.retry_after_ms is None else reply.retry_after_ms
     return Refused(reason=reply.reason or "refused", retry_after_s=retry_ms / MS_PER_S)
--- a/rhubarbferry/frontend/headers.py
+++ b/rhubarbferry/frontend/headers.py
@@ -211,7 +211,7 @@
     except ValueError:
         seconds = math.nan
     if not 0 < seconds <= cfg.max_timeout_s:
-        remedy = problems.largest_timeout(cfg)
+        remedy = problems.timeout_remedy(cfg)
         raise _Bad(problems.bad_field(TIMEOUT, "not a usable time", remedy))
     return seconds
 
--- a/rhubarbferry/frontend/metrics.py
+++ b/rhubarbferry/frontend/metrics.py
@@ -35,7 +35,7 @@
 RELEASES_LOST = Counter(
     "rhubarbferry_releases_lost_total", "Releases that no owner took within the bound"
 )
-FOREIGN_ANSWERS = Counter(
+MISMATCHED_ANSWERS = Counter(
     "rhubarbferry_foreign_answers_total", "Answers with another request's id, dropped"
 )
 TRUNCATED_ANSWERS = Counter(
@@ -45,7 +45,9 @@
     "rhubarbferry_silent_runner_connections_total", "Connections to runners found silent"
 )
 PROBES_FAILED = Counter("rhubarbferry_runner_probes_failed_total", "Probes without an answer")
-CALLERS_GONE = Counter("rhubarbferry_callers_gone_total", "Callers that closed before the end")
+CALLERS_DISCONNECTED = Counter(
+    "rhubarbferry_callers_gone_total", "Callers that closed before the end"
+)
 RECORDS_LOST = Counter(
     "rhubarbferry_outcomes_unrecorded_total", "Outcomes of keys that could not be recorded"
 )
--- a/rhubarbferry/frontend/problems.py
+++ b/rhubarbferry/frontend/problems.py
@@ -204,7 +204,7 @@
     )
 
 
-def key_unknown() -> Problem:
+def key_outcome_unknown() -> Problem:
     """Return the problem of a key whose first request has an unknown outcome."""
     return Problem(
         status=409,
@@ -240,6 +240,6 @@
     )
 
 
-def largest_timeout(cfg: RequestSettings) -> str:
+def timeout_remedy(cfg: RequestSettings) -> str:
     """Return the remedy for an invalid Request-Timeout."""
     return f"Give seconds above 0 and at most {cfg.max_timeout_s:g}, such as 2.5."
--- a/rhubarbferry/frontend/runners.py
+++ b/rhubarbferry/frontend/runners.py
@@ -370,7 +370,7 @@
         if res.headers.get(REQUEST_ID) != spec.request_id:
             # An answer to another request must not reach this caller. The connection is out of
             # sync, so it is closed.
-            metrics.FOREIGN_ANSWERS.inc()
+            metrics.MISMATCHED_ANSWERS.inc()
             res.close()
             return ExchangeBroken(reason="the runner answered another request")
         if res.status == 503 and res.headers.get(OUTCOME) == Outcome.NOT_RUN:
--- a/tests/frontend/frontend_harness.py
+++ b/tests/frontend/frontend_harness.py
@@ -145,12 +145,12 @@
         excluded = req.excluded_runners or []
         for runner in self.runners:
             if runner.id not in excluded:
-                return self.granted(runner)
+                return self.grant_reply(runner)
         return t.GrantReply(
             verdict=t.GrantVerdict.REFUSED, epoch=self.epoch, reason="no runner", retry_after_ms=700
         )
 
-    def granted(self, runner: Runner, **changes: Any) -> t.GrantReply:
+    def grant_reply(self, runner: Runner, **changes: Any) -> t.GrantReply:
         fields = {
             "verdict": t.GrantVerdict.GRANTED,
             "epoch": self.epoch,
@@ -202,7 +202,7 @@
         self.jobs[req.job_id] = req.spec
         return t.SubmitReply(verdict=t.SubmitVerdict.ACCEPTED, epoch=1, job_id=req.job_id)
 
-    def record(self, job_id: str, phase: t.JobPhase) -> t.JobRecord:
+    def job_record(self, job_id: str, phase: t.JobPhase) -> t.JobRecord:
         return t.JobRecord(
             job_id=job_id,
             spec=self.jobs[job_id],
@@ -220,18 +220,18 @@
     async def _get_job(self, req: t.JobRequest) -> t.JobReply:
         if req.job_id not in self.jobs:
             return t.JobReply(verdict=t.JobVerdict.NO_SUCH_JOB, epoch=1)
-        job = self.record(req.job_id, t.JobPhase.WAITING)
+        job = self.job_record(req.job_id, t.JobPhase.WAITING)
         return t.JobReply(verdict=t.JobVerdict.FOUND, epoch=1, job=job, explanation=["no room"])
 
     async def _cancel_job(self, req: t.JobRequest) -> t.JobReply:
         if req.job_id not in self.jobs:
             return t.JobReply(verdict=t.JobVerdict.NO_SUCH_JOB, epoch=1)
-        job = self.record(req.job_id, t.JobPhase.CANCELLED)
+        job = self.job_record(req.job_id, t.JobPhase.CANCELLED)
         return t.JobReply(verdict=t.JobVerdict.FOUND, epoch=1, job=job)
 
     async def _list_jobs(self, req: t.JobListRequest) -> t.JobListReply:
         jobs = [
-            self.record(job_id, t.JobPhase.WAITING)
+            self.job_record(job_id, t.JobPhase.WAITING)
             for job_id, spec in self.jobs.items()
             if spec.account == req.account and job_id.startswith(f"a.{req.partition[-1]}.")
         ]
--- a/tests/frontend/test_forward.py
+++ b/tests/frontend/test_forward.py
@@ -111,16 +111,16 @@
 class Case:
     """A fault of the first runner and the expected answer.
 
-    ``idempotent`` and ``once`` are the status and outcome of an idempotent and of any other
-    request. ``*_runs`` are the executions started on the first and second runner.
+    ``idempotent`` and ``non_idempotent`` are the expected status and outcome by kind of request.
+    ``*_runs`` are the executions started on the first and second runner.
     """
 
     name: str
     faults: dict
     idempotent: tuple[int, str]
     idempotent_runs: tuple[int, int]
-    once: tuple[int, str]
-    once_runs: tuple[int, int]
+    non_idempotent: tuple[int, str]
+    non_idempotent_runs: tuple[int, int]
     release_ends: str
 
 
@@ -150,11 +150,11 @@
     status, headers, body = await harness.request(
         Idempotent="true" if idempotent else "false", body=b"b"
     )
-    assert (status, headers["Outcome"]) == (case.idempotent if idempotent else case.once)
+    assert (status, headers["Outcome"]) == (case.idempotent if idempotent else case.non_idempotent)
     if status == 200:
         assert answer_head(body)["request_id"] == headers["Request-Id"]
     runs = (first.counts.executions, second.counts.executions)
-    assert runs == (case.idempotent_runs if idempotent else case.once_runs)
+    assert runs == (case.idempotent_runs if idempotent else case.non_idempotent_runs)
     await wait_until(lambda: harness.scheduler.release_ends()[:1] == [case.release_ends])
     await wait_until(lambda: harness.guard.open_grant_count() == 0)
 
@@ -341,7 +341,7 @@
 
     async def grant_slowly(req: t.GrantRequest) -> t.GrantReply:
         await asyncio.sleep(0.15)
-        return harness.scheduler.granted(runner, waited_ms=150)
+        return harness.scheduler.grant_reply(runner, waited_ms=150)
 
     harness.scheduler.overrides["grant"] = grant_slowly
     status, _, _ = await harness.request("GET")
@@ -494,7 +494,7 @@
 
     async def grant(req: t.GrantRequest) -> t.GrantReply:
         await free_slots.acquire()
-        reply = harness.scheduler.granted(runner, waited_ms=5000)
+        reply = harness.scheduler.grant_reply(runner, waited_ms=5000)
         held.add(reply.grant_id)
         return reply
 
--- a/tests/frontend/test_objectives.py
+++ b/tests/frontend/test_objectives.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "status", "start_wait_s", "waited_s", "gone", "expected"),
+    ("outcome", "status", "start_wait_s", "waited_s", "caller_gone", "expected"),
     [
         (Outcome.DONE, 200, 0.1, 3.0, False, EventKind.GOOD),
         (Outcome.DONE, 404, 0.1, 3.0, False, EventKind.GOOD),
@@ -31,7 +31,7 @@
     status: int,
     start_wait_s: float | None,
     waited_s: float,
-    gone: bool,
+    caller_gone: bool,
     expected: EventKind | None,
 ) -> None:
     found = objective_event(
@@ -39,7 +39,7 @@
         status=status,
         start_wait_s=start_wait_s,
         waited_s=waited_s,
-        caller_gone=gone,
+        caller_gone=caller_gone,
         objective=Objective(wait_ms=1000),
     )
     assert found is expected
--- a/tests/frontend/test_region_forwarding.py
+++ b/tests/frontend/test_region_forwarding.py
@@ -43,10 +43,10 @@
     assert runner.record[0].path == "/work"
     assert len(remote.scheduler.called("grant")) == 1 and local.scheduler.calls == []
     assert metrics.REGION_BYTES.labels("out", "a")._value.get() == before + 1000
-    again = await local.request("POST", body=b"x" * 1000, Idempotency_Key="k")
-    assert again[2] == body and runner.counts.executions == 1
-    assert again[1].getall("Request-Id") == headers.getall("Request-Id")
-    assert "Recorded-Request-Id" not in again[1]
+    repeated = await local.request("POST", body=b"x" * 1000, Idempotency_Key="k")
+    assert repeated[2] == body and runner.counts.executions == 1
+    assert repeated[1].getall("Request-Id") == headers.getall("Request-Id")
+    assert "Recorded-Request-Id" not in repeated[1]
 
 
 async def test_a_non_idempotent_request_gets_its_key_before_forwarding(regions) -> None:
