--- a/rhubarbferry/cell/configuration.py
+++ b/rhubarbferry/cell/configuration.py
@@ -57,7 +57,7 @@
     async def run(self) -> None:
         """Watch the configuration until cancelled."""
         while True:
-            begun = self.clock.monotonic()
+            started_at = self.clock.monotonic()
             try:
                 version = await self._watcher.next(WATCH_WAIT_S)
             except StoreError as exc:
@@ -65,7 +65,9 @@
                 # The watch's connection may have been silent for long: check for missed changes.
                 self._watcher.compare_next()
                 # No further delay after a call that ran until its time limit.
-                await self.clock.sleep(max(0.0, begun + RETRY_INTERVAL_S - self.clock.monotonic()))
+                await self.clock.sleep(
+                    max(0.0, started_at + RETRY_INTERVAL_S - self.clock.monotonic())
+                )
             else:
                 if version is not None:
                     self._apply(version)
@@ -76,7 +78,7 @@
         # undo a change that clients have already seen in force.
         if self.routes is not None and item.mod_revision <= self.routes.revision:
             return
-        begun = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         routes = self.decode(item.value, item.mod_revision)
         if routes is None:
             self.log.emit("configuration.refused", revision=item.mod_revision)
@@ -91,5 +93,5 @@
             value_bytes=len(item.value),
             source=version.source,
             transfer_s=round(version.transfer_s, 3),
-            decode_s=round(self.clock.monotonic() - begun, 3),
+            decode_s=round(self.clock.monotonic() - started_at, 3),
         )
--- a/rhubarbferry/cell/detour.py
+++ b/rhubarbferry/cell/detour.py
@@ -128,19 +128,19 @@
         :param conclusive: returns whether a result needs no further attempt.
         :returns: the results received, up to and including the first conclusive one.
         """
-        first = asyncio.create_task(direct)
-        await asyncio.wait({first}, timeout=HEDGE_DELAY_S if self.reached() else 0.0)
-        if first.done() and conclusive(first.result()):
-            return [first.result()]
-        second = asyncio.create_task(self._call_peers(call, via_peer, conclusive, deadline))
+        direct_task = asyncio.create_task(direct)
+        await asyncio.wait({direct_task}, timeout=HEDGE_DELAY_S if self.reached() else 0.0)
+        if direct_task.done() and conclusive(direct_task.result()):
+            return [direct_task.result()]
+        peer_task = asyncio.create_task(self._call_peers(call, via_peer, conclusive, deadline))
         results: list[T] = []
-        pending: set[asyncio.Task[Any]] = {first, second}
+        pending: set[asyncio.Task[Any]] = {direct_task, peer_task}
         try:
             while pending:
                 done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
                 for task in done:
                     result = task.result()
-                    results += result if task is second else [result]
+                    results += result if task is peer_task else [result]
                 if any(conclusive(result) for result in results):
                     return results
         finally:
--- a/rhubarbferry/cell/inbox.py
+++ b/rhubarbferry/cell/inbox.py
@@ -74,12 +74,12 @@
         store = self.ctx.around.store
         # An earlier attempt may have received only one of the two listings.
         self._watcher.restart()
-        stored, found = await asyncio.gather(
+        stored, listing = await asyncio.gather(
             store.list(keys.STATES), self._watcher.next(WATCH_WAIT_S)
         )
-        assert isinstance(found, Listing)
+        assert isinstance(listing, Listing)
         states = {item.key.removeprefix(keys.STATES): item for item in stored.items}
-        await self._apply_listing(found, states)
+        await self._apply_listing(listing, states)
         self.loaded = True
 
     async def run(self) -> None:
--- a/rhubarbferry/cell/key_following.py
+++ b/rhubarbferry/cell/key_following.py
@@ -101,15 +101,15 @@
             return await self._compare(self._known_revision)
 
     async def _list(self) -> Version | None:
-        begun = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         listing = await self.store.list(self.key)
-        found = next((item for item in listing.items if item.key == self.key), None)
-        self._compared_at = begun
+        current = next((item for item in listing.items if item.key == self.key), None)
+        self._compared_at = started_at
         self._watch_after = max(self._watch_after, listing.revision)
-        return self._new_version(found, Source.LISTING, listing.transfer_s)
+        return self._new_version(current, Source.LISTING, listing.transfer_s)
 
     async def _compare(self, known_revision: int) -> Version | None:
-        begun = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         condition = Expect(key=self.key, revision=known_revision)
         try:
             result = await self.store.commit(Txn(expect=(condition,)))
@@ -118,16 +118,16 @@
                 "key.not_compared", key=self.key, known=known_revision, reason=str(exc)[:200]
             )
             return await self._list()
-        self._compared_at = begun
+        self._compared_at = started_at
         match result:
             case Committed(revision=revision):
                 self._watch_after = max(self._watch_after, revision)
                 return None
             case Conflict(items=items, transfer_s=transfer_s):
-                found = items.get(self.key)
-                if found is not None:
-                    self._watch_after = max(self._watch_after, found.mod_revision)
-                return self._new_version(found, Source.COMPARISON, transfer_s)
+                current = items.get(self.key)
+                if current is not None:
+                    self._watch_after = max(self._watch_after, current.mod_revision)
+                return self._new_version(current, Source.COMPARISON, transfer_s)
 
     async def _watch(self, wait_s: float) -> Version | None:
         changes = await self.store.changes(self.key, after=self._watch_after, wait_s=wait_s)
--- a/rhubarbferry/cell/peer_server.py
+++ b/rhubarbferry/cell/peer_server.py
@@ -150,11 +150,11 @@
                 answered=False, approvals=[], valid_ms=0, detail="no policy service is set"
             )
         try:
-            found = await self._policy.ask(step, tuple(req.hosts), timeout_s=req.timeout_ms / 1000)
+            answer = await self._policy.ask(step, tuple(req.hosts), timeout_s=req.timeout_ms / 1000)
         except WorkerError as exc:
             return ApprovalReply(answered=False, approvals=[], valid_ms=0, detail=str(exc))
         return ApprovalReply(
             answered=True,
-            approvals=[HostApproval(host=a.host, ticket=a.ticket) for a in found.approvals],
-            valid_ms=int(found.valid_s * 1000),
+            approvals=[HostApproval(host=a.host, ticket=a.ticket) for a in answer.approvals],
+            valid_ms=int(answer.valid_s * 1000),
         )
--- a/tests/cell/test_cell.py
+++ b/tests/cell/test_cell.py
@@ -123,7 +123,7 @@
     owner.signal(signal.SIGTERM)
     assert await asyncio.wait_for(owner.child.wait(), 8.0) == 0
     (ended,) = owner.events("term.ended")
-    # The takeover call must return True even if the watch delivers the successor's key first.
+    # The watch may deliver the successor's key before its reply; the hand-over must still succeed.
     assert [line["outcome"] for line in owner.events("owner.hands_over")] == [True]
     begun = [line for member in stage.members.values() for line in member.events("term.loaded")]
     assert len(begun) == 2
@@ -131,7 +131,7 @@
     assert await stage.submit(other, ids(1)[0]) == 200
 
 
-async def test_a_killed_owner_is_replaced_before_its_lease_has_ended(stage):
+async def test_killed_owner_is_replaced_before_its_lease_has_ended(stage):
     """Guards against waiting for the lease of an owner whose address refuses connections."""
     owner = stage.owner()
     await asyncio.sleep(MEMBERSHIP_SYNC_S)
--- a/tests/cell/test_loop_lag.py
+++ b/tests/cell/test_loop_lag.py
@@ -38,7 +38,7 @@
     assert meter.lag_s == pytest.approx(expected_lag_s)
 
 
-def test_a_stall_is_logged_once_in_each_interval():
+def test_stall_is_logged_once_per_interval():
     """Guards against log lines that slow an overloaded process further."""
     log = Lines()
     meter = LoopLag(log=log)
@@ -50,9 +50,9 @@
 async def test_blocked_loop_is_measured():
     """Guards against an overloaded process that measures no lag."""
     meter = LoopLag(log=Lines())
-    running = asyncio.create_task(meter.run())
+    measurement = asyncio.create_task(meter.run())
     await asyncio.sleep(SAMPLE_INTERVAL_S / 2)
     time.sleep(3 * SAMPLE_INTERVAL_S)  # noqa: ASYNC251 - blocks the loop on purpose
     await asyncio.sleep(SAMPLE_INTERVAL_S / 2)
-    running.cancel()
+    measurement.cancel()
     assert meter.lag_s >= SAMPLE_INTERVAL_S
--- a/tests/cell/test_slow_link.py
+++ b/tests/cell/test_slow_link.py
@@ -44,11 +44,11 @@
     async def until(self, condition, limit_s: float) -> float:
         """Wait for a condition and return the seconds that it took."""
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started_at = loop.time()
         async with asyncio.timeout(limit_s):
             while not condition():  # noqa: ASYNC110 - the condition may depend on any state
                 await asyncio.sleep(POLL_INTERVAL_S)
-        return loop.time() - begun
+        return loop.time() - started_at
 
     async def until_in_force(self, version: int, limit_s: float = 20.0) -> float:
         feed = self.feed
@@ -145,7 +145,7 @@
         await host.until_next_watch()
         host.write(2)
         await host.until_in_force(2)
-    found = [fields for event, fields in host.lines.found if event == "configuration.in_force"]
-    assert [fields["version"] for fields in found] == [1, 2]
-    assert found[1]["value_bytes"] > len(PADDING)
-    assert 0.8 * TRANSFER_S < found[1]["transfer_s"] < 1.5 * TRANSFER_S
+    events = [fields for event, fields in host.lines.found if event == "configuration.in_force"]
+    assert [fields["version"] for fields in events] == [1, 2]
+    assert events[1]["value_bytes"] > len(PADDING)
+    assert 0.8 * TRANSFER_S < events[1]["transfer_s"] < 1.5 * TRANSFER_S
--- a/tests/cell/test_words.py
+++ b/tests/cell/test_words.py
@@ -8,7 +8,7 @@
 import pytest
 
 PACKAGE = Path(__file__).parents[2] / "rhubarbferry"
-# Names of the platform's wire format, which the rest of the package must not depend on.
+# Names of the platform's wire format, which other packages must not use.
 PLATFORM_NAMES = re.compile(
     r"ackIndex|checkpointAt|kv-txn|kv-lease|kv-keep|memMb|disruptionBudget|perWorkerMs"
     r"|killGraceMs|holdMaxMs|fillCount|longRunning|requiredLabel|Rhubarbferry-"
