--- a/tests/cell/test_acceptance.py
+++ b/tests/cell/test_acceptance.py
@@ -36,7 +36,7 @@
         self.notices.append(job)
 
 
-def acceptance(store, owner: OwnerStub) -> Acceptance:
+def direct_job_calls(store, owner: OwnerStub) -> Acceptance:
     return Acceptance(
         clock=SystemClock(), store=store, log=Lines(), owner=owner, reached=lambda: True
     )
@@ -54,7 +54,7 @@
 
 async def test_owner_is_notified_of_a_job_accepted_under_its_ownership(store):
     owner = OwnerStub(current_fence=await take_ownership(store))
-    job_calls = acceptance(store, owner)
+    job_calls = direct_job_calls(store, owner)
     assert await job_calls.submit(record(ID), deadline=deadline()) is Accepted.YES
     (job,) = owner.notices
     item = await store.get(keys.JOBS + ID)
@@ -66,7 +66,7 @@
     """Guards against a job that is started by both the former and the new owner."""
     owner = OwnerStub(current_fence=await take_ownership(store))
     await take_ownership(store)
-    job_calls = acceptance(store, owner)
+    job_calls = direct_job_calls(store, owner)
     assert await job_calls.submit(record(ID), deadline=deadline()) is Accepted.YES
     assert owner.notices == []
     assert await job_calls.phase(ID) is JobPhase.QUEUED
@@ -76,7 +76,7 @@
 async def test_resubmitted_job_is_accepted_once(store, owned):
     """Guards against a job written twice when its client received no answer and retries."""
     owner = OwnerStub(current_fence=await take_ownership(store) if owned else 0)
-    job_calls = acceptance(store, owner)
+    job_calls = direct_job_calls(store, owner)
     for _ in range(2):
         assert await job_calls.submit(record(ID), deadline=deadline()) is Accepted.YES
     assert len(owner.notices) == owned
@@ -86,7 +86,7 @@
     """Guards against a job that runs again when a duplicate of its submission arrives late."""
     value = encode_phase(JobPhase.COMPLETE)
     await store.commit(Txn(put=(Put(key=keys.ENDED + ID, value=value),)))
-    job_calls = acceptance(store, OwnerStub(current_fence=await take_ownership(store)))
+    job_calls = direct_job_calls(store, OwnerStub(current_fence=await take_ownership(store)))
     assert await job_calls.submit(record(ID), deadline=deadline()) is Accepted.YES
     assert await store.get(keys.JOBS + ID) is None
     assert await job_calls.phase(ID) is JobPhase.COMPLETE
@@ -96,7 +96,7 @@
     """Guards against a job that runs although its client received a refusal."""
     owner = OwnerStub(current_fence=await take_ownership(store))
     stand_in.trouble.lose_every = 2
-    job_calls = acceptance(store, owner)
+    job_calls = direct_job_calls(store, owner)
     verdicts = [
         await job_calls.submit(record(f"{index:016x}"), deadline=deadline(4.0))
         for index in range(3)
@@ -106,14 +106,14 @@
 
 async def test_unanswered_write_at_the_deadline_is_reported_as_unclear(store, stand_in):
     stand_in.trouble.lose_every = 1
-    job_calls = acceptance(store, OwnerStub())
+    job_calls = direct_job_calls(store, OwnerStub())
     verdict = await asyncio.wait_for(job_calls.submit(record(ID), deadline=deadline(0.1)), 3.0)
     assert verdict is Accepted.UNCLEAR
 
 
 async def test_write_rejected_by_the_store_refuses_the_job(store, stand_in):
     stand_in.trouble.down = True
-    job_calls = acceptance(store, OwnerStub())
+    job_calls = direct_job_calls(store, OwnerStub())
     assert await job_calls.submit(record(ID), deadline=deadline()) is Accepted.NO
     stand_in.trouble.down = False
     assert await job_calls.phase(ID) is None
--- a/tests/cell/test_configuration_feed.py
+++ b/tests/cell/test_configuration_feed.py
@@ -31,7 +31,7 @@
         raise StoreUnavailable("no answer")
 
 
-def feed(clock: FakeClock, store) -> ConfigurationFeed:
+def configuration_watcher(clock: FakeClock, store) -> ConfigurationFeed:
     return ConfigurationFeed(
         clock=clock,
         store=store,
@@ -50,7 +50,7 @@
     """Guards against an extra delay before a new configuration is read."""
     clock = FakeClock()
     store = FailingStore(clock, call_duration_s)
-    task = asyncio.create_task(feed(clock, store).run())
+    task = asyncio.create_task(configuration_watcher(clock, store).run())
     # The first call advances the clock by its duration before the retry delay begins.
     await clock.advance(interval_s)
     task.cancel()
@@ -72,7 +72,7 @@
 
 async def test_answer_with_an_older_revision_is_ignored():
     """Guards against a return to an older configuration."""
-    watcher = feed(FakeClock(), ReorderedAnswersStore())
+    watcher = configuration_watcher(FakeClock(), ReorderedAnswersStore())
     for _ in range(2):
         watcher._watcher._known_revision = None
         watcher._apply(await watcher._watcher.next(1.0))
--- a/tests/cell/test_inbox.py
+++ b/tests/cell/test_inbox.py
@@ -51,7 +51,7 @@
     clock = SystemClock()
     log = Lines()
     lease = Lease(id=LEASE_ID, incarnation=1, until=time.monotonic() + 60, margin_s=0.0)
-    around = SimpleNamespace(
+    process = SimpleNamespace(
         clock=clock,
         store=store,
         log=log,
@@ -62,7 +62,7 @@
         ),
     )
     ctx = TermContext(
-        around=around,
+        around=process,
         tenure=Tenure(keeper=SimpleNamespace(held=lambda: lease), lease_id=LEASE_ID, fence=fence),
         dispatcher=Dispatcher(succession=Succession(lapsed_at=0.0), lease_s=6.0),
     )
--- a/tests/cell/test_slow_link.py
+++ b/tests/cell/test_slow_link.py
@@ -35,7 +35,7 @@
 
     stand_in: PlatformStoreStandIn
     link: Link
-    feed: ConfigurationFeed
+    watcher: ConfigurationFeed
     lines: Lines
 
     def write(self, version: int, *, padding: str = PADDING) -> None:
@@ -51,9 +51,9 @@
         return loop.time() - started_at
 
     async def until_in_force(self, version: int, limit_s: float = 20.0) -> float:
-        feed = self.feed
+        watcher = self.watcher
         return await self.until(
-            lambda: feed.routes is not None and feed.routes.version >= version, limit_s
+            lambda: watcher.routes is not None and watcher.routes.version >= version, limit_s
         )
 
     async def until_next_watch(self) -> None:
@@ -72,7 +72,7 @@
         link = await relay.open(address)
         link.set(Mode.PASS, bytes_per_s=LINK_BYTES_PER_S)
         store = PlatformStore(address=link.address)
-        feed = ConfigurationFeed(
+        watcher = ConfigurationFeed(
             clock=SystemClock(),
             store=store,
             log=lines,
@@ -80,9 +80,9 @@
             decode=lambda value, revision: decode_configuration(value, revision=revision),
             history_s=HISTORY_S,
         )
-        task = asyncio.create_task(feed.run())
+        task = asyncio.create_task(watcher.run())
         try:
-            yield SlowHost(stand_in=stand_in, link=link, feed=feed, lines=lines)
+            yield SlowHost(stand_in=stand_in, link=link, watcher=watcher, lines=lines)
         finally:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
