--- a/rhubarbferry/cell/acceptance.py
+++ b/rhubarbferry/cell/acceptance.py
@@ -46,8 +46,8 @@
     No owner is required: any process can accept jobs at any time.
 
     :param owner: receives a notice of each new job, so that the job starts without delay.
-    :param reached: returns whether the store currently answers this process. While it does not,
-        calls are not sent, because they would only fail: in an outage their number would grow,
+    :param reached: returns whether the store currently answers this process. If not, no
+        calls are sent, because they would only fail: in an outage their number would grow,
         and each call to the store is charged.
     """
 
