--- a/rhubarbferry/cell/inbox.py
+++ b/rhubarbferry/cell/inbox.py
@@ -140,7 +140,7 @@
         ownership = self.ctx.around.view.ownership
         if ownership is None or ownership.fence != self.ctx.tenure.fence:
             self._end_tenure("its key was removed or replaced")
-        # Process jobs first: a cancellation has no effect before its job has been added.
+        # Process jobs first: the cancellation of an unknown job is taken for that of an ended one.
         items = sorted(listing.items, key=lambda item: item.key.startswith(keys.CANCELS))
         for number, item in enumerate(items, start=1):
             self._apply_put(item, states)
--- a/tests/cell/test_key_following_machine.py
+++ b/tests/cell/test_key_following_machine.py
@@ -1,4 +1,4 @@
-"""A followed key beside writes, lost history, deaf watches and failing calls, in any order."""
+"""Stateful test of the key watcher: writes, lost history, silent watches and failing calls."""
 
 from __future__ import annotations
 
@@ -40,9 +40,10 @@
 
 
 class FaultyStore:
-    """A store that fails as it is told to; its calls never wait.
+    """A store with injected failures, whose calls never wait.
 
-    :ivar failures: what the next calls raise, ``None`` for an answer.
+    :ivar failures: exceptions that the next calls raise, ``None`` for an answer.
+    :ivar deaf: whether watches return no events although there are changes.
     """
 
     def __init__(self) -> None:
@@ -56,7 +57,7 @@
         self.calls.append(call)
         failure = self.failures.pop(0) if self.failures else None
         if failure is not None:
-            raise failure("as the test says")
+            raise failure("injected failure")
 
     async def list(self, prefix: str) -> Listing:
         self._enter("list")
@@ -87,12 +88,12 @@
 
 
 def finish(coro: Coroutine[Any, Any, Version | None]) -> Version | None:
-    """Run what never waits."""
+    """Return the result of a coroutine that never waits."""
     try:
         coro.send(None)
     except StopIteration as stop:
         return stop.value
-    raise AssertionError("the follower waited for something")
+    raise AssertionError("the watcher waited")
 
 
 class KeyFollowerMachine(RuleBasedStateMachine):
