--- a/rhubarbferry/cell/cleaner.py
+++ b/rhubarbferry/cell/cleaner.py
@@ -1,4 +1,4 @@
-"""Remove from the store what nobody needs any more."""
+"""Remove keys of ended jobs from the store."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 from rhubarbferry.dispatch.record import RecordError, decode_phase
 from rhubarbferry.ports.store import Conflict, StoreError, Txn
 
-# Removals are gathered for this long: each change of a watched key costs the owner a call.
-GATHER_S = 2.0
-# A transaction takes 32 entries, the owner's key among them, and a job has two keys to remove.
+# Removals are batched at this interval, because each change of a watched key costs the owner one
+# call.
+REMOVAL_INTERVAL_S = 2.0
+# A transaction holds at most 32 entries including the owner's key. A job has two keys to remove.
 JOBS_PER_TXN = 15
 PHASES_PER_TXN = 30
-# An ended job is known for longer than the surroundings demand, so that a submission or a write
-# that arrives late still finds it and can't bring it back to life.
-EXTRA_S = 60.0
+# The phase of an ended job is kept for longer than the configured ``status_s``. A submission or a
+# write that arrives late then still finds it and can't start the job again.
+PHASE_RETENTION_MARGIN_S = 60.0
 
 
 @define(kw_only=True, eq=False)
 class Cleaner:
-    """Removes the requests of ended jobs soon, and their phases after the time of grace.
+    """Removes the requests of ended jobs soon and their phases after the retention time.
 
-    :param without_state: inherited jobs that have no state in progress.
+    :param without_state: ids of inherited jobs that have no stored state of a job in progress.
     """
 
     ctx: TermContext
@@ -35,23 +36,23 @@
     _loaded: bool = False
 
     async def run(self) -> None:
-        """Clean until cancelled.
+        """Remove keys until cancelled.
 
-        :raises OwnershipLost: when another process owns the work.
+        :raises OwnershipLost: if another process is the owner.
         """
         while True:
             try:
                 if not self._loaded:
                     await self._load()
-                await asyncio.sleep(GATHER_S)
+                await asyncio.sleep(REMOVAL_INTERVAL_S)
                 await self._remove_requests()
                 await self._remove_phases()
             except StoreError as exc:
                 self.ctx.around.log.emit("store.not_cleaned", reason=str(exc)[:200])
-                await asyncio.sleep(GATHER_S)
+                await asyncio.sleep(REMOVAL_INTERVAL_S)
 
     async def _load(self) -> None:
-        """Read which jobs had ended before the takeover; the dispatcher does not wait for it."""
+        """Read the jobs that ended before the takeover; the dispatcher does not wait for this."""
         listing = await self.ctx.around.store.list(keys.ENDED)
         now = self.ctx.now()
         for item in listing.items:
@@ -72,15 +73,15 @@
         removable = self.ctx.removable
         while removable:
             ids = removable[:JOBS_PER_TXN]
-            names = [prefix + id for id in ids for prefix in (keys.JOBS, keys.CANCELS)]
-            await self._remove(names)
+            key_names = [prefix + id for id in ids for prefix in (keys.JOBS, keys.CANCELS)]
+            await self._remove(key_names)
             del removable[: len(ids)]
             now = self.ctx.now()
             for id in ids:
                 self._ended_at.setdefault(id, now)
 
     async def _remove_phases(self) -> None:
-        before = self.ctx.now() - self.ctx.around.cfg.bounds.status_s - EXTRA_S
+        before = self.ctx.now() - self.ctx.around.cfg.bounds.status_s - PHASE_RETENTION_MARGIN_S
         old = [id for id, at in self._ended_at.items() if at < before]
         for start in range(0, len(old), PHASES_PER_TXN):
             ids = old[start : start + PHASES_PER_TXN]
@@ -89,8 +90,8 @@
                 del self._ended_at[id]
                 self.ctx.dispatcher.ended.pop(id, None)
 
-    async def _remove(self, names: list[str]) -> None:
-        txn = Txn(expect=(self.ctx.tenure.condition(),), delete=tuple(names))
+    async def _remove(self, key_names: list[str]) -> None:
+        txn = Txn(expect=(self.ctx.tenure.condition(),), delete=tuple(key_names))
         if isinstance(await self.ctx.around.store.commit(txn), Conflict):
             self.ctx.tenure.end("another process has taken over")
             raise OwnershipLost("another process has taken over")
--- a/rhubarbferry/cell/decision_log.py
+++ b/rhubarbferry/cell/decision_log.py
@@ -1,4 +1,4 @@
-"""The owner's log lines: which decision, from which inputs, with which outcome."""
+"""Log the owner's decisions with their inputs and outcomes."""
 
 from __future__ import annotations
 
@@ -20,34 +20,38 @@
 )
 from rhubarbferry.dispatch.tracker import RunEnded, RunRefused
 
-STARTS = Counter("rhubarbferry_task_start_orders_total", "Orders to start a task", ["outcome"])
-ENDS = Counter("rhubarbferry_task_ends_total", "Ends of runs", ["how"])
+START_ORDERS = Counter(
+    "rhubarbferry_task_start_orders_total", "Orders to start a task", ["outcome"]
+)
+RUN_ENDS = Counter("rhubarbferry_task_ends_total", "Ended task runs", ["how"])
 START_SECONDS = Histogram(
     "rhubarbferry_task_start_seconds",
-    "From the order to start a task to its answer",
+    "Time from the order to start a task to the host's answer",
     buckets=(0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2),
 )
-ADVICE_SECONDS = Histogram(
+APPROVAL_SECONDS = Histogram(
     "rhubarbferry_approval_seconds",
-    "From a question for approval to its answer",
+    "Time from an approval request to its answer",
     buckets=(0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5),
 )
-ADVICE_FAILED = Counter("rhubarbferry_approvals_failed_total", "Questions without an answer")
+APPROVALS_FAILED = Counter(
+    "rhubarbferry_approvals_failed_total", "Approval requests without an answer"
+)
 
 
-def label(task: TaskId) -> str:
-    """Return a task's place within its job, for a log line."""
+def task_label(task: TaskId) -> str:
+    """Return a task's identifier within its job, for a log event."""
     return f"{task.occurrence}.{task.step}.{task.index}"
 
 
 @define(kw_only=True, eq=False)
 class DecisionLog:
-    """Writes the owner's lines and counts what they tell."""
+    """Logs the owner's decisions and updates the metrics of their outcomes."""
 
     log: EventLog
 
     def start(self, order: StartOrder, result: OrderResult, *, took_s: float, fence: int) -> None:
-        """Log a start and its answer."""
+        """Log a start order and its answer."""
         match result:
             case Started():
                 outcome = "started"
@@ -55,7 +59,7 @@
                 outcome = f"refused: {reason.value}"
             case Unanswered(detail=detail):
                 outcome = f"unanswered: {detail}"[:200]
-        STARTS.labels(outcome.partition(":")[0]).inc()
+        START_ORDERS.labels(outcome.partition(":")[0]).inc()
         START_SECONDS.observe(took_s)
         self._emit(
             "task.start",
@@ -68,7 +72,7 @@
         )
 
     def stop(self, order: StopOrder, *, outcome: str) -> None:
-        """Log a stop and its answer."""
+        """Log a stop order and its answer."""
         self._emit("task.stop", order, reason=order.reason, outcome=outcome)
 
     def pace(self, order: PaceOrder, *, outcome: str) -> None:
@@ -81,13 +85,13 @@
         self.log.emit(
             event,
             job=order.task.job,
-            task=label(order.task),
+            task=task_label(order.task),
             attempt=order.attempt,
             host=order.host,
             **fields,
         )
 
-    def advice(
+    def approval(
         self,
         assignment: Assignment,
         *,
@@ -95,12 +99,12 @@
         took_s: float = 0.0,
         reason: str = "",
     ) -> None:
-        """Log a question for approval and its answer."""
+        """Log an approval request and its answer."""
         order = assignment.order
         if approved is None:
-            ADVICE_FAILED.inc()
+            APPROVALS_FAILED.inc()
         else:
-            ADVICE_SECONDS.observe(took_s)
+            APPROVAL_SECONDS.observe(took_s)
         self.log.emit(
             "approval",
             job=order.step.job,
@@ -113,16 +117,16 @@
         )
 
     def outcomes(self, dispatcher: Dispatcher) -> None:
-        """Log the runs that have ended or were given up since the last call."""
+        """Log the runs that have ended or were refused since the last call."""
         notes, dispatcher.notes = dispatcher.notes, []
         for note in notes:
             match note:
                 case RunEnded():
-                    ENDS.labels(note.how.value).inc()
+                    RUN_ENDS.labels(note.how.value).inc()
                     self.log.emit(
                         "task.end",
                         job=note.task.id.job,
-                        task=label(note.task.id),
+                        task=task_label(note.task.id),
                         attempt=note.attempt,
                         host=note.host,
                         outcome=note.how.value,
@@ -132,7 +136,7 @@
                     self.log.emit(
                         "task.unreserved",
                         job=note.task.id.job,
-                        task=label(note.task.id),
+                        task=task_label(note.task.id),
                         host=note.host,
                         reason=note.detail,
                     )
--- a/rhubarbferry/cell/hand_over.py
+++ b/rhubarbferry/cell/hand_over.py
@@ -1,23 +1,23 @@
-"""Let another process replace the key of the owner."""
+"""Hand the ownership over to another process."""
 
 from __future__ import annotations
 
 from rhubarbferry.cell.context import Surroundings, Tenure
 from rhubarbferry.cell.members import Member, successors
 
-# An owner that gives the work up asks this many others to take over.
-SUCCESSORS_ASKED = 2
+# Number of successors that an owner asks to take over before it gives up.
+MAX_SUCCESSORS_TRIED = 2
 
 
 async def hand_over(around: Surroundings, tenure: Tenure) -> Member | None:
-    """Let another process replace the owner's key while this one still decides.
+    """Have another process replace the owner's key while this one still schedules.
 
-    Were the key removed first, nothing would start until another process has seen it, has had its
-    turn and has written its own.
+    If the key were deleted first, no task would start until another process has noticed that, has
+    waited for its turn in the election and has written its own key.
 
-    :returns: the new owner, ``None`` where nobody has taken over.
+    :returns: the new owner, ``None`` if no process has taken over.
     """
-    for member in successors(around.own, around.view)[:SUCCESSORS_ASKED]:
+    for member in successors(around.own, around.view)[:MAX_SUCCESSORS_TRIED]:
         if not tenure.holds():
             return None
         taken = await around.peers.take_over(member, tenure.fence)
--- a/rhubarbferry/cell/host_watch.py
+++ b/rhubarbferry/cell/host_watch.py
@@ -1,4 +1,4 @@
-"""Poll one host: extend its task leases and learn what has ended."""
+"""Poll a host to extend its task leases and to collect the ends of its tasks."""
 
 from __future__ import annotations
 
@@ -16,74 +16,75 @@
     WorkerGone,
 )
 
-# After a look that failed.
-RETRY_S = 0.1
-# The same for a host that has been silent for longer; it may be gone for good.
-SILENT_RETRY_S = 0.5
-# While ends are not yet on record the host would answer at once each time.
-UNRECORDED_PAUSE_S = 0.12
-# Time for the answer beyond the look itself: some round trips, or one packet sent again.
-PATIENCE_S = 0.4
-# A new owner starts no inherited task before each host has answered once. One lost answer must
-# not hold all of them up, so the first look is sent again soon.
-FIRST_PATIENCE_S = 0.25
-FIRST_RETRY_S = 0.05
+# Pause after a failed poll.
+POLL_RETRY_INTERVAL_S = 0.1
+# Pause after a failed poll of a host that has been unresponsive for longer. It may never return.
+SILENT_HOST_RETRY_INTERVAL_S = 0.5
+# Pause between polls while reported ends are not yet recorded in the store. The host answers such a
+# poll at once, so without the pause the polls would follow each other in a tight loop.
+UNRECORDED_ENDS_PAUSE_S = 0.12
+# Time for the answer in addition to the poll's wait: some round trips, or one retransmission.
+ANSWER_MARGIN_S = 0.4
+# A new owner starts no inherited task before each host has answered once. One lost answer must not
+# delay all of them, so the first poll of a host has a short timeout and is retried soon.
+FIRST_ANSWER_MARGIN_S = 0.25
+FIRST_POLL_RETRY_INTERVAL_S = 0.05
 
 
 @define(kw_only=True, eq=False)
-class HostWatch:
-    """Looks at one host until it has gone."""
+class HostPoller:
+    """Polls one host until the dispatcher forgets it."""
 
     ctx: TermContext
     id: str
 
     async def run(self) -> None:
-        """Look again and again; return when the host is forgotten.
+        """Poll repeatedly; return when the dispatcher no longer tracks the host.
 
-        :raises OwnershipLost: when this process may no longer act as the owner.
+        :raises OwnershipLost: if this process may no longer act as the owner.
         """
         while (host := self.ctx.dispatcher.tracker.hosts.get(self.id)) is not None:
             self.ctx.tenure.check()
-            if not await self._look(host):
-                await asyncio.sleep(self._pause_s(host))
+            if not await self._poll(host):
+                await asyncio.sleep(self._retry_interval_s(host))
             elif host.seen_end > host.recorded_end:
-                await asyncio.sleep(UNRECORDED_PAUSE_S)
+                await asyncio.sleep(UNRECORDED_ENDS_PAUSE_S)
 
-    def _pause_s(self, host: Host) -> float:
+    def _retry_interval_s(self, host: Host) -> float:
         if not host.adopted:
-            return FIRST_RETRY_S
+            return FIRST_POLL_RETRY_INTERVAL_S
         silent = self.ctx.now() - host.last_report_at >= host.silent_s
-        return SILENT_RETRY_S if silent else RETRY_S
+        return SILENT_HOST_RETRY_INTERVAL_S if silent else POLL_RETRY_INTERVAL_S
 
-    def look_s(self) -> float:
-        """Return how long a look is to wait for an end.
+    def poll_wait_s(self) -> float:
+        """Return how long the host may hold a poll open while no task ends.
 
-        A process that is behind looks less often: most looks find that nothing has ended, and ends
-        are shown at once in any case.
+        A process whose event loop lags polls less often. Most polls report no end, and the host
+        answers an open poll as soon as a task ends in any case.
         """
         return min(LONGEST_LOOK_S, LOOK_S * max(1.0, self.ctx.around.lag_s() / LAG_GOAL_S))
 
-    async def look_once(self) -> None:
-        """Look once, without waiting for an end."""
+    async def poll_once(self) -> None:
+        """Poll once, without waiting for the end of a task."""
         host = self.ctx.dispatcher.tracker.hosts.get(self.id)
         if host is not None and self.ctx.tenure.holds():
-            await self._look(host, at_once=True)
+            await self._poll(host, no_wait=True)
 
-    async def _look(self, host: Host, *, at_once: bool = False) -> bool:
+    async def _poll(self, host: Host, *, no_wait: bool = False) -> bool:
         ctx = self.ctx
         sent_at = ctx.now()
         entry = host.entry
         deadline_s = host.hold(sent_at, ctx.around.cfg.bounds.task_lease_s)
-        # Ends beyond `forget_to` are listed at once; so there is no use in a wait while some
-        # are not on record. The first look only learns the host's clock.
-        host.look_s = self.look_s()
-        at_once = at_once or deadline_s is None or host.seen_end > host.recorded_end
+        # The host reports ends after `forget_to` at once, so waiting has no effect while some of
+        # them are not recorded. The first poll only reads the host's clock.
+        host.look_s = self.poll_wait_s()
+        no_wait = no_wait or deadline_s is None or host.seen_end > host.recorded_end
         req = HoldRequest(
             fence=ctx.tenure.fence,
             deadline_s=deadline_s,
             forget_to=host.recorded_end,
-            wait_s=0.0 if at_once else host.look_s,
-            patience_s=PATIENCE_S if host.adopted else FIRST_PATIENCE_S,
+            wait_s=0.0 if no_wait else host.look_s,
+            patience_s=ANSWER_MARGIN_S if host.adopted else FIRST_ANSWER_MARGIN_S,
         )
         try:
             report = await ctx.around.workers.hold(entry, req)
@@ -102,9 +103,9 @@
             report.incarnation != host.entry.incarnation
         ):
             return True
-        known = host.adopted
+        was_adopted = host.adopted
         ctx.dispatcher.reported(self.id, report, sent_at=sent_at, now=ctx.now())
-        if not known:
+        if not was_adopted:
             ctx.around.log.emit(
                 "host.adopted",
                 host=self.id,
--- a/rhubarbferry/cell/lease.py
+++ b/rhubarbferry/cell/lease.py
@@ -1,4 +1,4 @@
-"""The lease in the store that this process lives by."""
+"""Acquire and renew this process's lease in the store."""
 
 from __future__ import annotations
 
@@ -11,24 +11,26 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.store import LeaseLost, StoreError, TxnStore
 
-# Short, since an owner that nobody can ping is replaced when its lease ends. Long enough for a slow
-# store and two lost renewals.
-TTL_S = 1.5
-RENEW_S = 0.3
-# Taken off each term: the clocks of this host and the store may differ by 2 %.
-MARGIN_S = 0.1
-RETRY_S = 0.2
-# The interval of renewals and the answer of a slow store.
-FRESH_S = 0.5
+# Short, because an owner that no process can ping is replaced only when its lease expires. Long
+# enough to survive a slow store and two lost renewals.
+LEASE_TTL_S = 1.5
+RENEWAL_INTERVAL_S = 0.3
+# Subtracted from each lease period, because the clocks of this host and the store may drift apart
+# by 2 %.
+CLOCK_MARGIN_S = 0.1
+GRANT_RETRY_INTERVAL_S = 0.2
+# The store counts as responsive for this long after an answer: the renewal interval plus the answer
+# time of a slow store.
+STORE_ANSWER_MAX_AGE_S = 0.5
 
 
 @define(kw_only=True, eq=False)
 class LeaseKeeper:
-    """Open a lease and extend it until cancelled.
+    """Acquires a lease and renews it until cancelled.
 
-    :ivar answered_at: when the store last granted or extended it.
+    :ivar answered_at: when the store last granted or renewed the lease.
     :ivar round_trip_s: how long the last grant took.
-    :ivar granted: set while there is a lease, for those that wait for one.
+    :ivar granted: set while there is a lease, for tasks that wait for one.
     """
 
     clock: Clock
@@ -42,70 +44,71 @@
     _renewals: set[asyncio.Task[None]] = field(factory=set)
 
     def held(self) -> Lease | None:
-        """Return the lease if it holds for sure now."""
+        """Return the lease, ``None`` if it may have expired."""
         lease = self.lease
         return lease if lease is not None and lease.holds(self.clock.monotonic()) else None
 
     def fresh(self) -> bool:
-        """Tell whether the store answered this process just now."""
-        return self.clock.monotonic() - self.answered_at < FRESH_S
+        """Return whether the store has answered this process recently."""
+        return self.clock.monotonic() - self.answered_at < STORE_ANSWER_MAX_AGE_S
 
     async def run(self) -> None:
-        """Keep a lease until cancelled."""
+        """Acquire and renew a lease until cancelled."""
         while True:
             if self.lease is None:
                 await self._grant()
             elif not self.lease.holds(self.clock.monotonic()):
-                self._lost("it was not extended in time")
+                self._discard("it was not extended in time")
             else:
-                # Not one after the other: a renewal whose connection has gone silent must not
-                # hold up the next one, or the lease ends although the store is well.
+                # Renewals may overlap. If each waited for the one before, a renewal on a dead
+                # connection would delay the next one until the lease expires, although the store
+                # is healthy.
                 renewal = asyncio.create_task(self._renew(self.lease))
                 self._renewals.add(renewal)
                 renewal.add_done_callback(self._renewals.discard)
-                await self.clock.sleep(RENEW_S)
+                await self.clock.sleep(RENEWAL_INTERVAL_S)
 
     def drop(self, reason: str) -> None:
-        """Give the lease up: it is not extended any more, and all that hangs on it ends."""
+        """Stop renewing the lease, so that all keys that are bound to it expire."""
         if self.lease is not None:
-            self._lost(reason)
+            self._discard(reason)
 
     async def _grant(self) -> None:
-        asked_at = self.clock.monotonic()
+        sent_at = self.clock.monotonic()
         try:
-            id = await self.store.grant_lease(TTL_S)
+            id = await self.store.grant_lease(LEASE_TTL_S)
         except StoreError as exc:
             self.log.emit("lease.not_granted", reason=str(exc))
-            await self.clock.sleep(RETRY_S)
+            await self.clock.sleep(GRANT_RETRY_INTERVAL_S)
             return
         self._incarnation += 1
         self.answered_at = self.clock.monotonic()
-        self.round_trip_s = self.answered_at - asked_at
+        self.round_trip_s = self.answered_at - sent_at
         self.lease = Lease.granted(
             id=id,
             incarnation=self._incarnation,
-            asked_at=asked_at,
-            ttl_s=TTL_S,
-            margin_s=MARGIN_S,
+            asked_at=sent_at,
+            ttl_s=LEASE_TTL_S,
+            margin_s=CLOCK_MARGIN_S,
         )
         self.granted.set()
         self.log.emit("lease.granted", lease=id, outcome="store reached")
 
     async def _renew(self, lease: Lease) -> None:
-        asked_at = self.clock.monotonic()
+        sent_at = self.clock.monotonic()
         try:
             ttl_s = await self.store.keep_alive(lease.id)
         except LeaseLost:
             if self.lease is not None and self.lease.id == lease.id:
-                self._lost("the store has ended it")
+                self._discard("the store has ended it")
         except StoreError as exc:
             self.log.emit("lease.not_extended", lease=lease.id, reason=str(exc))
         else:
             self.answered_at = self.clock.monotonic()
             if self.lease is not None and self.lease.id == lease.id:
-                self.lease = self.lease.renewed(asked_at=asked_at, ttl_s=ttl_s)
+                self.lease = self.lease.renewed(asked_at=sent_at, ttl_s=ttl_s)
 
-    def _lost(self, reason: str) -> None:
+    def _discard(self, reason: str) -> None:
         assert self.lease is not None
         self.log.emit("lease.lost", lease=self.lease.id, reason=reason)
         self.lease = None
--- a/rhubarbferry/cell/members.py
+++ b/rhubarbferry/cell/members.py
@@ -1,4 +1,4 @@
-"""Who is in the cell and who owns its work, as the store shows it."""
+"""Members and owner of the cell, as read from the store."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 class Member:
     """One process of the cell.
 
-    :param address: ``ip:port`` of its calls from other processes.
-    :param store_s: about how long the store's answers take to reach it.
-    :param cores: processor that its host gives it, 0 where it is not known.
-    :param link_mbps: bandwidth of its host's link, 0 where it is not known.
+    :param address: ``ip:port`` on which it serves calls from other processes.
+    :param store_s: approximate round-trip time to the store, in seconds.
+    :param cores: processor cores that its host gives it, 0 if unknown.
+    :param link_mbps: bandwidth of its host's network link, 0 if unknown.
     """
 
     name: str
@@ -33,9 +33,9 @@
 
 @frozen(kw_only=True, slots=True)
 class Ownership:
-    """The key that makes a process the owner.
+    """The stored key that makes a process the owner.
 
-    :param fence: the store's revision that holds it; higher for each later owner.
+    :param fence: store revision of the key; it is higher for each later owner.
     """
 
     owner: Member
@@ -44,27 +44,27 @@
 
 
 def encode_member(member: Member) -> bytes:
-    """Return the value of a member's or the owner's key."""
+    """Encode the value of a member's or the owner's key."""
     return json.dumps(asdict(member), separators=(",", ":")).encode()
 
 
 def decode_member(value: bytes) -> Member:
-    """Read a member's or the owner's key.
+    """Decode the value of a member's or the owner's key.
 
-    :raises ValueError: when the value is none.
+    :raises ValueError: if the value does not describe a member.
     """
     try:
         return Member(**json.loads(value))
     except (TypeError, ValueError) as exc:
-        raise ValueError(f"no member: {exc!r}") from exc
+        raise ValueError(f"invalid member record: {exc!r}") from exc
 
 
 @define(kw_only=True, eq=False)
 class CellView:
     """The members and the owner, kept up to date from listings and watches.
 
-    :ivar registered: the store's revision at which each member has registered.
-    :ivar version: grows with each change of the members.
+    :ivar registered: store revision at which each member registered.
+    :ivar version: incremented with each change of the members.
     """
 
     members: dict[str, Member] = field(factory=dict)
@@ -73,7 +73,10 @@
     version: int = 0
 
     def replace(self, items: Iterable[KeyValue], *, revision: int) -> None:
-        """Take in a whole listing, as of a revision of the store."""
+        """Replace the members and the owner by a complete listing.
+
+        :param revision: store revision of the listing.
+        """
         self.members = {}
         self.registered = {}
         self.version += 1
@@ -83,7 +86,7 @@
             self._put(item)
 
     def apply(self, events: Iterable[WatchEvent]) -> None:
-        """Take in changes."""
+        """Apply changes from a watch."""
         for event in events:
             match event:
                 case KeyPut(kv=kv):
@@ -105,11 +108,12 @@
             self.version += 1
 
     def owned(self, ownership: Ownership) -> None:
-        """Note who owns the work, unless a later owner is known.
+        """Set the owner, unless a later owner is already set.
 
-        A process that becomes the owner knows it from the answer to its write, and only then sees
-        in its watch how the former owner's key has gone. Taken for its own, it would wait for a
-        key that it has, and nobody would do the work.
+        A process that becomes the owner learns this from the answer to its write. Its watch
+        reports the deletion of the former owner's key only afterwards. If that were applied to
+        its own key, it would wait for an ownership that it already has, and no process would
+        schedule.
         """
         if self.ownership is None or ownership.fence >= self.ownership.fence:
             self.ownership = ownership
@@ -125,73 +129,75 @@
             self.version += 1
 
 
-# Round trips to the store that differ by less than this count as alike; another region adds more.
-ALIKE_S = 0.02
-# A host with less than this share of the largest processor or link in the cell is a weak one.
-WEAK_SHARE = 0.5
+# Round trips to the store that differ by less than this are treated as equal. A store in another
+# region adds more than this.
+ROUND_TRIP_STEP_S = 0.02
+# A host with less than this share of the largest processor or link in the cell is a small one.
+SMALL_HOST_SHARE = 0.5
 
 
 @frozen(kw_only=True, slots=True)
-class _Largest:
+class _LargestHost:
     """The largest processor and link among the members of a cell."""
 
     cores: float
     link_mbps: float
 
     @classmethod
-    def of(cls, members: Iterable[Member]) -> _Largest:
+    def of(cls, members: Iterable[Member]) -> _LargestHost:
         found = list(members)
         return cls(
             cores=max((member.cores for member in found), default=0.0),
             link_mbps=max((member.link_mbps for member in found), default=0.0),
         )
 
-    def is_weak(self, member: Member) -> bool:
-        """Tell whether an owner's work may be too much for a member while others can bear it."""
+    def is_small(self, member: Member) -> bool:
+        """Return whether a member may be too small for an owner's work, unlike other members."""
         return (
-            member.cores < WEAK_SHARE * self.cores or member.link_mbps < WEAK_SHARE * self.link_mbps
+            member.cores < SMALL_HOST_SHARE * self.cores
+            or member.link_mbps < SMALL_HOST_SHARE * self.link_mbps
         )
 
 
 def successors(own: Member, view: CellView) -> list[Member]:
-    """Return the other members in the order in which they are asked to take over as planned.
+    """Return the other members in the order in which they are asked to take over.
 
-    Those on weak hosts come last, and those near the store first. Among them goes first who has
-    registered last: in a rolling restart it is the one that will not be stopped next, and each
-    further change of the owner costs a pause in which nothing starts.
+    Members on small hosts come last, and members near the store come first. Among equals the
+    member that registered last comes first. In a rolling restart it is the one that will not be
+    stopped next, and each further change of the owner causes a pause in which no task starts.
     """
-    largest = _Largest.of([own, *view.members.values()])
+    largest = _LargestHost.of([own, *view.members.values()])
 
-    def place(member: Member) -> tuple[bool, int, int]:
+    def sort_key(member: Member) -> tuple[bool, int, int]:
         return (
-            largest.is_weak(member),
-            _distance(member),
+            largest.is_small(member),
+            _round_trip_steps(member),
             -view.registered.get(member.name, 0),
         )
 
-    return sorted((m for m in view.members.values() if m.name != own.name), key=place)
+    return sorted((m for m in view.members.values() if m.name != own.name), key=sort_key)
 
 
-def _distance(member: Member) -> int:
-    return int(member.store_s / ALIKE_S)
+def _round_trip_steps(member: Member) -> int:
+    return int(member.store_s / ROUND_TRIP_STEP_S)
 
 
-def rank(own: Member, members: Iterable[Member], *, seed: int) -> int:
-    """Return the place of a member among those that may become owner next.
+def election_rank(own: Member, members: Iterable[Member], *, seed: int) -> int:
+    """Return a member's position among the members that may become the next owner.
 
-    Those on weak hosts come last: an owner reads all that is in progress when it begins, and on a
-    small host may never get to decide. Of the others those near the store come first. Each
-    acceptance reaches the owner through the store, and each end is recorded there before a client
-    sees it, so an owner in another region makes both 40 ms later.
+    Members on small hosts come last. A new owner first reads all jobs in progress, and on a small
+    host it might never get to schedule any. Of the others, members near the store come first. Each
+    accepted job reaches the owner through the store, and each end is recorded there before a
+    client sees it, so an owner in another region delays both by 40 ms.
 
-    :param seed: changes the order among the others from one election to the next.
+    :param seed: number of the election; it changes the order among equal members.
     """
     others = [member for member in members if member.name != own.name]
-    largest = _Largest.of([own, *others])
+    largest = _LargestHost.of([own, *others])
 
-    def place(member: Member) -> tuple[bool, int, int]:
-        weight = xxhash.xxh64_intdigest(member.name.encode(), seed=seed & 0xFFFFFFFF)
-        return largest.is_weak(member), _distance(member), weight
+    def sort_key(member: Member) -> tuple[bool, int, int]:
+        tie_breaker = xxhash.xxh64_intdigest(member.name.encode(), seed=seed & 0xFFFFFFFF)
+        return largest.is_small(member), _round_trip_steps(member), tie_breaker
 
-    mine = place(own)
-    return sum(1 for member in others if place(member) < mine)
+    own_key = sort_key(own)
+    return sum(1 for member in others if sort_key(member) < own_key)
--- a/rhubarbferry/cell/orders.py
+++ b/rhubarbferry/cell/orders.py
@@ -1,4 +1,4 @@
-"""Carry out the dispatcher's orders and report their outcomes to it."""
+"""Execute the dispatcher's orders and report their outcomes to it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from rhubarbferry.cell.advice_desk import AdviceDesk, Assignment
 from rhubarbferry.cell.context import TermContext
 from rhubarbferry.cell.decision_log import DecisionLog
-from rhubarbferry.cell.host_watch import HostWatch
+from rhubarbferry.cell.host_watch import HostPoller
 from rhubarbferry.cell.loop_lag import LAG_GOAL_S
 from rhubarbferry.cell.members import Member
 from rhubarbferry.dispatch.hosts import Host
@@ -26,21 +26,21 @@
 )
 from rhubarbferry.ports.workers import FenceStale, WorkerError
 
-# Calls to hosts that may be under way at once where the event loop is ``LAG_GOAL_S`` behind. Where
-# it is further behind they are fewer in proportion: the more there are the longer each takes, until
-# most are given up and sent again before their answers are read.
-CALLS_AT_ONCE = 64
-# Even a process that is far behind starts something.
-FEWEST_CALLS = 8
-# Beyond the expected time of a question: hops, and the wait behind other work.
-ADVICE_SLACK_S = 1.0
+# Limit of concurrent calls to hosts when the event loop lags by ``LAG_GOAL_S``. With a longer lag
+# the limit is reduced in proportion. The more calls are open, the longer each takes, until most of
+# them time out and are retried before their answers are read.
+MAX_CONCURRENT_CALLS = 64
+# Lower bound of that limit, so that a process with a long lag still starts some tasks.
+MIN_CONCURRENT_CALLS = 8
+# Added to the expected duration of an approval request, for network hops and queueing.
+APPROVAL_TIMEOUT_MARGIN_S = 1.0
 
 
 @define(kw_only=True, eq=False)
-class Orders:
-    """The owner's calls to hosts and questions to the policy service, each in a task of its own.
+class OrderExecutor:
+    """Calls hosts and requests approvals from the policy service, each call in its own task.
 
-    :param spawn: runs a call until it ends or the term does.
+    :param spawn: runs a call in a task that ends with the term at the latest.
     """
 
     ctx: TermContext
@@ -53,34 +53,34 @@
         own = self.ctx.around.own
         self._desk = AdviceDesk(own=own.name, region=own.region)
 
-    def room(self) -> float:
-        """Return how many more tasks may be started now, ``inf`` while the process keeps up."""
+    def start_capacity(self) -> float:
+        """Return how many more tasks may be started now, ``inf`` while the lag is in its goal."""
         lag_s = self.ctx.around.lag_s()
         if lag_s <= LAG_GOAL_S:
             return math.inf
-        return max(FEWEST_CALLS, CALLS_AT_ONCE * LAG_GOAL_S / lag_s) - self._calls
+        return max(MIN_CONCURRENT_CALLS, MAX_CONCURRENT_CALLS * LAG_GOAL_S / lag_s) - self._calls
 
-    def carry_out(self, order: Order) -> None:
-        """Begin to carry out an order."""
+    def execute(self, order: Order) -> None:
+        """Start the execution of an order."""
         match order:
             case StartOrder():
                 self.spawn(self._start(order))
             case StopOrder():
-                self.spawn(self._stop_counted(order))
+                self.spawn(self._run_stop(order))
             case PaceOrder():
                 self.spawn(self._pace(order))
             case AdviceOrder():
                 job = self.ctx.dispatcher.jobs.get(order.step.job)
                 self._desk.add(order, priority=job.queue.priority if job is not None else 0)
 
-    def ask(self, members: list[Member]) -> None:
-        """Spread the questions that wait over the processes of the cell."""
+    def request_approvals(self, members: list[Member]) -> None:
+        """Distribute the queued approval requests among the processes of the cell."""
         for assignment in self._desk.assign(members):
-            self.spawn(self._ask(assignment))
+            self.spawn(self._request_approval(assignment))
 
     @contextmanager
-    def _counted(self) -> Iterator[None]:
-        """Count a call among those under way, and look for more to start when it has ended."""
+    def _counted_call(self) -> Iterator[None]:
+        """Count a call as in progress, and trigger a scheduling decision when it has ended."""
         self._calls += 1
         try:
             yield
@@ -89,13 +89,13 @@
             self.ctx.wake.set()
 
     async def _start(self, order: StartOrder) -> None:
-        with self._counted():
+        with self._counted_call():
             host = self.ctx.dispatcher.tracker.hosts[order.host]
             if not self.ctx.tenure.holds():
                 return
             await self._call_start(host, order)
             if self.ctx.dispatcher.unclear(order.host, order.task, order.attempt):
-                await self._settle(order)
+                await self._resolve_unclear_start(order)
 
     async def _call_start(self, host: Host, order: StartOrder) -> None:
         sent_at = self.ctx.now()
@@ -105,19 +105,19 @@
         self.ctx.dispatcher.start_answered(order.host, order.task, order.attempt, result, now=now)
         self.ctx.wake.set()
 
-    async def _stop_counted(self, order: StopOrder) -> None:
-        with self._counted():
+    async def _run_stop(self, order: StopOrder) -> None:
+        with self._counted_call():
             await self._stop(order)
 
-    async def _settle(self, order: StartOrder) -> None:
-        """Find out what has become of a start whose tries got no clear answer.
+    async def _resolve_unclear_start(self, order: StartOrder) -> None:
+        """Resolve a start order whose attempts got no clear answer.
 
-        It may have been carried out, or may be, some seconds later. Until that is known its task
-        can't start elsewhere. A look shows it if it runs; if not, a stop keeps it from starting
-        later, and a second look shows which of the two came first.
+        The host may have executed it, or may still do so some seconds later. Until this is
+        resolved, the task can't start elsewhere. A poll shows the run if it has started. If not,
+        a stop order prevents a later start, and a second poll shows which of the two came first.
         """
-        watch = HostWatch(ctx=self.ctx, id=order.host)
-        await watch.look_once()
+        poller = HostPoller(ctx=self.ctx, id=order.host)
+        await poller.poll_once()
         if self.ctx.dispatcher.unclear(order.host, order.task, order.attempt):
             await self._stop(
                 StopOrder(
@@ -127,13 +127,13 @@
                     reason="its start was not answered",
                 )
             )
-            await watch.look_once()
+            await poller.poll_once()
 
     async def _stop(self, order: StopOrder) -> None:
-        host = self._host(order)
+        host = self._find_host(order)
         if host is None:
             return
-        with self._failures_noted(order, self.log.stop):
+        with self._log_failures(order, self.log.stop):
             clock_s = await self.ctx.around.workers.stop(
                 host.entry, order, fence=self.ctx.tenure.fence
             )
@@ -141,28 +141,28 @@
             self.ctx.dispatcher.stop_answered(order.host, order.task, order.attempt, clock_s)
 
     async def _pace(self, order: PaceOrder) -> None:
-        """Set the pace of a run; where that fails, the next report asks for it again."""
-        host = self._host(order)
+        """Set the pace of a run; if that fails, the host's next report triggers a new order."""
+        host = self._find_host(order)
         if host is None:
             return
-        with self._failures_noted(order, self.log.pace):
+        with self._log_failures(order, self.log.pace):
             await self.ctx.around.workers.pace(host.entry, order, fence=self.ctx.tenure.fence)
             self.log.pace(order, outcome="taken")
             self.ctx.dispatcher.pace_answered(
                 order.host, order.task, order.attempt, order.percent, now=self.ctx.now()
             )
 
-    def _host(self, order: StopOrder | PaceOrder) -> Host | None:
-        """Return the host of an order, ``None`` where it may not or can't be carried out."""
+    def _find_host(self, order: StopOrder | PaceOrder) -> Host | None:
+        """Return the host of an order, ``None`` if the order may not or can't be executed."""
         if not self.ctx.tenure.holds():
             return None
         return self.ctx.dispatcher.tracker.hosts.get(order.host)
 
     @contextmanager
-    def _failures_noted(
+    def _log_failures(
         self, order: StopOrder | PaceOrder, log: Callable[..., None]
     ) -> Iterator[None]:
-        """Log that a host gave no answer, or end the tenure where it has a later owner's orders."""
+        """Log an unanswered order, or end the tenure if the host already obeys a later owner."""
         try:
             yield
         except FenceStale as exc:
@@ -170,10 +170,10 @@
         except WorkerError as exc:
             log(order, outcome=f"no answer: {exc}"[:200])
 
-    async def _ask(self, assignment: Assignment) -> None:
+    async def _request_approval(self, assignment: Assignment) -> None:
         order = assignment.order
-        asked_at = self.ctx.now()
-        timeout_s = order.cost.duration_s(len(order.hosts)) + ADVICE_SLACK_S
+        sent_at = self.ctx.now()
+        timeout_s = order.cost.duration_s(len(order.hosts)) + APPROVAL_TIMEOUT_MARGIN_S
         try:
             if (
                 assignment.member.name == self.ctx.around.own.name
@@ -187,11 +187,11 @@
                     assignment.member, order.step, order.hosts, timeout_s=timeout_s
                 )
         except WorkerError as exc:
-            self.log.advice(assignment, approved=None, reason=str(exc)[:200])
+            self.log.approval(assignment, approved=None, reason=str(exc)[:200])
             self.ctx.dispatcher.advice_failed(order, now=self.ctx.now())
         else:
             now = self.ctx.now()
-            self.log.advice(assignment, approved=len(found.approvals), took_s=now - asked_at)
+            self.log.approval(assignment, approved=len(found.approvals), took_s=now - sent_at)
             self.ctx.dispatcher.advised(
                 Advice(
                     step=order.step,
--- a/rhubarbferry/cell/owned_work.py
+++ b/rhubarbferry/cell/owned_work.py
@@ -1,4 +1,4 @@
-"""Calls to the owner of the work, in its own process or from another."""
+"""Interface that the owner of the cell offers to its own and to other processes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @frozen(kw_only=True, slots=True)
 class AcceptedJob:
-    """A job that now stands in the store.
+    """A job that has been accepted and written to the store.
 
-    :param record: the value of its request.
-    :param revision: the store's revision that holds it.
-    :param fence: the ownership that was in force at that revision.
+    :param record: stored value of its request.
+    :param revision: store revision at which it was written.
+    :param fence: fence of the ownership that was in force at that revision.
     """
 
     id: str
@@ -25,16 +25,16 @@
 
 
 class OwnedWork(Protocol):
-    """What the owner's term answers, asked in its own process or by another."""
+    """Queries and notifications that a term of ownership serves."""
 
     def pending(self, queue: str) -> int | None:
-        """Return how many jobs of a queue have not begun, or ``None`` when not known."""
+        """Return how many jobs of a queue have not started, or ``None`` if unknown."""
         ...
 
     def phase(self, id: str) -> JobPhase | None:
-        """Return the phase of a job, or ``None`` when it is not known here."""
+        """Return the phase of a job, or ``None`` if this owner has no such job."""
         ...
 
     def accepted(self, job: AcceptedJob) -> bool:
-        """Take on a job that was accepted under this ownership; return whether that is so."""
+        """Add a job that was accepted under this ownership; return whether it was added."""
         ...
--- a/rhubarbferry/cell/owner_link.py
+++ b/rhubarbferry/cell/owner_link.py
@@ -1,4 +1,4 @@
-"""Notices and questions to the owner of the work, without a call to the store."""
+"""Send notifications and queries to the owner of the cell without a call to the store."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.ports.clock import Clock
 
-ASKED = Counter("rhubarbferry_owner_questions_total", "Questions to the owner", ["outcome"])
+OWNER_REQUESTS = Counter("rhubarbferry_owner_questions_total", "Requests to the owner", ["outcome"])
 
-# A count is asked of the owner at most this often for each queue; it may be 2 s old.
-PENDING_AGE_S = 0.4
-# An owner that does not answer in time is not asked again for a while: each client would wait for
-# it in vain before the store is read.
-OWNER_S = 0.2
-OWNER_PAUSE_S = 1.0
+# A queue's pending count is cached for this long. Clients accept a count that is up to 2 s old.
+PENDING_COUNT_TTL_S = 0.4
+# Timeout of a query to the owner. After a timeout the owner is not queried again for the backoff
+# time: each client would wait for it in vain before the store is read.
+OWNER_TIMEOUT_S = 0.2
+OWNER_BACKOFF_S = 1.0
 
 
 @define(kw_only=True, eq=False)
 class OwnerLink:
-    """The way to the owner, in this process or another.
+    """Calls the owner of the cell, in this process or in another one.
 
-    :param term: this process's own term of ownership, while there is one.
+    :param term: returns this process's own term of ownership, ``None`` if it is not the owner.
     """
 
     clock: Clock
@@ -36,21 +36,21 @@
     view: CellView
     peers: PeerClient
     term: Callable[[], OwnedWork | None]
-    _counts: dict[str, tuple[float, int]] = field(factory=dict)
-    _notices: set[asyncio.Task[None]] = field(factory=set)
-    _silent_fence: int = 0
-    _ask_after: float = 0.0
+    _pending_counts: dict[str, tuple[float, int]] = field(factory=dict)
+    _notifications: set[asyncio.Task[None]] = field(factory=set)
+    _unresponsive_fence: int = 0
+    _retry_at: float = 0.0
 
     def fence(self) -> int:
-        """Return the ownership that this process knows of, 0 for none; another may be in force."""
+        """Return the fence of the last cached ownership, 0 if none; a later one may be in force."""
         return self.view.ownership.fence if self.view.ownership is not None else 0
 
     def accepted(self, job: AcceptedJob) -> None:
-        """Tell the owner of a job, without waiting.
+        """Notify the owner of an accepted job, without waiting for the reply.
 
-        The owner follows the store and sees the job there in any case. Notified at once, it starts
-        the job while its own watch may take its time: one call for many jobs in place of one
-        for each.
+        The owner also watches the store and finds the job there in any case. The notification
+        lets it start the job at once, so its watch may collect many jobs in one call instead of
+        one call for each job.
         """
         ownership = self.view.ownership
         if ownership is None or ownership.fence != job.fence:
@@ -59,16 +59,16 @@
         if term is not None:
             term.accepted(job)
         elif ownership.owner.name != self.own.name:
-            notice = asyncio.create_task(self._tell(ownership.owner, job))
-            self._notices.add(notice)
-            notice.add_done_callback(self._notices.discard)
+            notification = asyncio.create_task(self._notify(ownership.owner, job))
+            self._notifications.add(notification)
+            notification.add_done_callback(self._notifications.discard)
 
-    async def _tell(self, owner: Member, job: AcceptedJob) -> None:
+    async def _notify(self, owner: Member, job: AcceptedJob) -> None:
         taken = await self.peers.job_accepted(owner, job)
-        ASKED.labels("notified" if taken else "not notified").inc()
+        OWNER_REQUESTS.labels("notified" if taken else "not notified").inc()
 
     async def phase(self, id: str) -> JobPhase | None:
-        """Return the phase of a job as the owner knows it, or ``None`` when it can't say."""
+        """Return the phase of a job from the owner, or ``None`` if the owner can't report it."""
         term = self.term()
         if term is not None:
             return term.phase(id)
@@ -76,31 +76,31 @@
         if ownership is None or ownership.owner.name == self.own.name:
             return None
         now = self.clock.monotonic()
-        if ownership.fence == self._silent_fence and now < self._ask_after:
+        if ownership.fence == self._unresponsive_fence and now < self._retry_at:
             return None
-        found = await self.peers.owned_phase(ownership.owner, id, timeout_s=OWNER_S)
+        found = await self.peers.owned_phase(ownership.owner, id, timeout_s=OWNER_TIMEOUT_S)
         if isinstance(found, Silence):
-            self._silent_fence = ownership.fence
-            self._ask_after = now + OWNER_PAUSE_S
-            ASKED.labels("no answer").inc()
+            self._unresponsive_fence = ownership.fence
+            self._retry_at = now + OWNER_BACKOFF_S
+            OWNER_REQUESTS.labels("no answer").inc()
             return None
-        ASKED.labels("not known" if found is None else "known").inc()
+        OWNER_REQUESTS.labels("not known" if found is None else "known").inc()
         return found
 
     async def pending(self, queue: str) -> int | None:
-        """Return how many jobs of a queue have not begun, or ``None`` when nobody can say."""
+        """Return how many jobs of a queue have not started, or ``None`` if unknown."""
         term = self.term()
         count = term.pending(queue) if term is not None else None
         if count is not None:
             return count
         now = self.clock.monotonic()
-        known = self._counts.get(queue)
-        if known is not None and now - known[0] < PENDING_AGE_S:
-            return known[1]
+        cached = self._pending_counts.get(queue)
+        if cached is not None and now - cached[0] < PENDING_COUNT_TTL_S:
+            return cached[1]
         ownership = self.view.ownership
         if ownership is None:
             return None
         count = await self.peers.pending(ownership.owner, queue)
         if count is not None:
-            self._counts[queue] = (now, count)
+            self._pending_counts[queue] = (now, count)
         return count
--- a/rhubarbferry/cell/owner_watch.py
+++ b/rhubarbferry/cell/owner_watch.py
@@ -1,4 +1,4 @@
-"""Find out soon when the process that owns the work has died or stands still."""
+"""Detect an owner that has died or is frozen before its lease expires."""
 
 from __future__ import annotations
 
@@ -7,40 +7,40 @@
 
 from attrs import define, field
 
-from rhubarbferry.cell.candidate import TURN_S
+from rhubarbferry.cell.candidate import ELECTION_STAGGER_S
 from rhubarbferry.cell.logs import EventLog
 from rhubarbferry.cell.members import CellView, Member, Ownership, successors
 from rhubarbferry.cell.peers import PeerClient, Reach
 from rhubarbferry.ports.clock import Clock
 
-# Between two pings of the owner.
-PING_S = 0.25
-# A round trip between regions, and time for a busy process.
+# Interval between two pings of the owner.
+PING_INTERVAL_S = 0.25
+# Covers a round trip between regions and the delay of a busy process.
 PING_TIMEOUT_S = 0.3
-# After a ping without an answer, before the next.
-AGAIN_S = 0.05
-# So many pings in a row without an answer: one may be lost with its connection.
-MISSES = 2
-# An owner that has begun within this time may leave so many pings unanswered.
-NEW_OWNER_S = 2.0
-NEW_OWNER_MISSES = 4
-# So many processes watch the owner, the first ones in the order of succession.
-WATCHERS = 3
-# How many others are asked, to see that it is not this process that is cut off.
-OTHERS_ASKED = 2
+# Pause after an unanswered ping.
+PING_RETRY_INTERVAL_S = 0.05
+# The owner counts as unresponsive after this many consecutive unanswered pings. A single ping may
+# be lost with its connection.
+MAX_MISSED_PINGS = 2
+# An owner whose term started within this period may miss more pings.
+NEW_OWNER_PERIOD_S = 2.0
+NEW_OWNER_MAX_MISSED_PINGS = 4
+# Number of processes that ping the owner: the first ones in the order of succession.
+MONITOR_COUNT = 3
+# Number of other members to ping, to check that it is not this process that is disconnected.
+CONNECTIVITY_PROBES = 2
 
 
 @define(kw_only=True, eq=False)
 class OwnerWatch:
-    """Pings the owner, and replaces its key when it does not answer.
+    """Pings the owner and replaces it when it does not answer.
 
-    The key of an owner that was killed, lost its power or stands still stays until its lease has
-    ended. No task starts for 1.2 to 1.5 s then; found by pings, that is 0.3 s for one that was
-    killed, whose host refuses connections, and 0.6 to 0.9 s for a silent one. No proof of its
-    death is needed: the work may be taken from a live owner too, which costs one change of the
-    owner that was not due.
+    When an owner is killed, loses power or freezes, its key exists until its lease expires, and no
+    task starts for 1.2 to 1.5 s. Pings reduce this to 0.3 s for a killed owner, whose host refuses
+    connections, and to 0.6 to 0.9 s for an unresponsive one. The owner need not be proven dead:
+    replacing a live owner is safe and costs only one unnecessary change of the owner.
 
-    :param replace: takes the work from the given owner; returns whether that is done.
+    :param replace: replaces the given owner by this process; returns whether it succeeded.
     """
 
     clock: Clock
@@ -51,76 +51,81 @@
     replace: Callable[[Ownership], Awaitable[bool]]
     _fence: int = 0
     _changed_at: float = float("-inf")
-    _watchers: list[str] = field(factory=list)
-    _watchers_of: tuple[int, int] | None = None
+    _monitors: list[str] = field(factory=list)
+    _monitors_version: tuple[int, int] | None = None
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Monitor the owner until cancelled."""
         while True:
             ownership = self.view.ownership
-            self.note_owner(ownership)
-            place = self.place(ownership) if ownership is not None else None
-            if ownership is None or place is None:
-                await self.clock.sleep(PING_S)
-            elif await self._is_gone(ownership):
-                await self._replace(ownership, place)
-
-    def place(self, ownership: Ownership) -> int | None:
-        """Return this process's place among those that watch, ``None`` when it does not."""
-        # Each process asks several times a second, and the order takes longer to find the more
-        # members there are.
-        seen = (ownership.fence, self.view.version)
-        if seen != self._watchers_of:
-            self._watchers_of = seen
-            found = successors(ownership.owner, self.view)[:WATCHERS]
-            self._watchers = [member.name for member in found]
-        return self._watchers.index(self.own.name) if self.own.name in self._watchers else None
-
-    def note_owner(self, ownership: Ownership | None) -> None:
-        """Note when the owner has changed."""
+            self.record_owner(ownership)
+            position = self.position(ownership) if ownership is not None else None
+            if ownership is None or position is None:
+                await self.clock.sleep(PING_INTERVAL_S)
+            elif await self._is_unresponsive(ownership):
+                await self._replace(ownership, position)
+
+    def position(self, ownership: Ownership) -> int | None:
+        """Return this process's position among the monitors, ``None`` if it is not one."""
+        # Cached, because each process calls this several times a second and sorting takes longer
+        # the more members there are.
+        version = (ownership.fence, self.view.version)
+        if version != self._monitors_version:
+            self._monitors_version = version
+            found = successors(ownership.owner, self.view)[:MONITOR_COUNT]
+            self._monitors = [member.name for member in found]
+        return self._monitors.index(self.own.name) if self.own.name in self._monitors else None
+
+    def record_owner(self, ownership: Ownership | None) -> None:
+        """Record the time of a change of the owner."""
         if ownership is None or ownership.fence == self._fence:
             return
         if self._fence:
             self._changed_at = self.clock.monotonic()
         self._fence = ownership.fence
 
-    def patience(self) -> int:
-        """Return how many pings in a row a silent owner may leave unanswered.
+    def max_missed_pings(self) -> int:
+        """Return after how many consecutive missed pings the owner counts as unresponsive.
 
-        One that has just begun reads a backlog and connects to all hosts, and on a busy processor
-        it is slow to answer meanwhile. Replaced each time for that, one owner after the other would
-        begin and none would ever get to work.
+        A new owner reads the backlog and connects to all hosts. On a busy processor it answers
+        slowly meanwhile. If it were replaced for that, each new owner would be replaced in turn
+        and none would ever schedule a job.
         """
-        is_new = self.clock.monotonic() - self._changed_at < NEW_OWNER_S
-        return NEW_OWNER_MISSES if is_new else MISSES
+        is_new = self.clock.monotonic() - self._changed_at < NEW_OWNER_PERIOD_S
+        return NEW_OWNER_MAX_MISSED_PINGS if is_new else MAX_MISSED_PINGS
 
-    async def _is_gone(self, ownership: Ownership) -> bool:
-        """Return whether the owner has stopped to answer; ask it once where it does."""
+    async def _is_unresponsive(self, ownership: Ownership) -> bool:
+        """Return whether the owner has stopped responding.
+
+        A responsive owner is pinged once, followed by the ping interval.
+        """
         refused = unanswered = 0
-        while refused < MISSES and unanswered < self.patience():
+        while refused < MAX_MISSED_PINGS and unanswered < self.max_missed_pings():
             match await self._ping(ownership.owner):
                 case Reach.ANSWERED:
-                    await self.clock.sleep(PING_S)
+                    await self.clock.sleep(PING_INTERVAL_S)
                     return False
                 case Reach.REFUSED:
                     refused += 1
             unanswered += 1
-            await self.clock.sleep(AGAIN_S)
+            await self.clock.sleep(PING_RETRY_INTERVAL_S)
             if self.view.ownership is None or self.view.ownership.fence != ownership.fence:
                 return False
-        return await self._another_answers(ownership.owner)
+        return await self._is_connected(ownership.owner)
 
-    async def _another_answers(self, owner: Member) -> bool:
+    async def _is_connected(self, owner: Member) -> bool:
         names = (owner.name, self.own.name)
-        others = [m for m in self.view.members.values() if m.name not in names][:OTHERS_ASKED]
+        others = [m for m in self.view.members.values() if m.name not in names][
+            :CONNECTIVITY_PROBES
+        ]
         found = await asyncio.gather(*(self._ping(member) for member in others))
         return not others or Reach.ANSWERED in found
 
     async def _ping(self, member: Member) -> Reach:
         return await self.peers.ping(member, timeout_s=PING_TIMEOUT_S)
 
-    async def _replace(self, ownership: Ownership, place: int) -> None:
-        await self.clock.sleep(place * TURN_S)
+    async def _replace(self, ownership: Ownership, position: int) -> None:
+        await self.clock.sleep(position * ELECTION_STAGGER_S)
         if self.view.ownership is None or self.view.ownership.fence != ownership.fence:
             return
         taken = await self.replace(ownership)
--- a/rhubarbferry/cell/recorder.py
+++ b/rhubarbferry/cell/recorder.py
@@ -1,4 +1,4 @@
-"""Write what has become of jobs to the store, before hosts may forget the ends of tasks."""
+"""Write the states of jobs to the store, before hosts may discard the ends of tasks."""
 
 from __future__ import annotations
 
@@ -22,27 +22,28 @@
     Txn,
 )
 
-RECORDED = Counter("rhubarbferry_job_states_recorded_total", "States of jobs written")
+STATES_RECORDED = Counter("rhubarbferry_job_states_recorded_total", "Job states written")
 RECORD_SECONDS = Histogram(
     "rhubarbferry_job_state_record_seconds",
-    "From the change of a job to its being on record",
+    "Time to write a batch of changed job states",
     buckets=(0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10),
 )
 
-# A transaction takes 32 entries: the owner's key, and for each job a condition, a write and, when
-# the job has ended, the removal of its former state.
+# A transaction holds at most 32 entries: the owner's key, and for each job a condition, a write
+# and, if the job has ended, the deletion of its former state.
 JOBS_PER_TXN = 10
-# Ends of jobs within this time share a transaction. Clients of ended jobs wait for it.
-GATHER_S = 0.02
-# Other changes wait this long for company: no client sees them, and the hosts keep the ends
-# until they are on record.
-PATIENCE_S = 0.15
-RETRY_S = 0.15
+# Jobs that end within this time share a transaction. It is short because the clients of these jobs
+# wait for the write.
+BATCH_WINDOW_S = 0.02
+# Other changes may wait this long to be written in one batch. No client sees them, and the hosts
+# keep the ends of tasks until they are recorded.
+MAX_BATCH_DELAY_S = 0.15
+WRITE_RETRY_INTERVAL_S = 0.15
 
 
 @frozen(kw_only=True, slots=True)
 class _Snapshot:
-    """A job's state as it is being written."""
+    """Encoded state of a job at the time of a write."""
 
     job: Job
     value: bytes
@@ -51,44 +52,45 @@
 
 @define(kw_only=True, eq=False)
 class Recorder:
-    """Write dirty jobs, then let hosts forget the ends that these writes cover."""
+    """Writes changed jobs, then lets hosts discard the task ends that these writes cover."""
 
     ctx: TermContext
 
     async def run(self) -> None:
         """Write until cancelled.
 
-        :raises OwnershipLost: when another process owns the work.
+        :raises OwnershipLost: if another process is the owner.
         """
         while True:
             await self.ctx.record.wait()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.ctx.job_ended.wait(), PATIENCE_S)
-            await asyncio.sleep(GATHER_S)
+                await asyncio.wait_for(self.ctx.job_ended.wait(), MAX_BATCH_DELAY_S)
+            await asyncio.sleep(BATCH_WINDOW_S)
             self.ctx.record.clear()
             self.ctx.job_ended.clear()
             if not await self.flush():
                 self.ctx.record.set()
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
 
     async def flush(self) -> bool:
-        """Write all that is dirty now; return whether all of it stands in the store."""
+        """Write all jobs that have changed; return whether all of them are stored."""
         dispatcher = self.ctx.dispatcher
         jobs = list(dispatcher.dirty.values())
         dispatcher.dirty.clear()
-        # Ends that were worked in by now show in these states, or need none.
+        # These states cover all task ends that the dispatcher has processed so far, except ends
+        # that change no state.
         seen = [(host, host.entry, host.seen_end) for host in dispatcher.tracker.hosts.values()]
         snapshots = [
             _Snapshot(job=job, value=encode_state(job), final=job.phase.final) for job in jobs
         ]
-        begun = self.ctx.now()
+        started_at = self.ctx.now()
         groups = [
             snapshots[start : start + JOBS_PER_TXN]
             for start in range(0, len(snapshots), JOBS_PER_TXN)
         ]
         written = await asyncio.gather(*(self._write(group) for group in groups))
         if groups:
-            RECORD_SECONDS.observe(self.ctx.now() - begun)
+            RECORD_SECONDS.observe(self.ctx.now() - started_at)
         if not all(written):
             return False
         for host, entry, end in seen:
@@ -97,67 +99,68 @@
         return True
 
     async def _write(self, group: list[_Snapshot]) -> bool:
-        """Write a few states in one transaction; return whether they stand in the store."""
+        """Write a group of states in one transaction; return whether they are stored."""
         self.ctx.tenure.check()
         expect = [self.ctx.tenure.condition()]
         put = []
         delete = []
-        for shot in group:
-            key = keys.STATES + shot.job.id
-            expect.append(Expect(key=key, revision=shot.job.record_revision))
-            if shot.final:
-                put.append(Put(key=keys.ENDED + shot.job.id, value=shot.value))
+        for snapshot in group:
+            key = keys.STATES + snapshot.job.id
+            expect.append(Expect(key=key, revision=snapshot.job.record_revision))
+            if snapshot.final:
+                put.append(Put(key=keys.ENDED + snapshot.job.id, value=snapshot.value))
                 delete.append(key)
             else:
-                put.append(Put(key=key, value=shot.value))
+                put.append(Put(key=key, value=snapshot.value))
         txn = Txn(expect=tuple(expect), put=tuple(put), delete=tuple(delete))
         try:
             result = await self.ctx.around.store.commit(txn)
         except StoreError as exc:
-            # Unclear or refused: the jobs stay dirty. Each write has the key's last revision as
-            # a condition, so an old one that is carried out late can't undo a newer one.
-            self._again(group, type(exc).__name__)
+            # The result is unknown or the write was refused, so the jobs stay dirty. Each write is
+            # conditional on the key's last revision, so a delayed write can't overwrite a newer
+            # one.
+            self._retry_later(group, type(exc).__name__)
             if isinstance(exc, StoreRateLimited):
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
             return False
         match result:
             case Committed(revision=revision):
-                self._note_committed(group, revision)
+                self._mark_recorded(group, revision)
                 return True
             case Conflict():
-                self._conflict(group, result)
+                self._handle_conflict(group, result)
         return False
 
-    def _note_committed(self, group: list[_Snapshot], revision: int) -> None:
-        for shot in group:
-            shot.job.record_revision = revision
-            RECORDED.inc()
+    def _mark_recorded(self, group: list[_Snapshot], revision: int) -> None:
+        for snapshot in group:
+            snapshot.job.record_revision = revision
+            STATES_RECORDED.inc()
             self.ctx.around.log.emit(
                 "job.recorded",
-                job=shot.job.id,
-                phase=shot.job.phase.value,
+                job=snapshot.job.id,
+                phase=snapshot.job.phase.value,
                 revision=revision,
                 outcome="on record",
             )
-            if shot.final:
-                self.ctx.dispatcher.recorded(shot.job)
-                self.ctx.removable.append(shot.job.id)
+            if snapshot.final:
+                self.ctx.dispatcher.recorded(snapshot.job)
+                self.ctx.removable.append(snapshot.job.id)
 
-    def _conflict(self, group: list[_Snapshot], conflict: Conflict) -> None:
+    def _handle_conflict(self, group: list[_Snapshot], conflict: Conflict) -> None:
         owner = conflict.items.get(keys.OWNER)
         if owner is None or owner.mod_revision != self.ctx.tenure.fence:
             self.ctx.tenure.end("another process has taken over")
             raise OwnershipLost("another process has taken over")
-        for shot in group:
-            item = conflict.items.get(keys.STATES + shot.job.id)
-            # Only the owner writes states once a job is accepted, so what stands there is an
-            # earlier write of this process whose answer was lost.
-            shot.job.record_revision = item.mod_revision if item is not None else 0
-        self._again(group, "an earlier write had taken effect")
-
-    def _again(self, group: list[_Snapshot], reason: str) -> None:
-        for shot in group:
-            self.ctx.dispatcher.dirty.setdefault(shot.job.id, shot.job)
+        for snapshot in group:
+            item = conflict.items.get(keys.STATES + snapshot.job.id)
+            # Once a job is accepted, only the owner writes its state. The stored value is therefore
+            # an earlier write by this process whose answer was lost.
+            snapshot.job.record_revision = item.mod_revision if item is not None else 0
+        self._retry_later(group, "an earlier write had taken effect")
+
+    def _retry_later(self, group: list[_Snapshot], reason: str) -> None:
+        for snapshot in group:
+            self.ctx.dispatcher.dirty.setdefault(snapshot.job.id, snapshot.job)
         self.ctx.around.log.emit(
-            "job.not_recorded", jobs=[shot.job.id for shot in group], reason=reason
+            "job.not_recorded", jobs=[snapshot.job.id for snapshot in group], reason=reason
         )
--- a/rhubarbferry/cell/roster.py
+++ b/rhubarbferry/cell/roster.py
@@ -1,4 +1,4 @@
-"""The hosts that owners have given orders to, on record for the next owner."""
+"""Stored list of the hosts that owners have sent orders to, kept for the next owner."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @define(kw_only=True, eq=False)
 class Roster:
-    """The recorded hosts. A host gets no order before it stands here.
+    """The stored roster. A host gets no orders before it is on it.
 
-    The host list forgets a host that has been silent for some seconds, yet its tasks run on
-    until their leases end. Without this record a new owner could not know of it, and would
-    start its tasks a second time.
+    The host list drops a host that has been unresponsive for some seconds, but the host's tasks
+    run on until their leases expire. Without the roster a new owner would not find this host and
+    would start its tasks a second time.
     """
 
     store: TxnStore
@@ -28,7 +28,7 @@
     revision: int = 0
 
     def load(self, item: KeyValue | None) -> None:
-        """Take in what an earlier owner has written."""
+        """Load the roster that an earlier owner has written."""
         if item is None:
             return
         self.revision = item.mod_revision
@@ -36,14 +36,15 @@
         self.entries = {row.id: row for row in rows}
 
     def holds(self, id: str) -> bool:
-        """Tell whether a host stands on the roster."""
+        """Return whether a host is on the roster."""
         return id in self.entries
 
     async def update(self, entries: dict[str, RosterEntry]) -> bool:
-        """Write the roster if it is another one; return whether it stands on record.
+        """Write the roster if it has changed.
 
-        :raises StoreError: when it may not have been written.
-        :raises OwnershipLost: when another process owns the work.
+        :returns: whether the store now holds these entries.
+        :raises StoreError: if the write failed or its result is unknown.
+        :raises OwnershipLost: if another process is the owner.
         """
         if entries == self.entries:
             return True
@@ -58,16 +59,16 @@
             )
         )
         if isinstance(result, Conflict):
-            self._conflict(result)
+            self._handle_conflict(result)
             return False
         self.revision = result.revision
         self.entries = entries
         return True
 
-    def _conflict(self, conflict: Conflict) -> None:
+    def _handle_conflict(self, conflict: Conflict) -> None:
         owner = conflict.items.get(keys.OWNER)
         if owner is None or owner.mod_revision != self.tenure.fence:
             self.tenure.end("another process has taken over")
             raise OwnershipLost("another process has taken over")
-        # A write of ours whose answer was lost has taken effect after all.
+        # An earlier write by this process took effect although its answer was lost.
         self.load(conflict.items.get(keys.ROSTER))
--- a/rhubarbferry/cell/term.py
+++ b/rhubarbferry/cell/term.py
@@ -1,4 +1,4 @@
-"""One term of ownership: load what is on record, adopt the hosts, then decide."""
+"""Run one term of ownership: load the stored state, adopt the hosts, schedule tasks."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from rhubarbferry.cell.context import OwnershipLost, Surroundings, Tenure, TermContext
 from rhubarbferry.cell.decision_log import DecisionLog
 from rhubarbferry.cell.hand_over import hand_over
-from rhubarbferry.cell.host_watch import HostWatch
+from rhubarbferry.cell.host_watch import HostPoller
 from rhubarbferry.cell.inbox import Inbox
-from rhubarbferry.cell.lease import TTL_S
+from rhubarbferry.cell.lease import LEASE_TTL_S
 from rhubarbferry.cell.members import Member, successors
-from rhubarbferry.cell.orders import Orders
+from rhubarbferry.cell.orders import OrderExecutor
 from rhubarbferry.cell.owned_work import AcceptedJob
 from rhubarbferry.cell.recorder import Recorder
 from rhubarbferry.cell.roster import Roster
@@ -29,34 +29,36 @@
 from rhubarbferry.dispatch.succession import Succession
 from rhubarbferry.ports.store import StoreError
 
-# At most this long between two decisions, for what depends on time alone.
-TICK_S = 0.1
-# After a decision, events within this time share the next one.
-GATHER_S = 0.004
-# At least so many times as long as the decision took, so that the answers of hosts and the calls of
-# other processes get their share of a small processor.
-GATHER_FACTOR = 2.0
-# Between two reads of the host list. A draining host must get no task soon after it says so.
-DIRECTORY_S = 0.5
-# Waiting steps are looked at anew this often, should a change have been missed.
-REVIEW_S = 1.0
-RETRY_S = 0.2
-# An owner that has not read the work by then, though the store answers it, passes the work on.
-LOAD_S = 3.0
-# Between two looks at whether the store still answers this process.
-REACH_LOOK_S = 0.1
-# After the first process that can take the work over, wait this long for a better one: a round trip
-# between regions and one to the store.
-BETTER_S = 0.1
-# A host of the roster gets no new task before the host list has shown its capacity.
-_NO_ROOM = Sizes()
+# Longest interval between two scheduling decisions, because some changes (leases, deadlines) depend
+# only on the time and raise no event.
+MAX_DECISION_INTERVAL_S = 0.1
+# Events that arrive within this time after a decision are handled together by the next one.
+DECISION_BATCH_WINDOW_S = 0.004
+# The pause after a decision is at least this multiple of the time that the decision took. This
+# leaves processor time on a small host for the replies of hosts and the calls of other processes.
+DECISION_PAUSE_FACTOR = 2.0
+# Interval between two reads of the host list. It is short because a host that reports that it is
+# draining must soon get no new tasks.
+HOST_LIST_INTERVAL_S = 0.5
+# All waiting steps are re-evaluated at this interval, in case the event for a change was missed.
+STEP_RECHECK_INTERVAL_S = 1.0
+LOAD_RETRY_INTERVAL_S = 0.2
+# An owner that reaches the store and has still not loaded the jobs after this time hands them over.
+LOAD_TIMEOUT_S = 3.0
+# Interval between two checks that the store still answers this process.
+STORE_CHECK_INTERVAL_S = 0.1
+# Once one process can take over, wait this long for a better one to answer: one round trip between
+# regions plus one to the store.
+BETTER_SUCCESSOR_WAIT_S = 0.1
+# Capacity of a host on the roster until the host list reports the real one: it gets no new tasks.
+_NO_CAPACITY = Sizes()
 
 
 @define(kw_only=True, eq=False)
 class Term:
-    """Owns the work of the cell until the ownership is lost or given up.
+    """Schedules the jobs of the cell until the ownership is lost or given up.
 
-    :ivar overloaded: whether it has passed the work on since it could not load it in time.
+    :ivar overloaded: whether the jobs were handed over because loading them took too long.
     """
 
     around: Surroundings
@@ -66,10 +68,10 @@
     _inbox: Inbox = field(init=False)
     _recorder: Recorder = field(init=False)
     _log: DecisionLog = field(init=False)
-    _orders: Orders = field(init=False)
+    _executor: OrderExecutor = field(init=False)
     _tasks: asyncio.TaskGroup = field(init=False)
-    _watched: set[str] = field(factory=set)
-    _reviewed_at: float = 0.0
+    _polled_hosts: set[str] = field(factory=set)
+    _rechecked_at: float = 0.0
     _took_over_at: float = field(init=False)
     _settled: bool = False
     overloaded: bool = False
@@ -78,7 +80,10 @@
         self._took_over_at = self.around.clock.monotonic()
         lease_s = self.around.cfg.bounds.task_lease_s
         succession = Succession(
-            lapsed_at=self._took_over_at + TTL_S + lease_s * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_S
+            lapsed_at=self._took_over_at
+            + LEASE_TTL_S
+            + lease_s * (1 + CLOCK_DRIFT)
+            + LAPSE_MARGIN_S
         )
         self.ctx = TermContext(
             around=self.around,
@@ -89,19 +94,19 @@
         self._inbox = Inbox(ctx=self.ctx)
         self._recorder = Recorder(ctx=self.ctx)
         self._log = DecisionLog(log=self.around.log)
-        self._orders = Orders(ctx=self.ctx, log=self._log, spawn=self._spawn)
+        self._executor = OrderExecutor(ctx=self.ctx, log=self._log, spawn=self._spawn)
 
     def pending(self, queue: str) -> int | None:
-        """Return how many jobs of a queue have not begun, or ``None`` when that is not known."""
+        """Return how many jobs of a queue have not started, or ``None`` if unknown."""
         if not self.tenure.holds() or not self._inbox.loaded:
             return None
         return self.ctx.dispatcher.pending(queue)
 
     def phase(self, id: str) -> JobPhase | None:
-        """Return the phase of a job, or ``None`` when it is not known here.
+        """Return the phase of a job, or ``None`` if this owner has no such job.
 
-        An end counts once it stands in the store: shown any earlier, a job could be complete
-        for its client and be run again by the next owner.
+        A final phase is reported only once it is stored. Otherwise a client could see a job as
+        complete and the next owner could run it again.
         """
         if not self.tenure.holds() or not self._inbox.loaded:
             return None
@@ -112,57 +117,60 @@
         return JobPhase.RUNNING if job.phase.final else job.phase
 
     def accepted(self, job: AcceptedJob) -> bool:
-        """Take on a job that was accepted under this ownership; return whether that is so."""
+        """Add a job that was accepted under this ownership.
+
+        :returns: whether the job was added.
+        """
         return self._inbox.accepted(job)
 
     async def run(self) -> None:
-        """Own the work; return when that has ended."""
+        """Run the term; return when the ownership has ended."""
         try:
-            await self._load_or_pass_on()
+            await self._load_or_hand_over()
             async with asyncio.TaskGroup() as self._tasks:
                 self._spawn(self._inbox.run())
                 self._spawn(self._recorder.run())
                 cleaner = Cleaner(ctx=self.ctx, without_state=self._inbox.without_state)
                 self._spawn(cleaner.run())
-                self._spawn(self._follow_directory())
-                self._spawn(self._hand_over_if_cut_off())
-                await self._decide_forever()
+                self._spawn(self._follow_host_list())
+                self._spawn(self._hand_over_if_disconnected())
+                await self._run_decisions()
         except* OwnershipLost as lost:
             self.tenure.end(str(lost.exceptions[0]))
 
-    async def finish(self) -> None:
-        """Write what is still unwritten, before the ownership is handed over."""
+    async def flush(self) -> None:
+        """Write all changed job states to the store before the ownership is released."""
         try:
             await self._recorder.flush()
         except OwnershipLost as exc:
             self.around.log.emit("term.unfinished", reason=str(exc))
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        self._tasks.create_task(work)
+    def _spawn(self, call: Coroutine[Any, Any, None]) -> None:
+        self._tasks.create_task(call)
 
-    async def _load_or_pass_on(self) -> None:
-        """Read what is on record.
+    async def _load_or_hand_over(self) -> None:
+        """Load the stored state, or hand over to another process if that takes too long.
 
-        A host whose link or processor is too small for it would read without end, and extend its
-        ownership all the while, so that no job starts.
+        On a host whose link or processor is too small, loading could go on forever. The process
+        would keep renewing its ownership meanwhile, and no job would start.
         """
         loading = asyncio.create_task(self._load())
         try:
             while not loading.done():
-                await asyncio.wait({loading}, timeout=LOAD_S)
+                await asyncio.wait({loading}, timeout=LOAD_TIMEOUT_S)
                 if not loading.done() and self.around.keeper.fresh():
-                    await self._pass_on()
+                    await self._hand_over()
                 self.tenure.check()
             await loading
         finally:
             loading.cancel()
             await asyncio.gather(loading, return_exceptions=True)
 
-    async def _pass_on(self) -> None:
+    async def _hand_over(self) -> None:
         member = await hand_over(self.around, self.tenure)
         if member is not None:
             self.overloaded = True
-            self.tenure.end(f"not loaded after {LOAD_S} s; passed on to {member.name}")
+            self.tenure.end(f"not loaded after {LOAD_TIMEOUT_S} s; passed on to {member.name}")
 
     async def _load(self) -> None:
         while True:
@@ -175,7 +183,7 @@
                 break
             except StoreError as exc:
                 self.around.log.emit("term.not_loaded", reason=str(exc))
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(LOAD_RETRY_INTERVAL_S)
         succession = self.ctx.dispatcher.succession
         succession.unconfirmed = dict(self._roster.entries)
         self.around.log.emit(
@@ -185,85 +193,86 @@
             hosts=len(succession.unconfirmed),
         )
 
-    async def _hand_over_if_cut_off(self) -> None:
-        """Give the work to a process that reaches the store, when this one does not.
+    async def _hand_over_if_disconnected(self) -> None:
+        """Hand over to a process that reaches the store when this one does not.
 
-        The store may turn this process away while it serves others. New jobs are then not seen
-        here, and without a hand-over nobody starts them until the lease has ended.
+        The store may be unreachable for this process only. This process then sees no new jobs,
+        and without a handover no process would start them until its lease expires.
         """
         while True:
-            await asyncio.sleep(REACH_LOOK_S)
+            await asyncio.sleep(STORE_CHECK_INTERVAL_S)
             if self.around.keeper.fresh():
                 continue
-            member = await self._one_that_reaches_the_store()
+            member = await self._find_connected_successor()
             if member is not None and not self.around.keeper.fresh():
-                # From here on this process must not act, whatever the other one answers.
+                # This process must not act from here on, whatever the other process answers.
                 self.tenure.end(f"the store does not answer; handing over to {member.name}")
                 await self.around.peers.take_over(member, self.tenure.fence)
                 self.tenure.check()
 
-    async def _one_that_reaches_the_store(self) -> Member | None:
-        """Ask all other processes at once; return the best of those that the store answers now.
+    async def _find_connected_successor(self) -> Member | None:
+        """Query all other processes concurrently; return the best one that reaches the store.
 
-        The first to answer is likely an idle one on a weak host. The work would be too much for
-        it, and nothing starts until it is found silent: three to four seconds.
+        The first process to answer is likely an idle one on a small host. It would be overloaded
+        as the owner, and no job would start until the others find it unresponsive: three to four
+        seconds.
         """
-        others = successors(self.around.own, self.around.view)
-        asking = [asyncio.create_task(self.around.peers.store_reached(m)) for m in others]
-        pending = set(asking)
+        candidates = successors(self.around.own, self.around.view)
+        checks = [asyncio.create_task(self.around.peers.store_reached(m)) for m in candidates]
+        pending = set(checks)
         try:
             reached = False
             while pending and not reached:
                 done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
                 reached = any(task.result() for task in done)
             if pending:
-                await asyncio.wait(pending, timeout=BETTER_S)
-            for member, task in zip(others, asking, strict=True):
+                await asyncio.wait(pending, timeout=BETTER_SUCCESSOR_WAIT_S)
+            for member, task in zip(candidates, checks, strict=True):
                 if task.done() and task.result():
                     return member
         finally:
-            for task in asking:
+            for task in checks:
                 task.cancel()
         return None
 
     # ------------------------------------------------------------ hosts
 
-    async def _follow_directory(self) -> None:
-        self._watch_roster()
+    async def _follow_host_list(self) -> None:
+        self._poll_roster_hosts()
         while True:
             try:
-                await self._read_directory()
+                await self._read_host_list()
             except StoreError as exc:
                 self.around.log.emit("hosts.not_read", reason=str(exc))
-            await asyncio.sleep(DIRECTORY_S)
+            await asyncio.sleep(HOST_LIST_INTERVAL_S)
 
-    def _watch_roster(self) -> None:
-        """Ask the hosts of the roster at once: they may run tasks of an earlier owner."""
+    def _poll_roster_hosts(self) -> None:
+        """Start polling the hosts on the roster: they may run tasks of an earlier owner."""
         for known in self._roster.entries.values():
             entry = HostEntry(
                 id=known.id,
                 incarnation=known.incarnation,
                 service=known.service,
                 address=known.address,
-                capacity=_NO_ROOM,
+                capacity=_NO_CAPACITY,
             )
             self.ctx.dispatcher.host_listed(entry, now=self.ctx.now())
-            self._watch(known.id)
+            self._start_polling(known.id)
         follow_record(self._roster.entries, self.ctx.dispatcher.tracker.hosts)
 
-    async def _read_directory(self) -> None:
+    async def _read_host_list(self) -> None:
         entries = {entry.id: entry for entry in await self.around.directory.hosts()}
         hosts = self.ctx.dispatcher.tracker.hosts
         await self._update_roster(entries)
         now = self.ctx.now()
         for entry in entries.values():
             if self._roster.holds(entry.id):
-                self._note_phase(entry)
+                self._log_listed_phase(entry)
                 new = entry.id not in hosts
                 self.ctx.dispatcher.host_listed(entry, now=now)
                 if new:
                     follow_record({entry.id: self._roster.entries[entry.id]}, hosts)
-                self._watch(entry.id)
+                self._start_polling(entry.id)
         for id, host in hosts.items():
             if id not in entries and host.listed:
                 self.around.log.emit("host.unlisted", host=id, runs=len(host.runs))
@@ -279,7 +288,7 @@
         if await self._roster.update(entries):
             follow_record(entries, hosts)
 
-    def _note_phase(self, entry: HostEntry) -> None:
+    def _log_listed_phase(self, entry: HostEntry) -> None:
         known = self.ctx.dispatcher.tracker.hosts.get(entry.id)
         if known is None or known.entry.phase is not entry.phase:
             self.around.log.emit(
@@ -290,37 +299,37 @@
                 remaining_s=entry.remaining_s,
             )
 
-    def _watch(self, id: str) -> None:
-        if id in self._watched:
+    def _start_polling(self, id: str) -> None:
+        if id in self._polled_hosts:
             return
-        self._watched.add(id)
-        self._spawn(self._watch_host(id))
+        self._polled_hosts.add(id)
+        self._spawn(self._poll_host(id))
 
-    async def _watch_host(self, id: str) -> None:
+    async def _poll_host(self, id: str) -> None:
         try:
-            await HostWatch(ctx=self.ctx, id=id).run()
+            await HostPoller(ctx=self.ctx, id=id).run()
         finally:
-            self._watched.discard(id)
+            self._polled_hosts.discard(id)
 
-    # ------------------------------------------------------------ decisions
+    # ------------------------------------------------------------ scheduling decisions
 
-    async def _decide_forever(self) -> None:
+    async def _run_decisions(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(TICK_S):
+                async with asyncio.timeout(MAX_DECISION_INTERVAL_S):
                     await self.ctx.wake.wait()
             except TimeoutError:
                 pass
             self.ctx.wake.clear()
             self.tenure.check()
-            begun = self.ctx.now()
+            started_at = self.ctx.now()
             self._decide()
             if self.ctx.dispatcher.undecided:
-                # Other tasks get their turn, and no more: the rest is part of the same decision.
+                # The rest belongs to the same decision, so yield to other tasks without a pause.
                 await asyncio.sleep(0)
             else:
-                took_s = self.ctx.now() - begun
-                await asyncio.sleep(max(GATHER_S, GATHER_FACTOR * took_s))
+                took_s = self.ctx.now() - started_at
+                await asyncio.sleep(max(DECISION_BATCH_WINDOW_S, DECISION_PAUSE_FACTOR * took_s))
 
     def _decide(self) -> None:
         dispatcher = self.ctx.dispatcher
@@ -328,24 +337,24 @@
         routes = self.around.routes()
         if routes is not None:
             dispatcher.configure(routes.queues, now=now)
-        if now - self._reviewed_at >= REVIEW_S:
-            self._reviewed_at = now
+        if now - self._rechecked_at >= STEP_RECHECK_INTERVAL_S:
+            self._rechecked_at = now
             dispatcher.retry()
         unconfirmed = list(dispatcher.succession.unconfirmed)
         orders = dispatcher.decide(
-            now=now, wall_s=self.around.clock.wall(), starts=self._orders.room()
+            now=now, wall_s=self.around.clock.wall(), starts=self._executor.start_capacity()
         )
-        self._note_settled(unconfirmed, now)
+        self._log_settled(unconfirmed, now)
         self._log.outcomes(dispatcher)
         for order in orders:
-            self._orders.carry_out(order)
-        self._orders.ask(self._members())
+            self._executor.execute(order)
+        self._executor.request_approvals(self._members())
         self.ctx.note_changes()
         if dispatcher.undecided:
             self.ctx.wake.set()
 
-    def _note_settled(self, unconfirmed: list[str], now: float) -> None:
-        """Log once when all inherited jobs may go on, and which hosts had not answered."""
+    def _log_settled(self, unconfirmed: list[str], now: float) -> None:
+        """Log once when all inherited jobs may proceed, with the hosts that never answered."""
         if self._settled or not self.ctx.dispatcher.settled:
             return
         self._settled = True
--- a/tests/cell/parts.py
+++ b/tests/cell/parts.py
@@ -1,4 +1,4 @@
-"""Small pieces that tests of single parts of a cell share."""
+"""Fakes and builders shared by the unit tests of the cell."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @define
 class Lines:
-    """Takes log lines in place of standard output."""
+    """Fake event log that keeps the emitted events."""
 
     found: list[tuple[str, dict]] = Factory(list)
 
--- a/tests/cell/stage.py
+++ b/tests/cell/stage.py
@@ -1,4 +1,4 @@
-"""A cell of real processes against stand-ins of the platform in the test's own loop."""
+"""Run a cell of real processes against fakes of the platform in the test's event loop."""
 
 from __future__ import annotations
 
@@ -64,8 +64,9 @@
 
 
 def free_ports(ip: str, count: int) -> list[int]:
-    """Return ports that are free on an address, no two the same."""
-    # All are held until the last is known: one that is given back at once may be handed out again.
+    """Return distinct free ports of an address."""
+    # All sockets stay open until the last port is known: a port that is released earlier may be
+    # assigned again.
     socks = [bind(ip=ip) for _ in range(count)]
     ports = [sock.getsockname()[1] for sock in socks]
     for sock in socks:
@@ -132,7 +133,7 @@
         return worker
 
     async def start(self, name: str) -> Member:
-        # Each process has an address of its own, since one of its ports is the same on all.
+        # Each process needs its own address, because one of its ports is the same for all.
         ip = self.addresses.setdefault(name, f"127.0.0.{2 + len(self.addresses)}")
         ports = free_ports(ip, 3)
         text = SETTINGS.format(
@@ -204,15 +205,15 @@
         assert found == state
 
     async def owned(self) -> None:
-        """Wait until some process owns the work; a process may be ready before."""
+        """Wait until some process is the owner; processes may become ready before that."""
         for _ in range(int(STARTED_S / 0.05)):
             if self.store.engine.get("cell/control/owner") is not None:
                 return
             await asyncio.sleep(0.05)
-        raise AssertionError("nobody owns the work")
+        raise AssertionError("no process owns the cell")
 
     def owned_key_name(self) -> str:
-        """Return the name that the owner's key holds, empty for none."""
+        """Return the name that is stored in the owner's key, empty if there is no key."""
         stored = self.store.engine.get("cell/control/owner")
         return json.loads(stored.kv.value)["name"] if stored is not None else ""
 
--- a/tests/cell/test_busy_owner.py
+++ b/tests/cell/test_busy_owner.py
@@ -1,4 +1,4 @@
-"""An owner whose processor is too small for a burst does less at once, and stays the owner."""
+"""An owner with an overloaded processor limits its concurrent calls and polls hosts less often."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 import pytest
 
-from rhubarbferry.cell.host_watch import HostWatch
+from rhubarbferry.cell.host_watch import HostPoller
 from rhubarbferry.cell.loop_lag import LAG_GOAL_S
-from rhubarbferry.cell.orders import CALLS_AT_ONCE, FEWEST_CALLS, Orders
+from rhubarbferry.cell.orders import MAX_CONCURRENT_CALLS, MIN_CONCURRENT_CALLS, OrderExecutor
 from rhubarbferry.dispatch.hosts import LONGEST_LOOK_S, LOOK_S, Host
 from rhubarbferry.dispatch.messages import HostEntry, Sizes, StartOrder, TaskId
 
 from .parts import Lines
 
-SETTLED_S = 0.01
+TASKS_RUN_S = 0.01
 ENTRY = HostEntry(id="a", incarnation=1, service="pool", address="a:1", capacity=Sizes())
 
 
 class Workers:
-    """Stands in for hosts: starts are never answered."""
+    """Fake of the hosts that never answers a start order."""
 
     async def start(self, host, order, *, fence):
         await asyncio.Event().wait()
@@ -59,36 +59,36 @@
 ROOM = {
     "it keeps up": (0.0, math.inf),
     "at the goal": (LAG_GOAL_S, math.inf),
-    "twice the goal": (2 * LAG_GOAL_S, CALLS_AT_ONCE / 2),
-    "far behind": (100 * LAG_GOAL_S, FEWEST_CALLS),
+    "twice the goal": (2 * LAG_GOAL_S, MAX_CONCURRENT_CALLS / 2),
+    "far behind": (100 * LAG_GOAL_S, MIN_CONCURRENT_CALLS),
 }
 
 
 @pytest.mark.parametrize(("lag_s", "room"), ROOM.values(), ids=ROOM.keys())
-async def test_an_owner_that_is_behind_starts_fewer_tasks_at_once(lag_s, room):
-    """Guards against starts that are given up and sent again before their answers are read."""
+async def test_a_lagging_owner_starts_fewer_tasks_at_once(lag_s, room):
+    """Guard against start orders that time out and are retried before their answers are read."""
     async with asyncio.TaskGroup() as group:
-        orders = Orders(ctx=context(lag_s), log=Lines(), spawn=group.create_task)
-        assert orders.room() == pytest.approx(room)
+        executor = OrderExecutor(ctx=context(lag_s), log=Lines(), spawn=group.create_task)
+        assert executor.start_capacity() == pytest.approx(room)
 
 
-async def test_starts_under_way_count_until_they_are_answered():
+async def test_start_orders_in_progress_count_until_they_are_answered():
     tasks = []
-    orders = Orders(
+    executor = OrderExecutor(
         ctx=context(2 * LAG_GOAL_S),
         log=Lines(),
         spawn=lambda call: tasks.append(asyncio.create_task(call)),
     )
-    before = orders.room()
+    before = executor.start_capacity()
     for index in range(3):
-        orders.carry_out(start(index))
-    await asyncio.sleep(SETTLED_S)
-    assert orders.room() == before - 3
+        executor.execute(start(index))
+    await asyncio.sleep(TASKS_RUN_S)
+    assert executor.start_capacity() == before - 3
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    assert orders.room() == before
-    assert orders.ctx.wake.is_set()
+    assert executor.start_capacity() == before
+    assert executor.ctx.wake.is_set()
 
 
 LOOKS = {
@@ -100,13 +100,13 @@
 
 
 @pytest.mark.parametrize(("lag_s", "look_s"), LOOKS.values(), ids=LOOKS.keys())
-async def test_an_owner_that_is_behind_looks_at_hosts_less_often(lag_s, look_s):
-    """Guards against looks that leave no processor for the work itself."""
-    assert HostWatch(ctx=context(lag_s), id="a").look_s() == pytest.approx(look_s)
+async def test_a_lagging_owner_polls_hosts_less_often(lag_s, look_s):
+    """Guard against polls that use up the processor time needed for scheduling."""
+    assert HostPoller(ctx=context(lag_s), id="a").poll_wait_s() == pytest.approx(look_s)
 
 
 @pytest.mark.parametrize("look_s", [LOOK_S, LONGEST_LOOK_S])
-def test_a_host_is_not_silent_before_two_looks_are_over(look_s):
-    """Guards against hosts that are closed because their owner looks at them less often."""
+def test_a_host_is_not_silent_before_two_polls_are_over(look_s):
+    """Guard against hosts that are closed only because their owner polls them less often."""
     host = Host(entry=ENTRY, look_s=look_s)
     assert host.silent_s > 2 * look_s
--- a/tests/cell/test_candidate.py
+++ b/tests/cell/test_candidate.py
@@ -1,4 +1,4 @@
-"""How a process follows who owns the work, and becomes the owner."""
+"""Tests of how a process follows changes of the owner and becomes the owner."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Follower:
-    """A watch that shows a change after a while."""
+    """Fake watch that delivers one change after a delay."""
 
     listed = True
 
@@ -35,12 +35,12 @@
     return Candidate(around=around)
 
 
-async def test_a_process_that_has_won_still_sees_changes():
-    """Guards against a watch that stays deaf after a win, so that nobody does the work."""
+async def test_a_process_that_has_become_owner_still_sees_changes():
+    """Guard against a watch that ignores changes after a win, so that no process schedules."""
     found = candidate()
     found.around.view.owned(Ownership(owner=member("own"), fence=9, lease_id=1))
     found._won.set()
     async with asyncio.timeout(ENDS_S):
         while found.around.view.ownership.fence == 9:
-            await found._watch(1.0)
+            await found._follow_changes(1.0)
     assert found.around.view.ownership.owner.name == "later"
--- a/tests/cell/test_members.py
+++ b/tests/cell/test_members.py
@@ -1,4 +1,4 @@
-"""Who becomes the next owner."""
+"""Tests of the order in which members become the owner, and of the recorded owner."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
     CellView,
     Ownership,
     decode_member,
+    election_rank,
     encode_member,
-    rank,
     successors,
 )
 from rhubarbferry.ports.store import KeyDeleted, KeyPut, KeyValue
@@ -31,18 +31,19 @@
 
 @pytest.mark.parametrize("cell", CELLS.values(), ids=CELLS.keys())
 @pytest.mark.parametrize("seed", range(5))
-def test_processes_near_the_store_come_first_and_each_has_a_turn_of_its_own(cell, seed):
+def test_members_near_the_store_come_first_and_each_has_its_own_rank(cell, seed):
     members = [member(name, store_s=store_s) for name, store_s in cell]
-    places = {each.name: rank(each, members, seed=seed) for each in members}
+    places = {each.name: election_rank(each, members, seed=seed) for each in members}
     assert sorted(places.values()) == list(range(len(members)))
     near = [name for name, store_s in cell if store_s < FAR]
     assert sorted(places[name] for name in near) == list(range(len(near)))
 
 
-def test_the_order_among_alike_ones_differs_between_elections():
+def test_the_order_among_equal_members_differs_between_elections():
     members = [member(name) for name in "abcd"]
     first = {
-        min(members, key=lambda each: rank(each, members, seed=seed)).name for seed in range(40)
+        min(members, key=lambda each: election_rank(each, members, seed=seed)).name
+        for seed in range(40)
     }
     assert first == set("abcd")
 
@@ -60,9 +61,9 @@
 OLD_KEY = key_of(keys.OWNER, "former", revision=5)
 LATER_KEY = key_of(keys.OWNER, "later", revision=12)
 
-# What comes from the watch or a listing after a process knows that it owns the work, and who owns
-# it then.
-LATER_NEWS = {
+# Events that a watch delivers after a process has recorded itself as the owner, and the name of the
+# owner that must be recorded afterwards.
+LATER_EVENTS = {
     "how the former owner's key has gone": ([KeyDeleted(key=keys.OWNER, revision=8)], "own"),
     "the former owner's key": ([KeyPut(kv=OLD_KEY)], "own"),
     "its own key's end": ([KeyDeleted(key=keys.OWNER, revision=10)], ""),
@@ -70,9 +71,9 @@
 }
 
 
-@pytest.mark.parametrize(("events", "owner"), LATER_NEWS.values(), ids=LATER_NEWS.keys())
-def test_older_changes_do_not_hide_who_owns_the_work_now(events, owner):
-    """Guards against an owner that takes its own key for gone and waits for it for good."""
+@pytest.mark.parametrize(("events", "owner"), LATER_EVENTS.values(), ids=LATER_EVENTS.keys())
+def test_older_events_do_not_replace_the_current_owner(events, owner):
+    """Guard against an owner that assumes that its own key is gone and waits for it forever."""
     view = CellView()
     view.owned(OWN)
     view.apply(events)
@@ -88,15 +89,15 @@
 
 
 @pytest.mark.parametrize(("items", "revision", "owner"), LISTINGS.values(), ids=LISTINGS.keys())
-def test_a_listing_from_before_does_not_hide_who_owns_the_work_now(items, revision, owner):
+def test_an_older_listing_does_not_replace_the_current_owner(items, revision, owner):
     view = CellView()
     view.owned(OWN)
     view.replace(items, revision=revision)
     assert (view.ownership.owner.name if view.ownership else "") == owner
 
 
-def test_a_planned_stop_asks_near_processes_first_and_of_these_the_latest():
-    """Guards against a successor that is the next one to be restarted."""
+def test_successors_near_the_store_come_first_and_of_these_the_last_registered():
+    """Guard against a successor that is the next one to be restarted."""
     view = CellView()
     rows = [("a", NEAR, 1), ("b", NEAR, 9), ("c", FAR, 12), ("own", NEAR, 20)]
     view.replace(
@@ -110,15 +111,15 @@
 
 
 @pytest.mark.parametrize("lack", WEAK.values(), ids=WEAK.keys())
-def test_weak_hosts_come_last_however_near_the_store(lack):
-    """Guards against an owner whose link or processor can't bear the work."""
+def test_small_hosts_come_last_however_near_the_store(lack):
+    """Guard against an owner whose link or processor is too small for its work."""
     strong = member("far", store_s=FAR, **STRONG)
     weak = member("near", store_s=NEAR, **{**STRONG, **lack})
-    assert [rank(each, [strong, weak], seed=1) for each in (strong, weak)] == [0, 1]
+    assert [election_rank(each, [strong, weak], seed=1) for each in (strong, weak)] == [0, 1]
     view = CellView(members={each.name: each for each in (strong, weak)})
     assert [each.name for each in successors(member("own", **STRONG), view)] == ["far", "near"]
 
 
-def test_a_member_reads_back_as_written():
+def test_an_encoded_member_decodes_to_the_same_member():
     one = member("a", store_s=0.012)
     assert decode_member(encode_member(one)) == one
--- a/tests/cell/test_owner_link.py
+++ b/tests/cell/test_owner_link.py
@@ -1,4 +1,4 @@
-"""What a process learns from the owner, and what it does when the owner is silent."""
+"""Tests of queries to the owner, also while the owner does not respond."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from rhubarbferry.cell.members import CellView, Ownership
 from rhubarbferry.cell.owned_work import AcceptedJob
-from rhubarbferry.cell.owner_link import OWNER_PAUSE_S, PENDING_AGE_S, OwnerLink
+from rhubarbferry.cell.owner_link import OWNER_BACKOFF_S, PENDING_COUNT_TTL_S, OwnerLink
 from rhubarbferry.cell.peers import Silence
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.test.fake_clock import FakeClock
@@ -19,7 +19,7 @@
 
 @define
 class Peers:
-    """Stands in for calls to other processes."""
+    """Fake of the calls to other processes."""
 
     answer: JobPhase | Silence | None = None
     asked: list[str] = Factory(list)
@@ -40,7 +40,7 @@
 
 @define
 class OwnTerm:
-    """Stands in for this process's own term."""
+    """Fake of this process's own term of ownership."""
 
     notified: list[AcceptedJob] = Factory(list)
 
@@ -65,12 +65,12 @@
 
 
 @pytest.mark.parametrize("phase", [JobPhase.QUEUED, JobPhase.COMPLETE, None])
-async def test_the_owner_answers_for_the_jobs_that_it_knows(phase):
+async def test_the_phase_of_a_job_comes_from_the_owner(phase):
     assert await link(Peers(answer=phase)).phase("j") is phase
 
 
-async def test_an_owner_that_is_silent_is_not_asked_again_at_once():
-    """Guards against hundreds of clients that each wait for a frozen owner."""
+async def test_an_unresponsive_owner_is_not_queried_again_at_once():
+    """Guard against hundreds of clients that each wait for a frozen owner."""
     peers = Peers(answer=Silence(reason="no answer"))
     found = link(peers)
     assert [await found.phase("j") for _ in range(3)] == [None] * 3
@@ -78,18 +78,18 @@
     found.view.ownership = Ownership(owner=member("next"), fence=6, lease_id=2)
     await found.phase("j")
     assert peers.asked == ["j"] * 2
-    await found.clock.advance(OWNER_PAUSE_S)
+    await found.clock.advance(OWNER_BACKOFF_S)
     await found.phase("j")
     assert peers.asked == ["j"] * 3
 
 
-async def test_without_an_owner_nobody_is_asked():
+async def test_without_an_owner_no_query_is_sent():
     peers = Peers(answer=JobPhase.RUNNING)
     assert await link(peers, owner="").phase("j") is None
     assert peers.asked == []
 
 
-async def test_the_own_term_is_asked_without_a_call():
+async def test_the_own_term_is_queried_without_a_remote_call():
     peers = Peers()
     term = OwnTerm()
     found = link(peers, owner="own", term=term)
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize(("fence", "notified"), [(5, [JOB]), (6, [])])
 async def test_only_the_owner_that_the_job_was_accepted_under_is_notified(fence, notified):
-    """Guards against a new owner that takes an inherited job for its own."""
+    """Guard against a new owner that treats an inherited job as a new one."""
     peers = Peers()
     found = link(peers, fence=fence)
     found.accepted(JOB)
@@ -109,11 +109,11 @@
     assert peers.notified == notified
 
 
-async def test_counts_are_asked_for_now_and_then_only():
+async def test_pending_counts_are_cached():
     peers = Peers()
     found = link(peers)
     assert [await found.pending("queue") for _ in range(3)] == [3, 3, 3]
     assert peers.asked == ["queue"]
-    await found.clock.advance(PENDING_AGE_S + 0.01)
+    await found.clock.advance(PENDING_COUNT_TTL_S + 0.01)
     await found.pending("queue")
     assert peers.asked == ["queue"] * 2
--- a/tests/cell/test_owner_watch.py
+++ b/tests/cell/test_owner_watch.py
@@ -1,4 +1,4 @@
-"""What a process does when the owner of the work does not answer."""
+"""Tests of how members detect and replace an owner that does not answer."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from rhubarbferry.cell import keys, owner_watch
 from rhubarbferry.cell.members import CellView, Ownership, encode_member, successors
 from rhubarbferry.cell.owner_watch import (
-    AGAIN_S,
-    MISSES,
-    NEW_OWNER_MISSES,
-    NEW_OWNER_S,
-    WATCHERS,
+    MAX_MISSED_PINGS,
+    MONITOR_COUNT,
+    NEW_OWNER_MAX_MISSED_PINGS,
+    NEW_OWNER_PERIOD_S,
+    PING_RETRY_INTERVAL_S,
     OwnerWatch,
 )
 from rhubarbferry.cell.peers import Reach
@@ -25,13 +25,13 @@
 from .parts import Lines, member
 
 FENCE = 5
-# Longer than the attempts to connect and the turns of three processes together.
-DECIDED_S = 1.0
+# Longer than all pings of the owner plus the staggered attempts of three monitors to replace it.
+OUTCOME_S = 1.0
 
 
 @define
 class Peers:
-    """Stands in for connections to other processes."""
+    """Fake of the connections to other processes."""
 
     reaches: dict[str, Reach]
     pinged: list[str] = Factory(list)
@@ -45,7 +45,7 @@
 
 @define
 class Cell:
-    """One process beside an owner and another process."""
+    """One monitoring process, an owner and a third process."""
 
     peers: Peers
     view: CellView = Factory(CellView)
@@ -85,84 +85,84 @@
 
 @pytest.mark.parametrize(("owner", "other", "replaced"), CASES.values(), ids=CASES.keys())
 async def test_an_owner_that_does_not_answer_is_replaced(owner, other, replaced):
-    """Guards against a dead owner that stays, and a live one replaced by one that is cut off."""
+    """Guard against keeping a dead owner, and against a disconnected member that replaces it."""
     cell = Cell(peers=Peers(reaches={"owner": owner, "other": other}))
     running = asyncio.create_task(cell.watch.run())
-    await asyncio.sleep(DECIDED_S)
+    await asyncio.sleep(OUTCOME_S)
     running.cancel()
     assert cell.replaced == replaced
 
 
-async def test_one_lost_answer_does_not_change_the_owner():
+async def test_one_unanswered_ping_does_not_change_the_owner():
     cell = Cell(peers=Peers(reaches={"owner": Reach.SILENT, "other": Reach.ANSWERED}))
     running = asyncio.create_task(cell.watch.run())
     await cell.peers.asked.wait()
     cell.peers.reaches["owner"] = Reach.ANSWERED
-    await asyncio.sleep(DECIDED_S)
+    await asyncio.sleep(OUTCOME_S)
     running.cancel()
     assert cell.replaced == []
 
 
-async def test_an_owner_that_was_replaced_meanwhile_is_left_alone():
-    """Guards against a second change of the owner after a planned stop."""
+async def test_an_owner_that_has_been_replaced_meanwhile_is_not_replaced_again():
+    """Guard against a second change of the owner after a planned stop."""
     cell = Cell(peers=Peers(reaches={"owner": Reach.REFUSED, "other": Reach.ANSWERED}))
     running = asyncio.create_task(cell.watch.run())
     await cell.peers.asked.wait()
     cell.owned_by("other", FENCE + 1)
-    await asyncio.sleep(DECIDED_S)
+    await asyncio.sleep(OUTCOME_S)
     running.cancel()
     assert cell.replaced == []
 
 
-async def test_only_the_first_in_the_order_of_succession_ask():
-    """Did all of many processes ping the owner, they would cost it more than its work."""
+async def test_only_the_first_members_in_the_order_of_succession_ping_the_owner():
+    """Guard against pings from all members, which would cost the owner more than scheduling."""
     cell = Cell(peers=Peers(reaches={"owner": Reach.ANSWERED}))
-    for number in range(WATCHERS):
+    for number in range(MONITOR_COUNT):
         cell.view.members[f"later-{number}"] = member(f"later-{number}")
         cell.view.registered[f"later-{number}"] = 100 + number
     running = asyncio.create_task(cell.watch.run())
-    await asyncio.sleep(DECIDED_S)
+    await asyncio.sleep(OUTCOME_S)
     running.cancel()
     assert cell.peers.pinged == []
 
 
 async def pings_until_replaced(cell: Cell) -> int:
-    """Return how many pings the owner leaves unanswered before it is replaced."""
+    """Return how many pings the owner misses before it is replaced."""
     running = asyncio.create_task(cell.watch.run())
-    async with asyncio.timeout(DECIDED_S * 4):
+    async with asyncio.timeout(OUTCOME_S * 4):
         while not cell.replaced:  # noqa: ASYNC110 - set by another task
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(PING_RETRY_INTERVAL_S)
     running.cancel()
     return cell.peers.pinged.count("owner")
 
 
 BEGUN = {
-    "long ago and it is silent": (Reach.SILENT, False, MISSES),
-    "just now and it is silent": (Reach.SILENT, True, NEW_OWNER_MISSES),
-    "just now and its process has ended": (Reach.REFUSED, True, MISSES),
+    "long ago and it is silent": (Reach.SILENT, False, MAX_MISSED_PINGS),
+    "just now and it is silent": (Reach.SILENT, True, NEW_OWNER_MAX_MISSED_PINGS),
+    "just now and its process has ended": (Reach.REFUSED, True, MAX_MISSED_PINGS),
 }
 
 
 @pytest.mark.parametrize(("owner", "is_new", "pings"), BEGUN.values(), ids=BEGUN.keys())
-async def test_an_owner_that_has_just_begun_may_be_silent_for_longer(owner, is_new, pings):
-    """Guards against owners on busy processors that replace each other without end."""
+async def test_a_new_owner_may_miss_more_pings(owner, is_new, pings):
+    """Guard against owners on busy processors that replace each other endlessly."""
     cell = Cell(peers=Peers(reaches={"owner": owner, "other": Reach.ANSWERED}))
-    cell.watch.note_owner(cell.view.ownership)
+    cell.watch.record_owner(cell.view.ownership)
     if is_new:
         cell.owned_by("owner", FENCE + 1)
     assert await pings_until_replaced(cell) == pings
 
 
-async def test_an_owner_is_new_for_a_while_only():
-    """Guards against a dead owner that stays for longer than it has to."""
+async def test_an_owner_is_new_for_a_limited_period():
+    """Guard against a dead owner that is kept for longer than necessary."""
     cell = Cell(peers=Peers(reaches={"owner": Reach.SILENT, "other": Reach.ANSWERED}))
     cell.watch.clock = FakeClock()
     for fence in (FENCE, FENCE + 1):
         cell.owned_by("owner", fence)
-        cell.watch.note_owner(cell.view.ownership)
-    assert cell.watch.patience() == NEW_OWNER_MISSES
-    await cell.watch.clock.advance(NEW_OWNER_S)
-    assert cell.watch.patience() == MISSES
+        cell.watch.record_owner(cell.view.ownership)
+    assert cell.watch.max_missed_pings() == NEW_OWNER_MAX_MISSED_PINGS
+    await cell.watch.clock.advance(NEW_OWNER_PERIOD_S)
+    assert cell.watch.max_missed_pings() == MAX_MISSED_PINGS
 
 
 def registered(name: str) -> KeyPut:
@@ -171,8 +171,8 @@
     return KeyPut(kv=KeyValue(key=key, value=value, mod_revision=9, create_revision=9))
 
 
-def test_the_order_of_succession_is_found_once_for_each_change_of_the_members(monkeypatch):
-    """Guards against work that each process does several times a second for each member."""
+def test_the_order_of_succession_is_computed_once_for_each_change_of_the_members(monkeypatch):
+    """Guard against sorting all members several times a second in each process."""
     found = []
 
     def counted(own, view):
@@ -182,11 +182,11 @@
     monkeypatch.setattr(owner_watch, "successors", counted)
     cell = Cell(peers=Peers(reaches={}))
     ownership = cell.view.ownership
-    places = [cell.watch.place(ownership) for _ in range(10)]
+    places = [cell.watch.position(ownership) for _ in range(10)]
     assert len(set(places)) == len(found) == 1
     cell.view.apply([registered("another")])
-    cell.watch.place(ownership)
+    cell.watch.position(ownership)
     assert len(found) == 2
     cell.owned_by("other", FENCE + 1)
-    cell.watch.place(cell.view.ownership)
+    cell.watch.position(cell.view.ownership)
     assert found == ["owner", "owner", "other"]
--- a/tests/cell/test_roster.py
+++ b/tests/cell/test_roster.py
@@ -1,4 +1,4 @@
-"""The record of the hosts that owners have given orders to."""
+"""Tests of the stored roster of hosts that owners have sent orders to."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     return found
 
 
-async def test_the_next_owner_reads_what_this_one_has_written(store):
+async def test_the_next_owner_loads_the_stored_roster(store):
     first = await roster(store)
     entries = {entry.id: entry for entry in (OPEN, CLOSED, IDLE)}
     assert await first.update(entries)
@@ -44,7 +44,7 @@
     assert [entry.may_run("j") for entry in second.entries.values()] == [True, True, False]
 
 
-async def test_the_same_roster_is_not_written_twice(store, stand_in):
+async def test_an_unchanged_roster_is_not_written_again(store, stand_in):
     found = await roster(store)
     assert await found.update({"a": OPEN})
     calls = stand_in.calls["txn"]
@@ -52,8 +52,8 @@
     assert stand_in.calls["txn"] == calls
 
 
-async def test_a_former_owner_can_not_open_a_host(store):
-    """Guards against orders to a host that the present owner takes for idle."""
+async def test_a_former_owner_cannot_open_a_host(store):
+    """Guard against orders of a former owner to a host that the current owner assumes is idle."""
     found = await roster(store)
     assert await found.update({"b": CLOSED})
     await take_ownership(store)
@@ -62,7 +62,7 @@
     assert not found.tenure.holds()
 
 
-async def test_a_write_whose_answer_was_lost_is_found_and_not_taken_for_anothers(store, stand_in):
+async def test_a_write_whose_answer_was_lost_is_recognized_as_its_own(store, stand_in):
     found = await roster(store)
     stand_in.trouble.lose_every = 1
     with pytest.raises(StoreUnclear):
@@ -73,7 +73,7 @@
     assert await found.update({"a": OPEN, "b": CLOSED})
 
 
-def test_rows_of_an_earlier_form_are_read_as_open():
+def test_rows_without_outstanding_jobs_are_read_as_open():
     found = Roster(store=None, tenure=None)
     row = b'[{"id":"a","address":"a:1","incarnation":1,"service":"pool"}]'
     found.load(SimpleNamespace(mod_revision=3, value=row))
--- a/tests/cell/test_takeover_with_backlog.py
+++ b/tests/cell/test_takeover_with_backlog.py
@@ -1,7 +1,7 @@
-"""A new owner on a small processor inherits a long backlog, and clients keep sending.
+"""A new owner on a small processor must stay responsive while it loads a long backlog.
 
-While it reads the backlog it must go on answering pings and extending its lease. Otherwise the
-other processes take it for dead, the next one reads the same backlog, and so on without end.
+It must keep answering pings and renewing its lease meanwhile. Otherwise the other members treat it
+as dead, the next owner loads the same backlog, and so on endlessly.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class TurnCounter:
-    """Samples a number at each turn of the event loop."""
+    """Samples a value at each iteration of the event loop."""
 
     def __init__(self, sample) -> None:
         self._sample = sample
@@ -32,8 +32,8 @@
         return max(after - before for before, after in itertools.pairwise(self.samples))
 
 
-async def test_other_work_gets_its_turn_while_a_backlog_is_loaded(store):
-    """Guards against an owner that is replaced while it loads, for its silence."""
+async def test_other_tasks_run_while_a_backlog_is_loaded(store):
+    """Guard against an owner that is replaced because it does not respond while it loads."""
     for index in range(BACKLOG):
         await accept(store, f"{index:016x}")
     found = await inbox(store)
--- a/tests/cell/test_term.py
+++ b/tests/cell/test_term.py
@@ -1,4 +1,4 @@
-"""The beginning of a term of ownership."""
+"""Tests of a term of ownership: loading, handover and batching of decisions."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from .parts import Lines, member
 
 FENCE = 5
-LOAD_S = 0.05
+LOAD_TIMEOUT_S = 0.05
 ENDS_S = 2.0
 BUSY_S = 0.1
 
 
 class SlowStore:
-    """Answers renewals of the lease, and never comes to the end of a listing."""
+    """Fake store whose reads never return."""
 
     async def get(self, key):
         await asyncio.Event().wait()
@@ -33,7 +33,7 @@
 
 
 class Peers:
-    """Other processes, of which some take the work over."""
+    """Fake of the other processes, some of which are willing to take over."""
 
     def __init__(self, *, willing: set[str]) -> None:
         self.willing = willing
@@ -64,9 +64,9 @@
 
 
 @pytest.mark.parametrize("willing", [{"b"}, {"c"}])
-async def test_an_owner_that_can_not_load_the_work_passes_it_on(monkeypatch, willing):
-    """Guards against an owner that reads without end and starts no job."""
-    monkeypatch.setattr(term_module, "LOAD_S", LOAD_S)
+async def test_an_owner_that_cannot_load_the_jobs_hands_over(monkeypatch, willing):
+    """Guard against an owner that loads forever and starts no job."""
+    monkeypatch.setattr(term_module, "LOAD_TIMEOUT_S", LOAD_TIMEOUT_S)
     found = term(Peers(willing=willing), fresh=True)
     await asyncio.wait_for(found.run(), ENDS_S)
     assert found.overloaded
@@ -76,11 +76,11 @@
 @pytest.mark.parametrize(
     ("willing", "fresh"), [(set(), True), ({"b"}, False)], ids=["nobody else can", "an outage"]
 )
-async def test_an_owner_goes_on_loading_where_no_other_would_do_better(monkeypatch, willing, fresh):
-    monkeypatch.setattr(term_module, "LOAD_S", LOAD_S)
+async def test_an_owner_continues_loading_if_no_other_process_can(monkeypatch, willing, fresh):
+    monkeypatch.setattr(term_module, "LOAD_TIMEOUT_S", LOAD_TIMEOUT_S)
     found = term(Peers(willing=willing), fresh=fresh)
     running = asyncio.create_task(found.run())
-    await asyncio.sleep(4 * LOAD_S)
+    await asyncio.sleep(4 * LOAD_TIMEOUT_S)
     assert not running.done()
     assert found.tenure.holds()
     running.cancel()
@@ -99,10 +99,8 @@
 
 
 @pytest.mark.parametrize(("answers", "chosen"), ANSWERS.values(), ids=ANSWERS.keys())
-async def test_an_owner_that_is_cut_off_hands_over_to_a_host_that_can_bear_the_work(
-    answers, chosen
-):
-    """Guards against a successor that falls silent since its host is too small."""
+async def test_a_disconnected_owner_hands_over_to_a_host_that_is_large_enough(answers, chosen):
+    """Guard against a successor that stops responding because its host is too small."""
     found = term(Peers(willing=set()), fresh=False)
     members = {name: member(name, link_mbps=100.0) for name in ("own", "strong")}
     found.around.view.members = {**members, "weak": member("weak", link_mbps=5.0)}
@@ -113,17 +111,17 @@
         return reached
 
     found.around.peers.store_reached = store_reached
-    best = await asyncio.wait_for(found._one_that_reaches_the_store(), ENDS_S)
+    best = await asyncio.wait_for(found._find_connected_successor(), ENDS_S)
     assert (best.name if best is not None else None) == chosen
 
 
-async def test_reports_that_come_close_together_share_a_decision(monkeypatch):
-    """Guards against an owner whose processor is used up by one decision for each report."""
+async def test_reports_that_arrive_close_together_share_a_decision(monkeypatch):
+    """Guard against an owner that spends all its processor time on one decision per report."""
     found = term(Peers(willing=set()), fresh=True)
     decided: list[float] = []
     clock = SystemClock()
     monkeypatch.setattr(Term, "_decide", lambda self: decided.append(clock.monotonic()))
-    deciding = asyncio.create_task(found._decide_forever())
+    deciding = asyncio.create_task(found._run_decisions())
     begun = clock.monotonic()
     while clock.monotonic() - begun < BUSY_S:
         found.ctx.wake.set()
@@ -131,4 +129,4 @@
     deciding.cancel()
     await asyncio.gather(deciding, return_exceptions=True)
     assert decided[0] - begun < BUSY_S / 2
-    assert len(decided) <= BUSY_S / term_module.GATHER_S + 1
+    assert len(decided) <= BUSY_S / term_module.DECISION_BATCH_WINDOW_S + 1
--- a/tests/cell/test_wide_steps.py
+++ b/tests/cell/test_wide_steps.py
@@ -1,4 +1,4 @@
-"""A wide gang in a cell of hundreds of hosts that are half in use: who waits for which answer."""
+"""Start a wide gang that needs approvals in a half-used cell of hundreds of hosts."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 APPROVED_OF_100 = 25
 COST = AdviceCost(decision_s=0.48, per_host_s=0.0069, valid_s=1.5)
 ADVISED = evolve(QUEUE, name="advised", advice=COST)
-# A call about 30 hosts, which is what users count with, and half as long again.
+# 1.5 times the duration of an approval request for 30 hosts, which is the delay that users expect.
 STARTS_WITHIN_S = 1.5 * COST.duration_s(30)
 
 
@@ -59,7 +59,7 @@
 
 
 def wait_for_starts(world: World, *, processes: int, until: float) -> list[StartOrder]:
-    """Play the processes that ask the policy service until something starts."""
+    """Simulate the processes that query the policy service until a task starts."""
     members = [member(f"m{index}") for index in range(processes)]
     desk = AdviceDesk(own="m0", region="region")
     under_way: list[tuple[float, str, AdviceOrder]] = []
@@ -84,9 +84,9 @@
 
 @pytest.mark.parametrize("width", [5, 20, 58])
 def test_a_wide_gang_starts_about_as_soon_as_a_narrow_one(width):
-    """Guards against a gang for which the policy service is asked five times, one after the other.
+    """Guard against five consecutive requests to the policy service for one gang.
 
-    Each host has room for one of its tasks, and one host in four may run them.
+    Each host has capacity for one task of the gang, and one host in four is approved.
     """
     world = half_used_cell()
     req = step(width, millicores=26 * CORES, gang=True)
