--- a/rhubarbferry/cell/host_watch.py
+++ b/rhubarbferry/cell/host_watch.py
@@ -23,11 +23,11 @@
 # Pause between polls while reported ends are not yet recorded in the store. The host answers such a
 # poll at once, so without the pause the polls would follow each other in a tight loop.
 UNRECORDED_ENDS_PAUSE_S = 0.12
-# Time for the answer in addition to the poll's wait: some round trips, or one retransmission.
-ANSWER_MARGIN_S = 0.4
+# Time for the response in addition to the poll's wait: some round trips, or one retransmission.
+RESPONSE_MARGIN_S = 0.4
 # A new owner starts no inherited task before each host has answered once. One lost answer must not
 # delay all of them, so the first poll of a host has a short timeout and is retried soon.
-FIRST_ANSWER_MARGIN_S = 0.25
+FIRST_RESPONSE_MARGIN_S = 0.25
 FIRST_POLL_RETRY_INTERVAL_S = 0.05
 
 
@@ -84,7 +84,7 @@
             deadline_s=deadline_s,
             forget_to=host.recorded_end,
             wait_s=0.0 if no_wait else host.look_s,
-            patience_s=ANSWER_MARGIN_S if host.adopted else FIRST_ANSWER_MARGIN_S,
+            patience_s=RESPONSE_MARGIN_S if host.adopted else FIRST_RESPONSE_MARGIN_S,
         )
         try:
             report = await ctx.around.workers.hold(entry, req)
--- a/rhubarbferry/cell/owned_work.py
+++ b/rhubarbferry/cell/owned_work.py
@@ -32,7 +32,7 @@
         ...
 
     def phase(self, id: str) -> JobPhase | None:
-        """Return the phase of a job, or ``None`` if this owner has no such job."""
+        """Return the phase of a job, or ``None`` if unknown."""
         ...
 
     def accepted(self, job: AcceptedJob) -> bool:
--- a/rhubarbferry/cell/term.py
+++ b/rhubarbferry/cell/term.py
@@ -103,7 +103,7 @@
         return self.ctx.dispatcher.pending(queue)
 
     def phase(self, id: str) -> JobPhase | None:
-        """Return the phase of a job, or ``None`` if this owner has no such job.
+        """Return the phase of a job, or ``None`` if unknown.
 
         A final phase is reported only once it is stored. Otherwise a client could see a job as
         complete and the next owner could run it again.
@@ -354,7 +354,7 @@
             self.ctx.wake.set()
 
     def _log_settled(self, unconfirmed: list[str], now: float) -> None:
-        """Log once when all inherited jobs may proceed, with the hosts that never answered."""
+        """Log once when all inherited jobs may proceed, with the hosts that have not answered."""
         if self._settled or not self.ctx.dispatcher.settled:
             return
         self._settled = True
--- a/tests/cell/test_busy_owner.py
+++ b/tests/cell/test_busy_owner.py
@@ -56,20 +56,22 @@
     )
 
 
-ROOM = {
-    "it keeps up": (0.0, math.inf),
-    "at the goal": (LAG_GOAL_S, math.inf),
-    "twice the goal": (2 * LAG_GOAL_S, MAX_CONCURRENT_CALLS / 2),
-    "far behind": (100 * LAG_GOAL_S, MIN_CONCURRENT_CALLS),
+START_CAPACITIES = {
+    "no lag": (0.0, math.inf),
+    "lag at the goal": (LAG_GOAL_S, math.inf),
+    "lag of twice the goal": (2 * LAG_GOAL_S, MAX_CONCURRENT_CALLS / 2),
+    "very long lag": (100 * LAG_GOAL_S, MIN_CONCURRENT_CALLS),
 }
 
 
-@pytest.mark.parametrize(("lag_s", "room"), ROOM.values(), ids=ROOM.keys())
-async def test_a_lagging_owner_starts_fewer_tasks_at_once(lag_s, room):
+@pytest.mark.parametrize(
+    ("lag_s", "capacity"), START_CAPACITIES.values(), ids=START_CAPACITIES.keys()
+)
+async def test_a_lagging_owner_starts_fewer_tasks_at_once(lag_s, capacity):
     """Guard against start orders that time out and are retried before their answers are read."""
     async with asyncio.TaskGroup() as group:
         executor = OrderExecutor(ctx=context(lag_s), log=Lines(), spawn=group.create_task)
-        assert executor.start_capacity() == pytest.approx(room)
+        assert executor.start_capacity() == pytest.approx(capacity)
 
 
 async def test_start_orders_in_progress_count_until_they_are_answered():
@@ -91,18 +93,18 @@
     assert executor.ctx.wake.is_set()
 
 
-LOOKS = {
-    "it keeps up": (0.0, LOOK_S),
-    "at the goal": (LAG_GOAL_S, LOOK_S),
-    "behind": (1.5 * LAG_GOAL_S, 1.5 * LOOK_S),
-    "far behind": (100 * LAG_GOAL_S, LONGEST_LOOK_S),
+POLL_WAITS = {
+    "no lag": (0.0, LOOK_S),
+    "lag at the goal": (LAG_GOAL_S, LOOK_S),
+    "lag above the goal": (1.5 * LAG_GOAL_S, 1.5 * LOOK_S),
+    "very long lag": (100 * LAG_GOAL_S, LONGEST_LOOK_S),
 }
 
 
-@pytest.mark.parametrize(("lag_s", "look_s"), LOOKS.values(), ids=LOOKS.keys())
-async def test_a_lagging_owner_polls_hosts_less_often(lag_s, look_s):
+@pytest.mark.parametrize(("lag_s", "wait_s"), POLL_WAITS.values(), ids=POLL_WAITS.keys())
+async def test_a_lagging_owner_polls_hosts_less_often(lag_s, wait_s):
     """Guard against polls that use up the processor time needed for scheduling."""
-    assert HostPoller(ctx=context(lag_s), id="a").poll_wait_s() == pytest.approx(look_s)
+    assert HostPoller(ctx=context(lag_s), id="a").poll_wait_s() == pytest.approx(wait_s)
 
 
 @pytest.mark.parametrize("look_s", [LOOK_S, LONGEST_LOOK_S])
--- a/tests/cell/test_members.py
+++ b/tests/cell/test_members.py
@@ -19,13 +19,13 @@
 
 NEAR = 0.004
 FAR = 0.044
-STRONG = {"cores": 2.0, "link_mbps": 100.0}
-WEAK = {"a small processor": {"cores": 0.5}, "a slow link": {"link_mbps": 10.0}}
+LARGE = {"cores": 2.0, "link_mbps": 100.0}
+SMALL = {"a small processor": {"cores": 0.5}, "a slow link": {"link_mbps": 10.0}}
 
 CELLS = {
-    "one near process among far ones": [("a", FAR), ("b", NEAR), ("c", FAR)],
-    "near ones differ by a little": [("a", NEAR), ("b", NEAR + 0.003), ("c", FAR)],
-    "all alike": [("a", NEAR), ("b", NEAR), ("c", NEAR)],
+    "one near member among far ones": [("a", FAR), ("b", NEAR), ("c", FAR)],
+    "near members differ by a little": [("a", NEAR), ("b", NEAR + 0.003), ("c", FAR)],
+    "all members equal": [("a", NEAR), ("b", NEAR), ("c", NEAR)],
 }
 
 
@@ -64,10 +64,10 @@
 # Events that a watch delivers after a process has recorded itself as the owner, and the name of the
 # owner that must be recorded afterwards.
 LATER_EVENTS = {
-    "how the former owner's key has gone": ([KeyDeleted(key=keys.OWNER, revision=8)], "own"),
-    "the former owner's key": ([KeyPut(kv=OLD_KEY)], "own"),
-    "its own key's end": ([KeyDeleted(key=keys.OWNER, revision=10)], ""),
-    "a later owner's key": ([KeyPut(kv=LATER_KEY)], "later"),
+    "the former owner's key deleted": ([KeyDeleted(key=keys.OWNER, revision=8)], "own"),
+    "the former owner's key written": ([KeyPut(kv=OLD_KEY)], "own"),
+    "its own key deleted": ([KeyDeleted(key=keys.OWNER, revision=10)], ""),
+    "a later owner's key written": ([KeyPut(kv=LATER_KEY)], "later"),
 }
 
 
@@ -81,9 +81,9 @@
 
 
 LISTINGS = {
-    "from before it won": ([OLD_KEY], 8, "own"),
-    "from before it won, without a key": ([], 8, "own"),
-    "from after its key has gone": ([], 10, ""),
+    "older than its own key, with a former owner": ([OLD_KEY], 8, "own"),
+    "older than its own key, without an owner": ([], 8, "own"),
+    "newer than the deletion of its own key": ([], 10, ""),
     "with a later owner": ([LATER_KEY], 13, "later"),
 }
 
@@ -110,14 +110,14 @@
     assert [each.name for each in successors(member("own"), view)] == ["b", "a", "c"]
 
 
-@pytest.mark.parametrize("lack", WEAK.values(), ids=WEAK.keys())
-def test_small_hosts_come_last_however_near_the_store(lack):
+@pytest.mark.parametrize("limit", SMALL.values(), ids=SMALL.keys())
+def test_small_hosts_come_last_however_near_the_store(limit):
     """Guard against an owner whose link or processor is too small for its work."""
-    strong = member("far", store_s=FAR, **STRONG)
-    weak = member("near", store_s=NEAR, **{**STRONG, **lack})
-    assert [election_rank(each, [strong, weak], seed=1) for each in (strong, weak)] == [0, 1]
-    view = CellView(members={each.name: each for each in (strong, weak)})
-    assert [each.name for each in successors(member("own", **STRONG), view)] == ["far", "near"]
+    large = member("far", store_s=FAR, **LARGE)
+    small = member("near", store_s=NEAR, **{**LARGE, **limit})
+    assert [election_rank(each, [large, small], seed=1) for each in (large, small)] == [0, 1]
+    view = CellView(members={each.name: each for each in (large, small)})
+    assert [each.name for each in successors(member("own", **LARGE), view)] == ["far", "near"]
 
 
 def test_an_encoded_member_decodes_to_the_same_member():
--- a/tests/cell/test_owner_watch.py
+++ b/tests/cell/test_owner_watch.py
@@ -35,11 +35,11 @@
 
     reaches: dict[str, Reach]
     pinged: list[str] = Factory(list)
-    asked: asyncio.Event = Factory(asyncio.Event)
+    pinged_once: asyncio.Event = Factory(asyncio.Event)
 
     async def ping(self, member, *, timeout_s):
         self.pinged.append(member.name)
-        self.asked.set()
+        self.pinged_once.set()
         return self.reaches[member.name]
 
 
@@ -75,11 +75,11 @@
 
 
 CASES = {
-    "its process has ended": (Reach.REFUSED, Reach.ANSWERED, [FENCE]),
-    "its host has lost its power": (Reach.SILENT, Reach.ANSWERED, [FENCE]),
-    "it is well": (Reach.ANSWERED, Reach.ANSWERED, []),
-    "this process is cut off from all": (Reach.SILENT, Reach.SILENT, []),
-    "nobody may connect to anybody": (Reach.REFUSED, Reach.REFUSED, []),
+    "the owner's process has exited": (Reach.REFUSED, Reach.ANSWERED, [FENCE]),
+    "the owner's host has lost power": (Reach.SILENT, Reach.ANSWERED, [FENCE]),
+    "the owner is healthy": (Reach.ANSWERED, Reach.ANSWERED, []),
+    "this process is disconnected from all": (Reach.SILENT, Reach.SILENT, []),
+    "no process may connect to another": (Reach.REFUSED, Reach.REFUSED, []),
 }
 
 
@@ -96,7 +96,7 @@
 async def test_one_unanswered_ping_does_not_change_the_owner():
     cell = Cell(peers=Peers(reaches={"owner": Reach.SILENT, "other": Reach.ANSWERED}))
     running = asyncio.create_task(cell.watch.run())
-    await cell.peers.asked.wait()
+    await cell.peers.pinged_once.wait()
     cell.peers.reaches["owner"] = Reach.ANSWERED
     await asyncio.sleep(OUTCOME_S)
     running.cancel()
@@ -107,7 +107,7 @@
     """Guard against a second change of the owner after a planned stop."""
     cell = Cell(peers=Peers(reaches={"owner": Reach.REFUSED, "other": Reach.ANSWERED}))
     running = asyncio.create_task(cell.watch.run())
-    await cell.peers.asked.wait()
+    await cell.peers.pinged_once.wait()
     cell.owned_by("other", FENCE + 1)
     await asyncio.sleep(OUTCOME_S)
     running.cancel()
@@ -136,14 +136,16 @@
     return cell.peers.pinged.count("owner")
 
 
-BEGUN = {
-    "long ago and it is silent": (Reach.SILENT, False, MAX_MISSED_PINGS),
-    "just now and it is silent": (Reach.SILENT, True, NEW_OWNER_MAX_MISSED_PINGS),
-    "just now and its process has ended": (Reach.REFUSED, True, MAX_MISSED_PINGS),
+MISSED_PINGS = {
+    "old owner, unresponsive": (Reach.SILENT, False, MAX_MISSED_PINGS),
+    "new owner, unresponsive": (Reach.SILENT, True, NEW_OWNER_MAX_MISSED_PINGS),
+    "new owner, process has exited": (Reach.REFUSED, True, MAX_MISSED_PINGS),
 }
 
 
-@pytest.mark.parametrize(("owner", "is_new", "pings"), BEGUN.values(), ids=BEGUN.keys())
+@pytest.mark.parametrize(
+    ("owner", "is_new", "pings"), MISSED_PINGS.values(), ids=MISSED_PINGS.keys()
+)
 async def test_a_new_owner_may_miss_more_pings(owner, is_new, pings):
     """Guard against owners on busy processors that replace each other endlessly."""
     cell = Cell(peers=Peers(reaches={"owner": owner, "other": Reach.ANSWERED}))
--- a/tests/cell/test_term.py
+++ b/tests/cell/test_term.py
@@ -74,7 +74,9 @@
 
 
 @pytest.mark.parametrize(
-    ("willing", "fresh"), [(set(), True), ({"b"}, False)], ids=["nobody else can", "an outage"]
+    ("willing", "fresh"),
+    [(set(), True), ({"b"}, False)],
+    ids=["no process is willing", "store outage"],
 )
 async def test_an_owner_continues_loading_if_no_other_process_can(monkeypatch, willing, fresh):
     monkeypatch.setattr(term_module, "LOAD_TIMEOUT_S", LOAD_TIMEOUT_S)
@@ -87,14 +89,19 @@
     await asyncio.gather(running, return_exceptions=True)
 
 
+# For each process the delay of its answer in seconds and whether it reaches the store; then the
+# chosen successor.
 ANSWERS = {
-    "a weak one answers first": ({"weak": (0.0, True), "strong": (0.02, True)}, "strong"),
-    "only a weak one is answered by the store": (
-        {"weak": (0.0, True), "strong": (0.02, False)},
-        "weak",
+    "a small host answers first": ({"small": (0.0, True), "large": (0.02, True)}, "large"),
+    "only a small host reaches the store": (
+        {"small": (0.0, True), "large": (0.02, False)},
+        "small",
     ),
-    "a strong one does not answer in time": ({"weak": (0.0, True), "strong": (5.0, True)}, "weak"),
-    "nobody reaches the store": ({"weak": (0.0, False), "strong": (0.0, False)}, None),
+    "a large host does not answer in time": (
+        {"small": (0.0, True), "large": (5.0, True)},
+        "small",
+    ),
+    "no process reaches the store": ({"small": (0.0, False), "large": (0.0, False)}, None),
 }
 
 
@@ -102,8 +109,8 @@
 async def test_a_disconnected_owner_hands_over_to_a_host_that_is_large_enough(answers, chosen):
     """Guard against a successor that stops responding because its host is too small."""
     found = term(Peers(willing=set()), fresh=False)
-    members = {name: member(name, link_mbps=100.0) for name in ("own", "strong")}
-    found.around.view.members = {**members, "weak": member("weak", link_mbps=5.0)}
+    members = {name: member(name, link_mbps=100.0) for name in ("own", "large")}
+    found.around.view.members = {**members, "small": member("small", link_mbps=5.0)}
 
     async def store_reached(asked):
         after_s, reached = answers[asked.name]
