--- a/rhubarbferry/cell/members.py
+++ b/rhubarbferry/cell/members.py
@@ -145,10 +145,10 @@
 
     @classmethod
     def of(cls, members: Iterable[Member]) -> _LargestHost:
-        found = list(members)
+        known = list(members)
         return cls(
-            cores=max((member.cores for member in found), default=0.0),
-            link_mbps=max((member.link_mbps for member in found), default=0.0),
+            cores=max((member.cores for member in known), default=0.0),
+            link_mbps=max((member.link_mbps for member in known), default=0.0),
         )
 
     def is_small(self, member: Member) -> bool:
--- a/rhubarbferry/cell/orders.py
+++ b/rhubarbferry/cell/orders.py
@@ -54,7 +54,7 @@
         self._desk = AdviceDesk(own=own.name, region=own.region)
 
     def start_capacity(self) -> float:
-        """Return how many more tasks may be started now, ``inf`` while the lag is in its goal."""
+        """Return how many more tasks may be started now, ``inf`` if the lag is within its goal."""
         lag_s = self.ctx.around.lag_s()
         if lag_s <= LAG_GOAL_S:
             return math.inf
@@ -162,7 +162,7 @@
     def _log_failures(
         self, order: StopOrder | PaceOrder, log: Callable[..., None]
     ) -> Iterator[None]:
-        """Log an unanswered order, or end the tenure if the host already obeys a later owner."""
+        """Log an unanswered order, or end the tenure if the host has accepted a later owner."""
         try:
             yield
         except FenceStale as exc:
@@ -179,11 +179,11 @@
                 assignment.member.name == self.ctx.around.own.name
                 and self.ctx.around.policy is not None
             ):
-                found = await self.ctx.around.policy.ask(
+                response = await self.ctx.around.policy.ask(
                     order.step, order.hosts, timeout_s=timeout_s
                 )
             else:
-                found = await self.ctx.around.peers.ask_approval(
+                response = await self.ctx.around.peers.ask_approval(
                     assignment.member, order.step, order.hosts, timeout_s=timeout_s
                 )
         except WorkerError as exc:
@@ -191,14 +191,14 @@
             self.ctx.dispatcher.advice_failed(order, now=self.ctx.now())
         else:
             now = self.ctx.now()
-            self.log.approval(assignment, approved=len(found.approvals), took_s=now - sent_at)
+            self.log.approval(assignment, approved=len(response.approvals), took_s=now - sent_at)
             self.ctx.dispatcher.advised(
                 Advice(
                     step=order.step,
                     asked=order.hosts,
-                    approvals=found.approvals,
+                    approvals=response.approvals,
                     answered_at=now,
-                    valid_s=found.valid_s,
+                    valid_s=response.valid_s,
                 ),
                 now=now,
             )
--- a/rhubarbferry/cell/owner_link.py
+++ b/rhubarbferry/cell/owner_link.py
@@ -42,7 +42,7 @@
     _retry_at: float = 0.0
 
     def fence(self) -> int:
-        """Return the fence of the last cached ownership, 0 if none; a later one may be in force."""
+        """Return the fence of the last known ownership, 0 if none; a later one may be in force."""
         return self.view.ownership.fence if self.view.ownership is not None else 0
 
     def accepted(self, job: AcceptedJob) -> None:
@@ -78,14 +78,14 @@
         now = self.clock.monotonic()
         if ownership.fence == self._unresponsive_fence and now < self._retry_at:
             return None
-        found = await self.peers.owned_phase(ownership.owner, id, timeout_s=OWNER_TIMEOUT_S)
-        if isinstance(found, Silence):
+        reply = await self.peers.owned_phase(ownership.owner, id, timeout_s=OWNER_TIMEOUT_S)
+        if isinstance(reply, Silence):
             self._unresponsive_fence = ownership.fence
             self._retry_at = now + OWNER_BACKOFF_S
             OWNER_REQUESTS.labels("no answer").inc()
             return None
-        OWNER_REQUESTS.labels("not known" if found is None else "known").inc()
-        return found
+        OWNER_REQUESTS.labels("not known" if reply is None else "known").inc()
+        return reply
 
     async def pending(self, queue: str) -> int | None:
         """Return how many jobs of a queue have not started, or ``None`` if unknown."""
--- a/rhubarbferry/cell/owner_watch.py
+++ b/rhubarbferry/cell/owner_watch.py
@@ -72,8 +72,8 @@
         version = (ownership.fence, self.view.version)
         if version != self._monitors_version:
             self._monitors_version = version
-            found = successors(ownership.owner, self.view)[:MONITOR_COUNT]
-            self._monitors = [member.name for member in found]
+            monitors = successors(ownership.owner, self.view)[:MONITOR_COUNT]
+            self._monitors = [member.name for member in monitors]
         return self._monitors.index(self.own.name) if self.own.name in self._monitors else None
 
     def record_owner(self, ownership: Ownership | None) -> None:
@@ -118,8 +118,8 @@
         others = [m for m in self.view.members.values() if m.name not in names][
             :CONNECTIVITY_PROBES
         ]
-        found = await asyncio.gather(*(self._ping(member) for member in others))
-        return not others or Reach.ANSWERED in found
+        results = await asyncio.gather(*(self._ping(member) for member in others))
+        return not others or Reach.ANSWERED in results
 
     async def _ping(self, member: Member) -> Reach:
         return await self.peers.ping(member, timeout_s=PING_TIMEOUT_S)
--- a/tests/cell/stage.py
+++ b/tests/cell/stage.py
@@ -75,7 +75,7 @@
 
 
 @define
-class Member:
+class MemberProcess:
     name: str
     child: asyncio.subprocess.Process
     output: Path
@@ -105,7 +105,7 @@
     store: PlatformStoreStandIn = Factory(PlatformStoreStandIn)
     policy: PlatformPolicyStandIn = Factory(PlatformPolicyStandIn)
     workers: dict[str, PlatformWorkerStandIn] = Factory(dict)
-    members: dict[str, Member] = Factory(dict)
+    members: dict[str, MemberProcess] = Factory(dict)
     addresses: dict[str, str] = Factory(dict)
     store_address: str = ""
     policy_address: str = ""
@@ -132,7 +132,7 @@
         self.workers[id] = worker
         return worker
 
-    async def start(self, name: str) -> Member:
+    async def start(self, name: str) -> MemberProcess:
         # Each process needs its own address, because one of its ports is the same for all.
         ip = self.addresses.setdefault(name, f"127.0.0.{2 + len(self.addresses)}")
         ports = free_ports(ip, 3)
@@ -157,7 +157,7 @@
                 stderr=asyncio.subprocess.STDOUT,
                 env={**os.environ, "RHUBARBFERRY_SETTINGS": str(path)},
             )
-        member = Member(
+        member = MemberProcess(
             name=name,
             child=child,
             output=output,
@@ -167,7 +167,7 @@
         self.members[name] = member
         return member
 
-    async def ready(self, member: Member) -> None:
+    async def ready(self, member: MemberProcess) -> None:
         async with asyncio.timeout(STARTED_S):
             while True:
                 assert member.child.returncode is None, member.output.read_text()
@@ -179,23 +179,29 @@
                     pass
                 await asyncio.sleep(0.05)
 
-    async def call(self, member: Member, method: str, path: str, body=None) -> tuple[int, dict]:
+    async def call(
+        self, member: MemberProcess, method: str, path: str, body=None
+    ) -> tuple[int, dict]:
         async with self.session.request(
             method, f"http://{member.front}{path}", json=body, headers={"Host": HOST}
         ) as resp:
             return resp.status, await resp.json()
 
-    async def submit(self, member: Member, id: str, *steps: dict, prefix: str = PREFIX) -> int:
+    async def submit(
+        self, member: MemberProcess, id: str, *steps: dict, prefix: str = PREFIX
+    ) -> int:
         status, _ = await self.call(
             member, "POST", prefix + id, {"spec": "work", "phases": list(steps) or [step()]}
         )
         return status
 
-    async def state(self, member: Member, id: str, prefix: str = PREFIX) -> str:
+    async def state(self, member: MemberProcess, id: str, prefix: str = PREFIX) -> str:
         status, body = await self.call(member, "GET", prefix + id)
         return body["state"] if status == 200 else str(status)
 
-    async def until(self, member: Member, id: str, state: str, within_s: float = 20.0) -> None:
+    async def until(
+        self, member: MemberProcess, id: str, state: str, within_s: float = 20.0
+    ) -> None:
         loop = asyncio.get_running_loop()
         end = loop.time() + within_s
         found = await self.state(member, id)
@@ -217,7 +223,7 @@
         stored = self.store.engine.get("cell/control/owner")
         return json.loads(stored.kv.value)["name"] if stored is not None else ""
 
-    def owner(self) -> Member:
+    def owner(self) -> MemberProcess:
         name = self.owned_key_name()
         assert name
         return self.members[name]
--- a/tests/cell/test_candidate.py
+++ b/tests/cell/test_candidate.py
@@ -28,7 +28,7 @@
         return Changes(events=(KeyPut(kv=LATER),), revision=20)
 
 
-def candidate() -> Candidate:
+def make_candidate() -> Candidate:
     around = SimpleNamespace(
         view=CellView(), log=Lines(), own=member("own"), follow=lambda prefix: Follower()
     )
@@ -37,10 +37,10 @@
 
 async def test_a_process_that_has_become_owner_still_sees_changes():
     """Guard against a watch that ignores changes after a win, so that no process schedules."""
-    found = candidate()
-    found.around.view.owned(Ownership(owner=member("own"), fence=9, lease_id=1))
-    found._won.set()
+    candidate = make_candidate()
+    candidate.around.view.owned(Ownership(owner=member("own"), fence=9, lease_id=1))
+    candidate._won.set()
     async with asyncio.timeout(ENDS_S):
-        while found.around.view.ownership.fence == 9:
-            await found._follow_changes(1.0)
-    assert found.around.view.ownership.owner.name == "later"
+        while candidate.around.view.ownership.fence == 9:
+            await candidate._follow_changes(1.0)
+    assert candidate.around.view.ownership.owner.name == "later"
--- a/tests/cell/test_owner_link.py
+++ b/tests/cell/test_owner_link.py
@@ -55,7 +55,7 @@
         return True
 
 
-def link(peers: Peers, *, owner: str = "other", fence: int = 5, term=None) -> OwnerLink:
+def make_client(peers: Peers, *, owner: str = "other", fence: int = 5, term=None) -> OwnerLink:
     view = CellView()
     if owner:
         view.ownership = Ownership(owner=member(owner), fence=fence, lease_id=1)
@@ -66,36 +66,36 @@
 
 @pytest.mark.parametrize("phase", [JobPhase.QUEUED, JobPhase.COMPLETE, None])
 async def test_the_phase_of_a_job_comes_from_the_owner(phase):
-    assert await link(Peers(answer=phase)).phase("j") is phase
+    assert await make_client(Peers(answer=phase)).phase("j") is phase
 
 
 async def test_an_unresponsive_owner_is_not_queried_again_at_once():
     """Guard against hundreds of clients that each wait for a frozen owner."""
     peers = Peers(answer=Silence(reason="no answer"))
-    found = link(peers)
-    assert [await found.phase("j") for _ in range(3)] == [None] * 3
+    client = make_client(peers)
+    assert [await client.phase("j") for _ in range(3)] == [None] * 3
     assert peers.asked == ["j"]
-    found.view.ownership = Ownership(owner=member("next"), fence=6, lease_id=2)
-    await found.phase("j")
+    client.view.ownership = Ownership(owner=member("next"), fence=6, lease_id=2)
+    await client.phase("j")
     assert peers.asked == ["j"] * 2
-    await found.clock.advance(OWNER_BACKOFF_S)
-    await found.phase("j")
+    await client.clock.advance(OWNER_BACKOFF_S)
+    await client.phase("j")
     assert peers.asked == ["j"] * 3
 
 
 async def test_without_an_owner_no_query_is_sent():
     peers = Peers(answer=JobPhase.RUNNING)
-    assert await link(peers, owner="").phase("j") is None
+    assert await make_client(peers, owner="").phase("j") is None
     assert peers.asked == []
 
 
 async def test_the_own_term_is_queried_without_a_remote_call():
     peers = Peers()
     term = OwnTerm()
-    found = link(peers, owner="own", term=term)
-    assert await found.phase("j") is JobPhase.RUNNING
-    assert await found.pending("queue") == 7
-    found.accepted(JOB)
+    client = make_client(peers, owner="own", term=term)
+    assert await client.phase("j") is JobPhase.RUNNING
+    assert await client.pending("queue") == 7
+    client.accepted(JOB)
     assert (term.notified, peers.asked, peers.notified) == ([JOB], [], [])
 
 
@@ -103,17 +103,17 @@
 async def test_only_the_owner_that_the_job_was_accepted_under_is_notified(fence, notified):
     """Guard against a new owner that treats an inherited job as a new one."""
     peers = Peers()
-    found = link(peers, fence=fence)
-    found.accepted(JOB)
-    await found.clock.advance(0.0)
+    client = make_client(peers, fence=fence)
+    client.accepted(JOB)
+    await client.clock.advance(0.0)
     assert peers.notified == notified
 
 
 async def test_pending_counts_are_cached():
     peers = Peers()
-    found = link(peers)
-    assert [await found.pending("queue") for _ in range(3)] == [3, 3, 3]
+    client = make_client(peers)
+    assert [await client.pending("queue") for _ in range(3)] == [3, 3, 3]
     assert peers.asked == ["queue"]
-    await found.clock.advance(PENDING_COUNT_TTL_S + 0.01)
-    await found.pending("queue")
+    await client.clock.advance(PENDING_COUNT_TTL_S + 0.01)
+    await client.pending("queue")
     assert peers.asked == ["queue"] * 2
--- a/tests/cell/test_owner_watch.py
+++ b/tests/cell/test_owner_watch.py
@@ -175,20 +175,20 @@
 
 def test_the_order_of_succession_is_computed_once_for_each_change_of_the_members(monkeypatch):
     """Guard against sorting all members several times a second in each process."""
-    found = []
+    computed_for = []
 
     def counted(own, view):
-        found.append(own.name)
+        computed_for.append(own.name)
         return successors(own, view)
 
     monkeypatch.setattr(owner_watch, "successors", counted)
     cell = Cell(peers=Peers(reaches={}))
     ownership = cell.view.ownership
     places = [cell.watch.position(ownership) for _ in range(10)]
-    assert len(set(places)) == len(found) == 1
+    assert len(set(places)) == len(computed_for) == 1
     cell.view.apply([registered("another")])
     cell.watch.position(ownership)
-    assert len(found) == 2
+    assert len(computed_for) == 2
     cell.owned_by("other", FENCE + 1)
     cell.watch.position(cell.view.ownership)
-    assert found == ["owner", "owner", "other"]
+    assert computed_for == ["owner", "owner", "other"]
--- a/tests/cell/test_roster.py
+++ b/tests/cell/test_roster.py
@@ -23,58 +23,58 @@
     return (await store.commit(Txn(put=(Put(key=keys.OWNER, value=b"{}"),)))).revision
 
 
-async def roster(store, *, fence: int = 0) -> Roster:
+async def make_roster(store, *, fence: int = 0) -> Roster:
     lease = Lease(id=7, incarnation=1, until=time.monotonic() + 60, margin_s=0.0)
     tenure = Tenure(
         keeper=SimpleNamespace(held=lambda: lease),
         lease_id=7,
         fence=fence or await take_ownership(store),
     )
-    found = Roster(store=store, tenure=tenure)
-    found.load(await store.get(keys.ROSTER))
-    return found
+    roster = Roster(store=store, tenure=tenure)
+    roster.load(await store.get(keys.ROSTER))
+    return roster
 
 
 async def test_the_next_owner_loads_the_stored_roster(store):
-    first = await roster(store)
+    first = await make_roster(store)
     entries = {entry.id: entry for entry in (OPEN, CLOSED, IDLE)}
     assert await first.update(entries)
-    second = await roster(store)
+    second = await make_roster(store)
     assert second.entries == entries
     assert [entry.may_run("j") for entry in second.entries.values()] == [True, True, False]
 
 
 async def test_an_unchanged_roster_is_not_written_again(store, stand_in):
-    found = await roster(store)
-    assert await found.update({"a": OPEN})
+    roster = await make_roster(store)
+    assert await roster.update({"a": OPEN})
     calls = stand_in.calls["txn"]
-    assert await found.update({"a": OPEN})
+    assert await roster.update({"a": OPEN})
     assert stand_in.calls["txn"] == calls
 
 
 async def test_a_former_owner_cannot_open_a_host(store):
     """Guard against orders of a former owner to a host that the current owner assumes is idle."""
-    found = await roster(store)
-    assert await found.update({"b": CLOSED})
+    roster = await make_roster(store)
+    assert await roster.update({"b": CLOSED})
     await take_ownership(store)
     with pytest.raises(OwnershipLost):
-        await found.update({"b": OPEN})
-    assert not found.tenure.holds()
+        await roster.update({"b": OPEN})
+    assert not roster.tenure.holds()
 
 
 async def test_a_write_whose_answer_was_lost_is_recognized_as_its_own(store, stand_in):
-    found = await roster(store)
+    roster = await make_roster(store)
     stand_in.trouble.lose_every = 1
     with pytest.raises(StoreUnclear):
-        await found.update({"a": OPEN})
+        await roster.update({"a": OPEN})
     stand_in.trouble.lose_every = 0
-    assert not await found.update({"a": OPEN, "b": CLOSED})
-    assert found.entries == {"a": OPEN}
-    assert await found.update({"a": OPEN, "b": CLOSED})
+    assert not await roster.update({"a": OPEN, "b": CLOSED})
+    assert roster.entries == {"a": OPEN}
+    assert await roster.update({"a": OPEN, "b": CLOSED})
 
 
 def test_rows_without_outstanding_jobs_are_read_as_open():
-    found = Roster(store=None, tenure=None)
+    roster = Roster(store=None, tenure=None)
     row = b'[{"id":"a","address":"a:1","incarnation":1,"service":"pool"}]'
-    found.load(SimpleNamespace(mod_revision=3, value=row))
-    assert found.entries == {"a": OPEN}
+    roster.load(SimpleNamespace(mod_revision=3, value=row))
+    assert roster.entries == {"a": OPEN}
--- a/tests/cell/test_takeover_with_backlog.py
+++ b/tests/cell/test_takeover_with_backlog.py
@@ -36,11 +36,11 @@
     """Guard against an owner that is replaced because it does not respond while it loads."""
     for index in range(BACKLOG):
         await accept(store, f"{index:016x}")
-    found = await inbox(store)
-    counter = TurnCounter(lambda: len(found.ctx.dispatcher.jobs))
+    new_inbox = await inbox(store)
+    counter = TurnCounter(lambda: len(new_inbox.ctx.dispatcher.jobs))
     counting = asyncio.create_task(counter.run())
-    await found.load()
+    await new_inbox.load()
     await asyncio.sleep(0)
     counting.cancel()
-    assert len(found.ctx.dispatcher.jobs) == BACKLOG
+    assert len(new_inbox.ctx.dispatcher.jobs) == BACKLOG
     assert counter.largest_step() <= JOBS_PER_TURN
--- a/tests/cell/test_term.py
+++ b/tests/cell/test_term.py
@@ -39,12 +39,12 @@
         self.willing = willing
         self.asked: list[str] = []
 
-    async def take_over(self, found, fence):
-        self.asked.append(found.name)
-        return found.name in self.willing
+    async def take_over(self, successor, fence):
+        self.asked.append(successor.name)
+        return successor.name in self.willing
 
 
-def term(peers: Peers, *, fresh: bool) -> Term:
+def make_term(peers: Peers, *, fresh: bool) -> Term:
     view = CellView(members={name: member(name) for name in ("own", "b", "c")})
     lease = SimpleNamespace(id=1)
     keeper = SimpleNamespace(held=lambda: lease, fresh=lambda: fresh)
@@ -67,10 +67,10 @@
 async def test_an_owner_that_cannot_load_the_jobs_hands_over(monkeypatch, willing):
     """Guard against an owner that loads forever and starts no job."""
     monkeypatch.setattr(term_module, "LOAD_TIMEOUT_S", LOAD_TIMEOUT_S)
-    found = term(Peers(willing=willing), fresh=True)
-    await asyncio.wait_for(found.run(), ENDS_S)
-    assert found.overloaded
-    assert not found.tenure.holds()
+    term = make_term(Peers(willing=willing), fresh=True)
+    await asyncio.wait_for(term.run(), ENDS_S)
+    assert term.overloaded
+    assert not term.tenure.holds()
 
 
 @pytest.mark.parametrize(
@@ -80,11 +80,11 @@
 )
 async def test_an_owner_continues_loading_if_no_other_process_can(monkeypatch, willing, fresh):
     monkeypatch.setattr(term_module, "LOAD_TIMEOUT_S", LOAD_TIMEOUT_S)
-    found = term(Peers(willing=willing), fresh=fresh)
-    running = asyncio.create_task(found.run())
+    term = make_term(Peers(willing=willing), fresh=fresh)
+    running = asyncio.create_task(term.run())
     await asyncio.sleep(4 * LOAD_TIMEOUT_S)
     assert not running.done()
-    assert found.tenure.holds()
+    assert term.tenure.holds()
     running.cancel()
     await asyncio.gather(running, return_exceptions=True)
 
@@ -108,30 +108,30 @@
 @pytest.mark.parametrize(("answers", "chosen"), ANSWERS.values(), ids=ANSWERS.keys())
 async def test_a_disconnected_owner_hands_over_to_a_host_that_is_large_enough(answers, chosen):
     """Guard against a successor that stops responding because its host is too small."""
-    found = term(Peers(willing=set()), fresh=False)
+    term = make_term(Peers(willing=set()), fresh=False)
     members = {name: member(name, link_mbps=100.0) for name in ("own", "large")}
-    found.around.view.members = {**members, "small": member("small", link_mbps=5.0)}
+    term.around.view.members = {**members, "small": member("small", link_mbps=5.0)}
 
     async def store_reached(asked):
         after_s, reached = answers[asked.name]
         await asyncio.sleep(after_s)
         return reached
 
-    found.around.peers.store_reached = store_reached
-    best = await asyncio.wait_for(found._find_connected_successor(), ENDS_S)
+    term.around.peers.store_reached = store_reached
+    best = await asyncio.wait_for(term._find_connected_successor(), ENDS_S)
     assert (best.name if best is not None else None) == chosen
 
 
 async def test_reports_that_arrive_close_together_share_a_decision(monkeypatch):
     """Guard against an owner that spends all its processor time on one decision per report."""
-    found = term(Peers(willing=set()), fresh=True)
+    term = make_term(Peers(willing=set()), fresh=True)
     decided: list[float] = []
     clock = SystemClock()
     monkeypatch.setattr(Term, "_decide", lambda self: decided.append(clock.monotonic()))
-    deciding = asyncio.create_task(found._run_decisions())
+    deciding = asyncio.create_task(term._run_decisions())
     begun = clock.monotonic()
     while clock.monotonic() - begun < BUSY_S:
-        found.ctx.wake.set()
+        term.ctx.wake.set()
         await asyncio.sleep(0)
     deciding.cancel()
     await asyncio.gather(deciding, return_exceptions=True)
