--- a/tests/cell/test_owner_watch.py
+++ b/tests/cell/test_owner_watch.py
@@ -50,13 +50,13 @@
     peers: Peers
     view: CellView = Factory(CellView)
     replaced: list[int] = Factory(list)
-    watch: OwnerWatch = None
+    monitor: OwnerWatch = None
 
     def __attrs_post_init__(self) -> None:
         for name in ("own", "owner", "other"):
             self.view.members[name] = member(name)
         self.owned_by("owner", FENCE)
-        self.watch = OwnerWatch(
+        self.monitor = OwnerWatch(
             clock=SystemClock(),
             log=Lines(),
             own=member("own"),
@@ -87,7 +87,7 @@
 async def test_an_owner_that_does_not_answer_is_replaced(owner, other, replaced):
     """Guard against keeping a dead owner, and against a disconnected member that replaces it."""
     cell = Cell(peers=Peers(reaches={"owner": owner, "other": other}))
-    running = asyncio.create_task(cell.watch.run())
+    running = asyncio.create_task(cell.monitor.run())
     await asyncio.sleep(OUTCOME_S)
     running.cancel()
     assert cell.replaced == replaced
@@ -95,7 +95,7 @@
 
 async def test_one_unanswered_ping_does_not_change_the_owner():
     cell = Cell(peers=Peers(reaches={"owner": Reach.SILENT, "other": Reach.ANSWERED}))
-    running = asyncio.create_task(cell.watch.run())
+    running = asyncio.create_task(cell.monitor.run())
     await cell.peers.pinged_once.wait()
     cell.peers.reaches["owner"] = Reach.ANSWERED
     await asyncio.sleep(OUTCOME_S)
@@ -106,7 +106,7 @@
 async def test_an_owner_that_has_been_replaced_meanwhile_is_not_replaced_again():
     """Guard against a second change of the owner after a planned stop."""
     cell = Cell(peers=Peers(reaches={"owner": Reach.REFUSED, "other": Reach.ANSWERED}))
-    running = asyncio.create_task(cell.watch.run())
+    running = asyncio.create_task(cell.monitor.run())
     await cell.peers.pinged_once.wait()
     cell.owned_by("other", FENCE + 1)
     await asyncio.sleep(OUTCOME_S)
@@ -120,7 +120,7 @@
     for number in range(MONITOR_COUNT):
         cell.view.members[f"later-{number}"] = member(f"later-{number}")
         cell.view.registered[f"later-{number}"] = 100 + number
-    running = asyncio.create_task(cell.watch.run())
+    running = asyncio.create_task(cell.monitor.run())
     await asyncio.sleep(OUTCOME_S)
     running.cancel()
     assert cell.peers.pinged == []
@@ -128,7 +128,7 @@
 
 async def pings_until_replaced(cell: Cell) -> int:
     """Return how many pings the owner misses before it is replaced."""
-    running = asyncio.create_task(cell.watch.run())
+    running = asyncio.create_task(cell.monitor.run())
     async with asyncio.timeout(OUTCOME_S * 4):
         while not cell.replaced:  # noqa: ASYNC110 - set by another task
             await asyncio.sleep(PING_RETRY_INTERVAL_S)
@@ -149,7 +149,7 @@
 async def test_a_new_owner_may_miss_more_pings(owner, is_new, pings):
     """Guard against owners on busy processors that replace each other endlessly."""
     cell = Cell(peers=Peers(reaches={"owner": owner, "other": Reach.ANSWERED}))
-    cell.watch.record_owner(cell.view.ownership)
+    cell.monitor.record_owner(cell.view.ownership)
     if is_new:
         cell.owned_by("owner", FENCE + 1)
     assert await pings_until_replaced(cell) == pings
@@ -158,13 +158,13 @@
 async def test_an_owner_is_new_for_a_limited_period():
     """Guard against a dead owner that is kept for longer than necessary."""
     cell = Cell(peers=Peers(reaches={"owner": Reach.SILENT, "other": Reach.ANSWERED}))
-    cell.watch.clock = FakeClock()
+    cell.monitor.clock = FakeClock()
     for fence in (FENCE, FENCE + 1):
         cell.owned_by("owner", fence)
-        cell.watch.record_owner(cell.view.ownership)
-    assert cell.watch.max_missed_pings() == NEW_OWNER_MAX_MISSED_PINGS
-    await cell.watch.clock.advance(NEW_OWNER_PERIOD_S)
-    assert cell.watch.max_missed_pings() == MAX_MISSED_PINGS
+        cell.monitor.record_owner(cell.view.ownership)
+    assert cell.monitor.max_missed_pings() == NEW_OWNER_MAX_MISSED_PINGS
+    await cell.monitor.clock.advance(NEW_OWNER_PERIOD_S)
+    assert cell.monitor.max_missed_pings() == MAX_MISSED_PINGS
 
 
 def registered(name: str) -> KeyPut:
@@ -184,11 +184,11 @@
     monkeypatch.setattr(owner_watch, "successors", counted)
     cell = Cell(peers=Peers(reaches={}))
     ownership = cell.view.ownership
-    places = [cell.watch.position(ownership) for _ in range(10)]
+    places = [cell.monitor.position(ownership) for _ in range(10)]
     assert len(set(places)) == len(computed_for) == 1
     cell.view.apply([registered("another")])
-    cell.watch.position(ownership)
+    cell.monitor.position(ownership)
     assert len(computed_for) == 2
     cell.owned_by("other", FENCE + 1)
-    cell.watch.position(cell.view.ownership)
+    cell.monitor.position(cell.view.ownership)
     assert computed_for == ["owner", "owner", "other"]
