--- a/tests/cell/stage.py
+++ b/tests/cell/stage.py
@@ -1,4 +1,4 @@
-"""A cell of real processes against stand-ins of the platform in the test's own loop."""
+"""Run a cell of real processes against fakes of the platform in the test's event loop."""
 
 from __future__ import annotations
 
@@ -64,8 +64,9 @@
 
 
 def free_ports(ip: str, count: int) -> list[int]:
-    """Return ports that are free on an address, no two the same."""
-    # All are held until the last is known: one that is given back at once may be handed out again.
+    """Return distinct free ports of an address."""
+    # All sockets stay open until the last port is known: a port that is released earlier may be
+    # assigned again.
     socks = [bind(ip=ip) for _ in range(count)]
     ports = [sock.getsockname()[1] for sock in socks]
     for sock in socks:
@@ -74,7 +75,7 @@
 
 
 @define
-class Member:
+class MemberProcess:
     name: str
     child: asyncio.subprocess.Process
     output: Path
@@ -104,7 +105,7 @@
     store: PlatformStoreStandIn = Factory(PlatformStoreStandIn)
     policy: PlatformPolicyStandIn = Factory(PlatformPolicyStandIn)
     workers: dict[str, PlatformWorkerStandIn] = Factory(dict)
-    members: dict[str, Member] = Factory(dict)
+    members: dict[str, MemberProcess] = Factory(dict)
     addresses: dict[str, str] = Factory(dict)
     store_address: str = ""
     policy_address: str = ""
@@ -131,8 +132,8 @@
         self.workers[id] = worker
         return worker
 
-    async def start(self, name: str) -> Member:
-        # Each process has an address of its own, since one of its ports is the same on all.
+    async def start(self, name: str) -> MemberProcess:
+        # Each process needs its own address, because one of its ports is the same for all.
         ip = self.addresses.setdefault(name, f"127.0.0.{2 + len(self.addresses)}")
         ports = free_ports(ip, 3)
         text = SETTINGS.format(
@@ -156,7 +157,7 @@
                 stderr=asyncio.subprocess.STDOUT,
                 env={**os.environ, "RHUBARBFERRY_SETTINGS": str(path)},
             )
-        member = Member(
+        member = MemberProcess(
             name=name,
             child=child,
             output=output,
@@ -166,7 +167,7 @@
         self.members[name] = member
         return member
 
-    async def ready(self, member: Member) -> None:
+    async def ready(self, member: MemberProcess) -> None:
         async with asyncio.timeout(STARTED_S):
             while True:
                 assert member.child.returncode is None, member.output.read_text()
@@ -178,23 +179,29 @@
                     pass
                 await asyncio.sleep(0.05)
 
-    async def call(self, member: Member, method: str, path: str, body=None) -> tuple[int, dict]:
+    async def call(
+        self, member: MemberProcess, method: str, path: str, body=None
+    ) -> tuple[int, dict]:
         async with self.session.request(
             method, f"http://{member.front}{path}", json=body, headers={"Host": HOST}
         ) as resp:
             return resp.status, await resp.json()
 
-    async def submit(self, member: Member, id: str, *steps: dict, prefix: str = PREFIX) -> int:
+    async def submit(
+        self, member: MemberProcess, id: str, *steps: dict, prefix: str = PREFIX
+    ) -> int:
         status, _ = await self.call(
             member, "POST", prefix + id, {"spec": "work", "phases": list(steps) or [step()]}
         )
         return status
 
-    async def state(self, member: Member, id: str, prefix: str = PREFIX) -> str:
+    async def state(self, member: MemberProcess, id: str, prefix: str = PREFIX) -> str:
         status, body = await self.call(member, "GET", prefix + id)
         return body["state"] if status == 200 else str(status)
 
-    async def until(self, member: Member, id: str, state: str, within_s: float = 20.0) -> None:
+    async def until(
+        self, member: MemberProcess, id: str, state: str, within_s: float = 20.0
+    ) -> None:
         loop = asyncio.get_running_loop()
         end = loop.time() + within_s
         found = await self.state(member, id)
@@ -204,19 +211,19 @@
         assert found == state
 
     async def owned(self) -> None:
-        """Wait until some process owns the work; a process may be ready before."""
+        """Wait until some process is the owner; processes may become ready before that."""
         for _ in range(int(STARTED_S / 0.05)):
             if self.store.engine.get("cell/control/owner") is not None:
                 return
             await asyncio.sleep(0.05)
-        raise AssertionError("nobody owns the work")
+        raise AssertionError("no process owns the cell")
 
     def owned_key_name(self) -> str:
-        """Return the name that the owner's key holds, empty for none."""
+        """Return the name that is stored in the owner's key, empty if there is no key."""
         stored = self.store.engine.get("cell/control/owner")
         return json.loads(stored.kv.value)["name"] if stored is not None else ""
 
-    def owner(self) -> Member:
+    def owner(self) -> MemberProcess:
         name = self.owned_key_name()
         assert name
         return self.members[name]
--- a/tests/cell/test_term.py
+++ b/tests/cell/test_term.py
@@ -1,4 +1,4 @@
-"""The beginning of a term of ownership."""
+"""Tests of a term of ownership: loading, handover and batching of decisions."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from .parts import Lines, member
 
 FENCE = 5
-LOAD_S = 0.05
+LOAD_TIMEOUT_S = 0.05
 ENDS_S = 2.0
 BUSY_S = 0.1
 
 
 class SlowStore:
-    """Answers renewals of the lease, and never comes to the end of a listing."""
+    """Fake store whose reads never return."""
 
     async def get(self, key):
         await asyncio.Event().wait()
@@ -33,18 +33,18 @@
 
 
 class Peers:
-    """Other processes, of which some take the work over."""
+    """Fake of the other processes, some of which are willing to take over."""
 
     def __init__(self, *, willing: set[str]) -> None:
         self.willing = willing
         self.asked: list[str] = []
 
-    async def take_over(self, found, fence):
-        self.asked.append(found.name)
-        return found.name in self.willing
+    async def take_over(self, successor, fence):
+        self.asked.append(successor.name)
+        return successor.name in self.willing
 
 
-def term(peers: Peers, *, fresh: bool) -> Term:
+def make_term(peers: Peers, *, fresh: bool) -> Term:
     view = CellView(members={name: member(name) for name in ("own", "b", "c")})
     lease = SimpleNamespace(id=1)
     keeper = SimpleNamespace(held=lambda: lease, fresh=lambda: fresh)
@@ -64,71 +64,76 @@
 
 
 @pytest.mark.parametrize("willing", [{"b"}, {"c"}])
-async def test_an_owner_that_can_not_load_the_work_passes_it_on(monkeypatch, willing):
-    """Guards against an owner that reads without end and starts no job."""
-    monkeypatch.setattr(term_module, "LOAD_S", LOAD_S)
-    found = term(Peers(willing=willing), fresh=True)
-    await asyncio.wait_for(found.run(), ENDS_S)
-    assert found.overloaded
-    assert not found.tenure.holds()
+async def test_an_owner_that_cannot_load_the_jobs_hands_over(monkeypatch, willing):
+    """Guard against an owner that loads forever and starts no job."""
+    monkeypatch.setattr(term_module, "LOAD_TIMEOUT_S", LOAD_TIMEOUT_S)
+    term = make_term(Peers(willing=willing), fresh=True)
+    await asyncio.wait_for(term.run(), ENDS_S)
+    assert term.overloaded
+    assert not term.tenure.holds()
 
 
 @pytest.mark.parametrize(
-    ("willing", "fresh"), [(set(), True), ({"b"}, False)], ids=["nobody else can", "an outage"]
+    ("willing", "fresh"),
+    [(set(), True), ({"b"}, False)],
+    ids=["no process is willing", "store outage"],
 )
-async def test_an_owner_goes_on_loading_where_no_other_would_do_better(monkeypatch, willing, fresh):
-    monkeypatch.setattr(term_module, "LOAD_S", LOAD_S)
-    found = term(Peers(willing=willing), fresh=fresh)
-    running = asyncio.create_task(found.run())
-    await asyncio.sleep(4 * LOAD_S)
+async def test_an_owner_continues_loading_if_no_other_process_can(monkeypatch, willing, fresh):
+    monkeypatch.setattr(term_module, "LOAD_TIMEOUT_S", LOAD_TIMEOUT_S)
+    term = make_term(Peers(willing=willing), fresh=fresh)
+    running = asyncio.create_task(term.run())
+    await asyncio.sleep(4 * LOAD_TIMEOUT_S)
     assert not running.done()
-    assert found.tenure.holds()
+    assert term.tenure.holds()
     running.cancel()
     await asyncio.gather(running, return_exceptions=True)
 
 
+# For each process the delay of its answer in seconds and whether it reaches the store; then the
+# chosen successor.
 ANSWERS = {
-    "a weak one answers first": ({"weak": (0.0, True), "strong": (0.02, True)}, "strong"),
-    "only a weak one is answered by the store": (
-        {"weak": (0.0, True), "strong": (0.02, False)},
-        "weak",
+    "a small host answers first": ({"small": (0.0, True), "large": (0.02, True)}, "large"),
+    "only a small host reaches the store": (
+        {"small": (0.0, True), "large": (0.02, False)},
+        "small",
     ),
-    "a strong one does not answer in time": ({"weak": (0.0, True), "strong": (5.0, True)}, "weak"),
-    "nobody reaches the store": ({"weak": (0.0, False), "strong": (0.0, False)}, None),
+    "a large host does not answer in time": (
+        {"small": (0.0, True), "large": (5.0, True)},
+        "small",
+    ),
+    "no process reaches the store": ({"small": (0.0, False), "large": (0.0, False)}, None),
 }
 
 
 @pytest.mark.parametrize(("answers", "chosen"), ANSWERS.values(), ids=ANSWERS.keys())
-async def test_an_owner_that_is_cut_off_hands_over_to_a_host_that_can_bear_the_work(
-    answers, chosen
-):
-    """Guards against a successor that falls silent since its host is too small."""
-    found = term(Peers(willing=set()), fresh=False)
-    members = {name: member(name, link_mbps=100.0) for name in ("own", "strong")}
-    found.around.view.members = {**members, "weak": member("weak", link_mbps=5.0)}
+async def test_a_disconnected_owner_hands_over_to_a_host_that_is_large_enough(answers, chosen):
+    """Guard against a successor that stops responding because its host is too small."""
+    term = make_term(Peers(willing=set()), fresh=False)
+    members = {name: member(name, link_mbps=100.0) for name in ("own", "large")}
+    term.around.view.members = {**members, "small": member("small", link_mbps=5.0)}
 
     async def store_reached(asked):
         after_s, reached = answers[asked.name]
         await asyncio.sleep(after_s)
         return reached
 
-    found.around.peers.store_reached = store_reached
-    best = await asyncio.wait_for(found._one_that_reaches_the_store(), ENDS_S)
+    term.around.peers.store_reached = store_reached
+    best = await asyncio.wait_for(term._find_connected_successor(), ENDS_S)
     assert (best.name if best is not None else None) == chosen
 
 
-async def test_reports_that_come_close_together_share_a_decision(monkeypatch):
-    """Guards against an owner whose processor is used up by one decision for each report."""
-    found = term(Peers(willing=set()), fresh=True)
+async def test_reports_that_arrive_close_together_share_a_decision(monkeypatch):
+    """Guard against an owner that spends all its processor time on one decision per report."""
+    term = make_term(Peers(willing=set()), fresh=True)
     decided: list[float] = []
     clock = SystemClock()
     monkeypatch.setattr(Term, "_decide", lambda self: decided.append(clock.monotonic()))
-    deciding = asyncio.create_task(found._decide_forever())
+    deciding = asyncio.create_task(term._run_decisions())
     begun = clock.monotonic()
     while clock.monotonic() - begun < BUSY_S:
-        found.ctx.wake.set()
+        term.ctx.wake.set()
         await asyncio.sleep(0)
     deciding.cancel()
     await asyncio.gather(deciding, return_exceptions=True)
     assert decided[0] - begun < BUSY_S / 2
-    assert len(decided) <= BUSY_S / term_module.GATHER_S + 1
+    assert len(decided) <= BUSY_S / term_module.DECISION_BATCH_WINDOW_S + 1
