--- a/rhubarbferry/cell/cleaner.py
+++ b/rhubarbferry/cell/cleaner.py
@@ -27,7 +27,7 @@
 class Cleaner:
     """Removes the requests of ended jobs soon and their phases after the retention time.
 
-    :param without_state: ids of inherited jobs that have no stored state of a job in progress.
+    :param without_state: ids of inherited jobs without a stored in-progress state.
     """
 
     ctx: TermContext
--- a/rhubarbferry/cell/members.py
+++ b/rhubarbferry/cell/members.py
@@ -152,7 +152,7 @@
         )
 
     def is_small(self, member: Member) -> bool:
-        """Return whether a member may be too small for an owner's work, unlike other members."""
+        """Return whether a member's host is small compared with the largest one in the cell."""
         return (
             member.cores < SMALL_HOST_SHARE * self.cores
             or member.link_mbps < SMALL_HOST_SHARE * self.link_mbps
--- a/tests/cell/stage.py
+++ b/tests/cell/stage.py
@@ -39,7 +39,7 @@
 HOST = "jobs.example"
 PREFIX = "/q/"
 SERVICE = "pool"
-STARTED_S = 20.0
+START_TIMEOUT_S = 20.0
 
 
 def configuration(version: int = 1, *, prefixes: tuple[str, ...] = (PREFIX,), **queue) -> dict:
@@ -168,7 +168,7 @@
         return member
 
     async def ready(self, member: MemberProcess) -> None:
-        async with asyncio.timeout(STARTED_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 assert member.child.returncode is None, member.output.read_text()
                 try:
@@ -212,7 +212,7 @@
 
     async def owned(self) -> None:
         """Wait until some process is the owner; processes may become ready before that."""
-        for _ in range(int(STARTED_S / 0.05)):
+        for _ in range(int(START_TIMEOUT_S / 0.05)):
             if self.store.engine.get("cell/control/owner") is not None:
                 return
             await asyncio.sleep(0.05)
--- a/tests/cell/test_candidate.py
+++ b/tests/cell/test_candidate.py
@@ -12,10 +12,10 @@
 
 from .parts import Lines, member
 
-LATER = KeyValue(
+LATER_OWNER_KEY = KeyValue(
     key=keys.OWNER, value=encode_member(member("later")), mod_revision=20, create_revision=20
 )
-ENDS_S = 2.0
+TIMEOUT_S = 2.0
 
 
 class Follower:
@@ -25,7 +25,7 @@
 
     async def next(self, wait_s: float) -> Changes:
         await asyncio.sleep(0.05)
-        return Changes(events=(KeyPut(kv=LATER),), revision=20)
+        return Changes(events=(KeyPut(kv=LATER_OWNER_KEY),), revision=20)
 
 
 def make_candidate() -> Candidate:
@@ -40,7 +40,7 @@
     candidate = make_candidate()
     candidate.around.view.owned(Ownership(owner=member("own"), fence=9, lease_id=1))
     candidate._won.set()
-    async with asyncio.timeout(ENDS_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while candidate.around.view.ownership.fence == 9:
             await candidate._follow_changes(1.0)
     assert candidate.around.view.ownership.owner.name == "later"
--- a/tests/cell/test_term.py
+++ b/tests/cell/test_term.py
@@ -18,8 +18,8 @@
 
 FENCE = 5
 LOAD_TIMEOUT_S = 0.05
-ENDS_S = 2.0
-BUSY_S = 0.1
+TIMEOUT_S = 2.0
+BUSY_PERIOD_S = 0.1
 
 
 class SlowStore:
@@ -68,7 +68,7 @@
     """Guard against an owner that loads forever and starts no job."""
     monkeypatch.setattr(term_module, "LOAD_TIMEOUT_S", LOAD_TIMEOUT_S)
     term = make_term(Peers(willing=willing), fresh=True)
-    await asyncio.wait_for(term.run(), ENDS_S)
+    await asyncio.wait_for(term.run(), TIMEOUT_S)
     assert term.overloaded
     assert not term.tenure.holds()
 
@@ -118,22 +118,22 @@
         return reached
 
     term.around.peers.store_reached = store_reached
-    best = await asyncio.wait_for(term._find_connected_successor(), ENDS_S)
+    best = await asyncio.wait_for(term._find_connected_successor(), TIMEOUT_S)
     assert (best.name if best is not None else None) == chosen
 
 
 async def test_reports_that_arrive_close_together_share_a_decision(monkeypatch):
     """Guard against an owner that spends all its processor time on one decision per report."""
     term = make_term(Peers(willing=set()), fresh=True)
-    decided: list[float] = []
+    decided_at: list[float] = []
     clock = SystemClock()
-    monkeypatch.setattr(Term, "_decide", lambda self: decided.append(clock.monotonic()))
-    deciding = asyncio.create_task(term._run_decisions())
-    begun = clock.monotonic()
-    while clock.monotonic() - begun < BUSY_S:
+    monkeypatch.setattr(Term, "_decide", lambda self: decided_at.append(clock.monotonic()))
+    decisions_task = asyncio.create_task(term._run_decisions())
+    started_at = clock.monotonic()
+    while clock.monotonic() - started_at < BUSY_PERIOD_S:
         term.ctx.wake.set()
         await asyncio.sleep(0)
-    deciding.cancel()
-    await asyncio.gather(deciding, return_exceptions=True)
-    assert decided[0] - begun < BUSY_S / 2
-    assert len(decided) <= BUSY_S / term_module.DECISION_BATCH_WINDOW_S + 1
+    decisions_task.cancel()
+    await asyncio.gather(decisions_task, return_exceptions=True)
+    assert decided_at[0] - started_at < BUSY_PERIOD_S / 2
+    assert len(decided_at) <= BUSY_PERIOD_S / term_module.DECISION_BATCH_WINDOW_S + 1
--- a/tests/cell/test_wide_steps.py
+++ b/tests/cell/test_wide_steps.py
@@ -21,7 +21,7 @@
 
 HOSTS = 500
 HOST_CORES = 64
-LOOK_S = 0.02
+DECISION_INTERVAL_S = 0.02
 APPROVED_OF_100 = 25
 COST = AdviceCost(decision_s=0.48, per_host_s=0.0069, valid_s=1.5)
 ADVISED = evolve(QUEUE, name="advised", advice=COST)
@@ -62,14 +62,14 @@
     """Simulate the processes that query the policy service until a task starts."""
     members = [member(f"m{index}") for index in range(processes)]
     desk = AdviceDesk(own="m0", region="region")
-    under_way: list[tuple[float, str, AdviceOrder]] = []
+    in_progress: list[tuple[float, str, AdviceOrder]] = []
     while world.now < until:
         world.deliver_reports()
-        for entry in [entry for entry in under_way if entry[0] <= world.now]:
-            under_way.remove(entry)
+        for entry in [entry for entry in in_progress if entry[0] <= world.now]:
+            in_progress.remove(entry)
             desk.done(entry[1])
             answer(world, entry[2])
-        orders = world.decide(LOOK_S)
+        orders = world.decide(DECISION_INTERVAL_S)
         started = [order for order in orders if isinstance(order, StartOrder)]
         if started:
             return started
@@ -78,7 +78,7 @@
                 desk.add(order, priority=0)
         for item in desk.assign(members):
             answered_at = world.now + COST.duration_s(len(item.order.hosts))
-            under_way.append((answered_at, item.member.name, item.order))
+            in_progress.append((answered_at, item.member.name, item.order))
     return []
 
 
