--- a/rhubarbferry/core/__init__.py
+++ b/rhubarbferry/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: pure code without I/O, clock or randomness of its own."""
+"""Scheduling logic: pure functions and state, without I/O, clocks or random sources."""
--- a/rhubarbferry/core/cell.py
+++ b/rhubarbferry/core/cell.py
@@ -1,4 +1,4 @@
-"""The operators' configuration of the whole cell: templates, client accounts, services."""
+"""Configuration of a cell, set by its operators: regions, client accounts and services."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PriorityClass(IntEnum):
-    """Order of work before fair share counts; lower goes first."""
+    """Priority of work, applied before fair share; lower values are scheduled first."""
 
     URGENT = 0
     NORMAL = 1
@@ -20,11 +20,11 @@
 
 @frozen(kw_only=True, slots=True)
 class Size:
-    """Sizes of a task, a worker, or a sum of them.
+    """Resources of a task or a worker, or a sum of such resources.
 
-    :param millicores: thousandths of a processor.
-    :param memory_bytes: bytes.
-    :param accelerators: whole accelerators.
+    :param millicores: processor time, in thousandths of a core.
+    :param memory_bytes: memory in bytes.
+    :param accelerators: number of accelerators.
     """
 
     millicores: int = 0
@@ -46,7 +46,7 @@
         )
 
     def fits(self, room: Size) -> bool:
-        """Tell whether this size fits into ``room`` in every dimension."""
+        """Return whether every dimension of this size is at most that of ``room``."""
         return (
             self.millicores <= room.millicores
             and self.memory_bytes <= room.memory_bytes
@@ -56,7 +56,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Objective:
-    """A service-level objective: ``target`` of the work starts within ``wait_ms``."""
+    """A service-level objective: the fraction ``target`` of the work starts within ``wait_ms``."""
 
     wait_ms: int = 1000
     target: float = 0.99
@@ -64,12 +64,12 @@
 
 @frozen(kw_only=True, slots=True)
 class Limits:
-    """Limits of one client account, over the whole cell; ``NO_LIMIT`` (0) means none.
+    """Limits of one client account across the cell; ``NO_LIMIT`` (0) means unlimited.
 
-    :param max_concurrency: requests in progress.
-    :param rate_per_s: requests begun a second.
-    :param max_waiting: requests waiting for a slot, in each runner partition.
-    :param quota: sum of the sizes of running tasks; a zero dimension means no limit.
+    :param max_concurrency: maximum number of requests in progress.
+    :param rate_per_s: maximum number of requests started per second.
+    :param max_waiting: maximum number of requests waiting for a slot per runner partition.
+    :param quota: maximum total size of running tasks; a dimension of 0 is unlimited.
     """
 
     max_concurrency: int = NO_LIMIT
@@ -80,12 +80,12 @@
 
 @frozen(kw_only=True, slots=True)
 class Account:
-    """What one client account is owed and allowed.
+    """Scheduling parameters and limits of one client account.
 
-    :param name: the account.
-    :param template: the template that its parameters fill in.
-    :param share: weight of its fair share, above 0.
-    :param priority: the class of work that names none.
+    :param name: account name.
+    :param template: name of the template that the account's parameters fill in.
+    :param share: fair-share weight; must be positive.
+    :param priority: priority class of work that does not specify one.
     """
 
     name: str
@@ -98,10 +98,10 @@
 
 @frozen(kw_only=True, slots=True)
 class Service:
-    """One service that runners serve.
+    """A service provided by runners.
 
-    :param slots: requests that one runner runs at a time.
-    :param connections: connections that one runner takes.
+    :param slots: number of concurrent requests per runner.
+    :param connections: maximum number of connections per runner.
     """
 
     name: str
@@ -111,9 +111,9 @@
 
 @frozen(kw_only=True, slots=True)
 class Cell:
-    """One accepted revision of the configuration.
+    """One accepted revision of the cell configuration.
 
-    :param revision: rises by one with each accepted change; 0 before the first.
+    :param revision: increases by one with each accepted change; 0 before the first.
     """
 
     revision: int = 0
--- a/rhubarbferry/core/ejection.py
+++ b/rhubarbferry/core/ejection.py
@@ -1,4 +1,4 @@
-"""Take hosts that fail what they are given out of use, and try them again one by one."""
+"""Outlier ejection: stop using hosts whose work fails, and probe them before reuse."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Health(Enum):
-    """Whether a host gets work."""
+    """Whether a host is given work."""
 
     IN_USE = "in use"
     EJECTED = "ejected"
@@ -17,14 +17,15 @@
 
 @frozen(kw_only=True, slots=True)
 class EjectionRules:
-    """When to eject and when to try again.
-
-    :param distinct_failures: failures of so many distinct causes, with no success between.
-    :param window_s: failures older than this don't count.
-    :param eject_s: first time out of use; doubled each time a probe fails.
-    :param max_eject_s: longest time out of use.
-    :param max_share: never more than this share of the hosts; above it the fault is
-        more likely in the work or the network than in the hosts.
+    """Thresholds and durations of ejection.
+
+    :param distinct_failures: number of failed requests or jobs, without a success in between,
+        that ejects a host.
+    :param window_s: failures older than this are ignored.
+    :param eject_s: duration of the first ejection; doubled each time a probe fails.
+    :param max_eject_s: maximum duration of an ejection.
+    :param max_share: maximum fraction of ejected hosts; if more hosts fail, the fault is more
+        likely in the work or the network than in the hosts.
     """
 
     distinct_failures: int = 3
@@ -49,47 +50,47 @@
 
 @define(kw_only=True, eq=False)
 class Ejector:
-    """Health of the hosts of one partition, from the ends of their work."""
+    """Tracks the health of the hosts of one partition from the outcomes of their work."""
 
     rules: EjectionRules = Factory(EjectionRules)
     _hosts: dict[str, _Host] = Factory(dict)
 
     def health(self, id: str, *, now: float) -> Health:
-        """Return the health of a host; one never heard of is in use."""
+        """Return the health of a host; an unknown host is in use."""
         host = self._hosts.get(id)
         if host is None or host.ejected_until is None:
             return Health.IN_USE
         return Health.EJECTED if host.is_out(now) else Health.PROBED
 
     def usable(self, id: str, *, now: float) -> bool:
-        """Tell whether a host may get work now; a probed one gets a single piece."""
+        """Return whether a host may be given work now; a probed host gets one request or job."""
         return self.health(id, now=now) is not Health.EJECTED
 
     def unusable(self, *, now: float) -> set[str]:
-        """Return the hosts that may not get work now."""
+        """Return the hosts that may not be given work now."""
         return {id for id, host in self._hosts.items() if host.is_out(now)}
 
     def started(self, id: str, cause: str, *, now: float) -> None:
-        """Note that a host got a piece of work; for a probed one it is the probe."""
+        """Record that a host was given a request or job; for a probed host it is the probe."""
         if self.health(id, now=now) is Health.PROBED:
             self._hosts[id].probing = cause
 
     def succeeded(self, id: str, cause: str, *, now: float) -> None:
-        """Note a success; it clears the failures, and of a probe it ends the ejection."""
+        """Record a success, which clears the failures; the success of a probe ends the ejection."""
         host = self._hosts.get(id)
         if host is None:
             return
         if host.ejected_until is not None and host.probing != cause:
-            # Work from before the ejection proves nothing about the host as it is now.
+            # Work started before the ejection does not show that the host has recovered.
             return
         del self._hosts[id]
 
     def failed(self, id: str, cause: str, *, now: float, hosts: int) -> bool:
-        """Note a failure.
+        """Record a failure.
 
-        :param cause: what failed (a request, a job); one cause counts once.
-        :param hosts: number of hosts in all, for the ceiling.
-        :returns: whether the host is ejected by it.
+        :param cause: id of the failed request or job; each id is counted once.
+        :param hosts: total number of hosts, to which ``max_share`` applies.
+        :returns: whether this failure ejected the host.
         """
         host = self._hosts.setdefault(id, _Host())
         if host.ejected_until is not None:
@@ -105,17 +106,17 @@
         return True
 
     def neither(self, id: str, cause: str) -> None:
-        """Note that a piece of work ended without proof either way; a probe may be repeated."""
+        """Record that work ended without showing success or failure; a probe may be repeated."""
         host = self._hosts.get(id)
         if host is not None and host.probing == cause:
             host.probing = None
 
     def forget(self, id: str) -> None:
-        """Drop what is known of a host that has gone."""
+        """Discard the state of a host that was removed."""
         self._hosts.pop(id, None)
 
     def ejected(self) -> int:
-        """Return how many hosts are out of use or probed."""
+        """Return the number of ejected and probed hosts."""
         return sum(1 for host in self._hosts.values() if host.ejected_until is not None)
 
     def _probe_failed(self, host: _Host, cause: str, now: float) -> bool:
--- a/rhubarbferry/core/fairshare.py
+++ b/rhubarbferry/core/fairshare.py
@@ -1,12 +1,13 @@
-"""Weighted dominant share of the client accounts, with usage that decays over time.
+"""Weighted dominant resource fairness of client accounts, with decaying usage.
 
-An account's standing is its share of the dimension it uses most, of what it holds now plus a
-decayed mean of what it held, over its weight. Work of the account with the lowest standing goes
-first. An idle share is lent to whoever has work: nobody waits while there is room.
+An account's standing is its dominant share (the largest fraction of the cell's total that it
+uses in any dimension), computed from its current usage and a decayed mean of past usage, divided
+by its weight. Work of the account with the lowest standing is scheduled first. Capacity that an
+account does not use is available to the others, so no work waits while there is free capacity.
 
-Usage comes in digests, one for each worker partition. A digest that is ``age`` old can miss what
-was started and ended since: the standing is then off by at most the starts in ``age``, and the
-homes count their own claims on top until a newer digest comes.
+Usage is reported in digests, one per worker partition. A digest of a given age does not include
+tasks that were started or ended since, so a standing is wrong by at most the tasks started within
+that age. Homes add their own claims until a newer digest arrives.
 """
 
 from __future__ import annotations
@@ -19,16 +20,17 @@
 from rhubarbferry.core.cell import Size
 
 ZERO = Size()
-# The past counts more than the present. With equal weights, an account whose tasks are large
-# stays one task's share behind for good, since that much past is outweighed by one task more.
+# Weight of past usage relative to current usage. With equal weights, an account with large tasks
+# permanently stays one task's share behind, because starting one more task outweighs that much
+# past usage.
 PAST_WEIGHT = 10.0
 
 
 @frozen(kw_only=True, slots=True)
 class UsageDigest:
-    """Declared sizes held in one partition, per account.
+    """Declared sizes of the tasks in one partition, per account.
 
-    :param taken_at: monotonic time of the reader when it was asked for.
+    :param taken_at: the reader's monotonic time when it requested the digest.
     """
 
     taken_at: float
@@ -46,9 +48,9 @@
 
 
 class FairShare:
-    """Standings of all accounts.
+    """Computes the standing of every account.
 
-    :param half_life_s: after which past usage counts half.
+    :param half_life_s: time after which the weight of past usage is halved.
     """
 
     def __init__(self, *, half_life_s: float) -> None:
@@ -58,17 +60,17 @@
         self._total = Size()
 
     def set_account(self, account: str, *, weight: float, quota: Size) -> None:
-        """Set an account's weight and quota; a zero dimension of a quota is no limit."""
+        """Set an account's weight and quota; a quota dimension of 0 is unlimited."""
         standing = self._of(account)
         standing.weight = weight
         standing.quota = quota
 
     def set_total(self, total: Size) -> None:
-        """Set the capacity of the cell that shares are counted of."""
+        """Set the total capacity of the cell, of which shares are fractions."""
         self._total = total
 
     def put_digest(self, partition: str, digest: UsageDigest) -> None:
-        """Replace what is known of one partition."""
+        """Replace the usage digest of one partition."""
         before = self._digests.get(partition)
         self._digests[partition] = digest
         accounts = set(digest.used) | set(before.used if before else ())
@@ -81,24 +83,24 @@
             standing.now = standing.now + change
 
     def claim(self, account: str, size: Size) -> None:
-        """Count a claim that no digest holds yet."""
+        """Add a claim that no digest includes yet."""
         standing = self._of(account)
         standing.claimed = standing.claimed + size
 
     def unclaim(self, account: str, size: Size) -> None:
-        """Take back a claim: it was refused, or a digest holds it now."""
+        """Remove a claim that was refused or that a digest now includes."""
         standing = self._of(account)
         standing.claimed = standing.claimed - size
 
     def standing(self, account: str, now: float) -> float:
-        """Return the account's weighted dominant share; the lowest goes first."""
+        """Return the account's weighted dominant share; the lowest is scheduled first."""
         self._advance(account, now)
         entry = self._of(account)
         current = self._dominant(entry.now + entry.claimed)
         return (current + PAST_WEIGHT * self._dominant_mean(entry.mean)) / entry.weight
 
     def within_quota(self, account: str, size: Size) -> bool:
-        """Tell whether the account may have ``size`` more."""
+        """Return whether the account may use ``size`` more without exceeding its quota."""
         entry = self._of(account)
         after = entry.now + entry.claimed + size
         quota = entry.quota
@@ -109,12 +111,12 @@
         )
 
     def used(self, account: str) -> Size:
-        """Return what the account holds, with claims on the way."""
+        """Return the account's usage, including claims that no digest includes yet."""
         entry = self._of(account)
         return entry.now + entry.claimed
 
     def age(self, partition: str, now: float) -> float:
-        """Return how old what is known of a partition is, in seconds."""
+        """Return the age of a partition's digest in seconds, infinite without a digest."""
         digest = self._digests.get(partition)
         return math.inf if digest is None else now - digest.taken_at
 
@@ -128,7 +130,7 @@
         entry = self._of(account)
         if now <= entry.since:
             return
-        # Before the first sight there is no past: the mean starts at zero.
+        # An account without a previous update has no past usage: its mean starts at zero.
         kept = math.exp(-self._rate * (now - entry.since)) if entry.since else 1.0
         held = entry.now + entry.claimed
         current = (held.millicores, held.memory_bytes, held.accelerators)
--- a/rhubarbferry/core/feasibility.py
+++ b/rhubarbferry/core/feasibility.py
@@ -1,4 +1,4 @@
-"""Refuse what can never run, and say in words what holds a task that waits."""
+"""Admission checks for jobs, and explanations of why tasks wait."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @frozen(kw_only=True, slots=True)
 class Extent:
-    """What one worker partition has, as its owner last said.
+    """Capacity of one worker partition as last reported by its owner.
 
-    :param largest_worker: largest capacity of each dimension on one worker.
-    :param largest_free: largest free size of each dimension on one worker.
+    :param largest_worker: largest capacity of any worker, per dimension.
+    :param largest_free: largest free size of any worker, per dimension.
     """
 
     partition: str
@@ -38,10 +38,11 @@
 def refusal(
     spec: JobSpec, *, cell: Cell, extents: Sequence[Extent] | None, max_tasks: int
 ) -> str | None:
-    """Return why a job must be refused, or ``None`` when it may be accepted.
+    """Return the reason to refuse a job, or ``None`` to accept it.
 
-    :param extents: all worker partitions, or ``None`` while some are not known; then no job is
-        refused for its size, since the worker that could hold it may be among those.
+    :param extents: all worker partitions, or ``None`` while some of them are unknown. In that
+        case no job is refused for its size, because an unknown partition may have a worker that
+        is large enough.
     """
     return (
         _malformed(spec, cell, max_tasks)
@@ -71,7 +72,7 @@
 
 def _over_quota(spec: JobSpec, cell: Cell) -> str | None:
     quota = cell.accounts[spec.account].limits.quota
-    # The tasks of a gang run at once; those of other jobs can take turns.
+    # All tasks of a gang run at the same time; tasks of other jobs can run one after another.
     at_once = spec.tasks if spec.kind is JobKind.GANG else 1
     for name, of in DIMENSIONS:
         if of(quota) != NO_LIMIT and at_once * of(spec.size) > of(quota):
@@ -122,7 +123,7 @@
 def explain(
     job: Job, *, extents: Sequence[Extent], share: FairShare, now: float
 ) -> tuple[str, ...]:
-    """Say in words what the waiting tasks of a job wait for."""
+    """Return messages that explain what the waiting tasks of a job wait for."""
     if job.phase() not in (JobPhase.WAITING, JobPhase.RUNNING):
         return (job.reason,) if job.reason else ()
     if not job.waiting():
--- a/rhubarbferry/core/gangs.py
+++ b/rhubarbferry/core/gangs.py
@@ -1,4 +1,4 @@
-"""How long a gang holds reservations, and how long it waits after a try that failed."""
+"""Reservation times and retry backoff of gangs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 def how_many(size: Size, *, free: Size, largest: Size) -> int:
-    """Return how many tasks a room may hold; the workers' free sizes can still say less."""
+    """Return an upper bound on the number of tasks that fit into a partition.
+
+    Free capacity that is spread over several workers can hold fewer tasks.
+    """
     if not size.fits(largest):
         return 0
     counts = [
@@ -27,18 +30,20 @@
 
 
 def hold(*, age_s: float, reserve_s: float) -> float:
-    """Return how long a gang's reservations hold.
+    """Return how long a gang's reservations are held, in seconds.
 
-    A young gang takes what is there at once or nothing. One that has waited gathers what
-    becomes free, since in a full cell enough room for all is never free at one moment.
+    A recently accepted gang must find room for all of its tasks within ``reserve_s``. A gang that
+    has waited holds its reservations longer and collects capacity as it becomes free, because in
+    a full cell there is never enough free capacity for all tasks at the same moment.
     """
     return reserve_s if age_s < PATIENT_AFTER_S else reserve_s * PATIENCE
 
 
 def back_off(*, age_s: float, chance: float) -> float:
-    """Return the pause after a failed try: shorter the longer a gang has waited.
+    """Return the delay before the next placement attempt, which decreases with the gang's age.
 
-    :param chance: a random number in [0, 1), so that gangs of two homes don't keep step.
+    :param chance: random number in [0, 1); jitter that keeps gangs of two homes from retrying in
+        step.
     """
     longest = max(FIRST_PAUSE_S, LONGEST_PAUSE_S / (1.0 + age_s / PATIENT_AFTER_S))
     return FIRST_PAUSE_S + chance * longest
--- a/rhubarbferry/core/guards.py
+++ b/rhubarbferry/core/guards.py
@@ -1,4 +1,4 @@
-"""The guard sets of the regions, and the pure plan of the next ones."""
+"""Guard sets of the regions, and the computation of their successors."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @frozen(kw_only=True, slots=True)
 class GuardSet:
-    """The frontends whose promises count in a region, fixed until the next version.
+    """The frontends whose promises are valid in a region; immutable within a version.
 
-    :param closing: whether owners may count on no promise any more, since the set is to be
-        replaced without the word of its own majority.
+    :param closing: whether owners may rely on no promise any more, because the set is about to be
+        replaced without the consent of its own majority.
     """
 
     version: int
@@ -26,7 +26,7 @@
 
     @property
     def majority(self) -> int:
-        """The number of guards such that any two groups of this size share one."""
+        """The number of guards in a majority; any two majorities have a guard in common."""
         return len(self.guards) // 2 + 1
 
 
@@ -34,14 +34,14 @@
 
 
 def plan_guards(sets: Mapping[str, GuardSet], members: Iterable[Member]) -> Mapping[str, GuardSet]:
-    """Return the next guard sets of the regions in which they should change.
+    """Return the next guard sets of the regions whose set has to change.
 
-    A set keeps its live members and takes the region's frontends in order of id. A region with
-    fewer than ``MIN_GUARDS`` borrows frontends of others: of two guards, the loss of one would
-    leave no majority. A region whose frontends have all gone keeps its set, since it may be
-    cut off and still work.
+    A set keeps its live members and adds the region's frontends in order of id. A region with
+    fewer than ``MIN_GUARDS`` frontends also uses frontends of other regions: with two guards, the
+    loss of one would leave no majority. A region without any live frontend keeps its set, because
+    the region may be partitioned from the store and still working.
 
-    :param sets: the present sets by region.
+    :param sets: the current sets by region.
     :param members: all live members.
     """
     frontends = [m for m in members if m.role is Role.FRONTEND and not m.draining]
@@ -57,7 +57,7 @@
 
 def _next_guards(old: GuardSet, region: str, frontends: Sequence[Member]) -> tuple[Guard, ...]:
     names = {guard.id for guard in old.guards}
-    # Old guards first, so that a set changes no more than it must.
+    # Existing guards come first, to change as few guards as possible.
     ordered = sorted(frontends, key=lambda m: (m.region != region, m.id not in names, m.id))
     local = sum(member.region == region for member in frontends)
     wanted = min(max(local, MIN_GUARDS), MAX_GUARDS)
--- a/rhubarbferry/core/intents.py
+++ b/rhubarbferry/core/intents.py
@@ -1,7 +1,7 @@
-"""Intents of non-idempotent requests: each key is dispatched at most once.
+"""Intents of non-idempotent requests, which dispatch each idempotency key at most once.
 
-The state of a key follows the log. An intent is on record before anyone dispatches on its
-strength, and a key is free again only once "not run" is on record.
+The state of a key is derived from the log. An intent is recorded before its request is
+dispatched, and a key becomes free again only after "not run" is recorded.
 """
 
 from __future__ import annotations
@@ -23,13 +23,15 @@
 
 @frozen(kw_only=True, slots=True)
 class IntentRules:
-    """How long and how many intents are kept.
-
-    :param retention_s: a finished intent answers duplicates for so long.
-    :param kept_per_account: finished intents kept for one account; older ones go first.
-    :param least_retention_s: none goes before this time, whatever their number; new requests
-        are refused instead, since a duplicate of a forgotten key would run again.
-    :param answer_bytes: bytes of answers kept in all; older answers lose their body first.
+    """Retention limits of intents and recorded answers.
+
+    :param retention_s: how long a finished intent answers duplicates.
+    :param kept_per_account: maximum number of finished intents per account; the oldest are
+        removed first.
+    :param least_retention_s: minimum retention whatever the number of intents. New requests are
+        refused instead, because a duplicate of a removed key would run again.
+    :param answer_bytes: maximum total size of recorded answers; the oldest bodies are dropped
+        first.
     """
 
     retention_s: float = 24 * 3600.0
@@ -40,7 +42,7 @@
 
 @frozen(kw_only=True, slots=True)
 class IntentKey:
-    """An idempotency key, which belongs to one account."""
+    """An idempotency key of one account."""
 
     account: str
     key: str
@@ -48,16 +50,16 @@
 
 @define(kw_only=True, eq=False, slots=True)
 class Intent:
-    """One intent on record.
-
-    :param fingerprint: digest of what the request asks for.
-    :param expires_at_ms: Unix time at which it must have ended.
-    :param outcome: ``None`` while it runs.
-    :param answer: the recorded answer, opaque here.
-    :param answer_size: its size in bytes.
-    :param status: of the answer, kept when the answer itself is not.
-    :param orphaned: whether its frontend has died while it ran.
-    :param lapsed: whether ``UNKNOWN`` comes from time alone, not from its frontend.
+    """One recorded intent.
+
+    :param fingerprint: digest of the request's content.
+    :param expires_at_ms: Unix time by which the request must have ended.
+    :param outcome: ``None`` while the request runs.
+    :param answer: the recorded answer, opaque to this module.
+    :param answer_size: size of the answer in bytes.
+    :param status: status of the answer, retained after the answer itself is dropped.
+    :param orphaned: whether the frontend died while the request was running.
+    :param lapsed: whether ``UNKNOWN`` was set by expiry, not reported by the frontend.
     """
 
     at: IntentKey
@@ -79,41 +81,41 @@
 
 @frozen(kw_only=True, slots=True)
 class Free:
-    """No intent stands for the key: commit one, then dispatch."""
+    """The key has no intent: record one, then dispatch the request."""
 
 
 @frozen(kw_only=True, slots=True)
 class Running:
-    """The key is in use."""
+    """A request with this key is running."""
 
 
 @frozen(kw_only=True, slots=True)
 class Recorded:
-    """The key was used, and this is the answer."""
+    """A request with this key has finished with the recorded answer."""
 
     intent: Intent
 
 
 @frozen(kw_only=True, slots=True)
 class Unclear:
-    """The key was used, and nobody knows how that ended."""
+    """A request with this key was dispatched, and its outcome is unknown."""
 
 
 @frozen(kw_only=True, slots=True)
 class Mismatch:
-    """The key was used for something else."""
+    """The key was used for a request with other content."""
 
 
 @frozen(kw_only=True, slots=True)
 class Full:
-    """Too many intents are kept to take another one."""
+    """The account has reached its maximum number of intents."""
 
 
 Verdict = Free | Running | Recorded | Unclear | Mismatch | Full
 
 
 class Finishing(StrEnum):
-    """What to do with word of an outcome."""
+    """How to handle a reported outcome."""
 
     RECORD = "record"
     ALREADY = "already on record"
@@ -123,7 +125,7 @@
 
 @define(kw_only=True, eq=False)
 class IntentBook:
-    """The intents of one key partition. Changes are applied once they are on record."""
+    """The intents of one key partition. Changes are applied after they are recorded."""
 
     rules: IntentRules = Factory(IntentRules)
     _intents: dict[IntentKey, Intent] = field(factory=dict, init=False)
@@ -139,11 +141,11 @@
         return iter(self._intents.values())
 
     def get(self, at: IntentKey) -> Intent | None:
-        """Return the intent that stands for a key."""
+        """Return the intent of a key."""
         return self._intents.get(at)
 
     def verdict(self, at: IntentKey, fingerprint: str, *, now_ms: int) -> Verdict:
-        """Judge a request with a key; the same request sent again is a duplicate too."""
+        """Decide how to handle a request with a key; a resent request is a duplicate as well."""
         intent = self._intents.get(at)
         if intent is None:
             return Full() if self._full(at.account, now_ms) else Free()
@@ -160,9 +162,9 @@
                 return Unclear()
 
     def judge_finish(self, at: IntentKey, request_id: str, outcome: Outcome | None) -> Finishing:
-        """Judge word of an outcome; ``None`` stands for "not run".
+        """Decide how to handle a reported outcome; ``None`` means "not run".
 
-        A late word is taken: it turns "unknown" into the truth.
+        A report that arrives after expiry is accepted: it replaces the outcome "unknown".
         """
         intent = self._intents.get(at)
         if intent is None or intent.request_id != request_id:
@@ -175,16 +177,16 @@
             return Finishing.RECORD
         return Finishing.CONTRADICTED
 
-    # ------------------------------------------------------------ changes on record
+    # ------------------------------------------------------------ applying records
 
     def begun(self, intent: Intent) -> None:
-        """Apply the record of an intent."""
+        """Apply a recorded intent."""
         self._forget(intent.at)
         self._intents[intent.at] = intent
         self._running[intent.at] = intent
 
     def cancelled(self, at: IntentKey, request_id: str) -> None:
-        """Apply the record of "not run": the key is free again."""
+        """Apply a recorded "not run", which frees the key."""
         intent = self._intents.get(at)
         if intent is None or intent.request_id != request_id:
             return
@@ -202,7 +204,7 @@
         status: int,
         finished_at_ms: int,
     ) -> None:
-        """Apply the record of an outcome."""
+        """Apply a recorded outcome."""
         intent = self._intents.get(at)
         if intent is None or intent.request_id != request_id:
             return
@@ -213,9 +215,9 @@
             self._keep_answer(intent, answer, answer_size)
 
     def lapse(self, *, now_ms: int) -> int:
-        """End the intents whose requests must have ended, as unknown.
+        """Set expired running intents to the outcome "unknown".
 
-        :returns: how many.
+        :returns: the number of expired intents.
         """
         late = [intent for intent in self._running.values() if intent.expires_at_ms <= now_ms]
         for intent in late:
@@ -224,9 +226,11 @@
         return len(late)
 
     def frontends_live(self, live: Collection[str]) -> int:
-        """Note which frontends live; what others had running may never be heard of again.
+        """Mark running intents whose frontend is not live as orphaned.
+
+        The outcome of an orphaned request may never be reported.
 
-        :returns: how many running intents have no frontend.
+        :returns: the number of orphaned intents.
         """
         orphans = 0
         for intent in self._running.values():
@@ -235,9 +239,9 @@
         return orphans
 
     def expire(self, *, now_ms: int) -> int:
-        """Forget finished intents that are old or too many.
+        """Remove finished intents that exceed the retention time or the maximum number.
 
-        :returns: how many.
+        :returns: the number of removed intents.
         """
         forgotten = 0
         for finished in list(self._finished.values()):
@@ -246,7 +250,7 @@
                 forgotten += 1
         return forgotten
 
-    # ------------------------------------------------------------ inner
+    # ------------------------------------------------------------ internal
 
     def _may_go(self, oldest: Intent, count: int, now_ms: int) -> bool:
         age_s = (now_ms - oldest.finished_at_ms) / 1000
--- a/rhubarbferry/core/job_queue.py
+++ b/rhubarbferry/core/job_queue.py
@@ -1,4 +1,4 @@
-"""All jobs of one home, and which of their tasks go to a worker partition next."""
+"""Queue of a home's jobs, and selection of the next tasks for a worker partition."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 
 @define(kw_only=True, slots=True)
 class Room:
-    """What a worker partition has free, as its owner last said.
-
-    :param largest: largest free size of each dimension on one worker.
-    :param local: whether it is in the home's region.
-    :param refused: sizes that found no room there.
-    :param domain: the partitions of its failure domain, itself among them.
-    :param domains: number of failure domains of its region.
+    """Free capacity of a worker partition as last reported by its owner.
+
+    :param largest: largest free size of any worker, per dimension.
+    :param largest_worker: largest capacity of any worker, per dimension.
+    :param local: whether the partition is in the home's region.
+    :param refused: sizes that the partition could not place.
+    :param domain: the partitions in the same failure domain, including this one.
+    :param domains: number of failure domains in the region.
     """
 
     partition: str
@@ -43,7 +44,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Picked:
-    """One task that was claimed from a room."""
+    """One task that was claimed for a worker partition."""
 
     job: Job
     index: int
@@ -52,12 +53,13 @@
 class JobQueue:
     """Jobs with waiting tasks, by priority and account.
 
-    Within a priority class the account with the lowest standing goes first, and within an
-    account the job that was accepted first. A job whose tasks don't fit into a room is passed
-    over there, so that smaller ones use what it leaves.
+    Within a priority class the account with the lowest standing is first, and within an account
+    the job that was accepted first. A job whose tasks do not fit into a worker partition is
+    skipped for that partition, so that smaller tasks can use its free capacity.
 
-    :param far_after_s: how long a job waits for its own region before it goes to another.
-    :param patience_s: how long a large task waits before a worker is kept free for it.
+    :param far_after_s: how long a job waits for capacity in its home's region before it may run
+        in another region.
+    :param patience_s: how long a large task waits before a worker is reserved for it.
     """
 
     def __init__(self, *, far_after_s: float, patience_s: float) -> None:
@@ -68,14 +70,14 @@
         self._depth = 0
 
     def put(self, job: Job) -> None:
-        """Let the waiting tasks of a job be picked; harmless when it is queued already."""
+        """Add a job to the queue, or update the counts of a queued one."""
         accounts = self._jobs.setdefault(job.spec.priority, {})
         jobs = accounts.setdefault(job.spec.account, SortedDict())
         jobs[job.since, job.id] = job
         self._count(job)
 
     def drop(self, job: Job) -> None:
-        """Take a job out."""
+        """Remove a job from the queue."""
         self._depth -= self._counted.pop(job.id, 0)
         accounts = self._jobs.get(job.spec.priority, {})
         jobs = accounts.get(job.spec.account)
@@ -86,7 +88,7 @@
             del accounts[job.spec.account]
 
     def jobs(self, kind: JobKind | None = None) -> Iterator[Job]:
-        """Yield the queued jobs, most urgent class first."""
+        """Yield the queued jobs, the most urgent priority class first."""
         for priority in sorted(self._jobs):
             for jobs in list(self._jobs[priority].values()):
                 for job in list(jobs.values()):
@@ -94,7 +96,7 @@
                         yield job
 
     def depth(self) -> int:
-        """Return how many tasks wait, as of the last change of each job."""
+        """Return the number of waiting tasks, as of the last update of each job."""
         return self._depth
 
     def pick(
@@ -107,9 +109,10 @@
         epoch: int,
         home_epoch: int,
     ) -> list[Picked]:
-        """Claim up to ``limit`` tasks for a room and count them against it and the shares.
+        """Claim up to ``limit`` tasks for a worker partition.
 
-        Gangs are left out: they are placed whole, see the dispatcher of gangs.
+        The claims are charged to the partition's free capacity and to the account's share. Gangs
+        are skipped unless formed: the gang dispatcher places all tasks of a gang together.
         """
         picked: list[Picked] = []
         too_large: dict[str, Job] = {}
@@ -146,7 +149,7 @@
         now: float,
         too_large: dict[str, Job],
     ) -> Job | None:
-        """Return the first job with a task for the room; note those that are too large for it."""
+        """Return the first job with a task that fits; collect those that are too large."""
         for seen, job in enumerate(jobs):
             if seen >= LOOK_AHEAD:
                 return None
@@ -170,10 +173,10 @@
         return spec.kind is not JobKind.SERVICE or self._spread(job, room, now)
 
     def _insists(self, job: Job, room: Room, now: float) -> bool:
-        """Tell whether a job asks a partition to make room for it.
+        """Return whether a job requests that a partition free capacity for it.
 
-        It does so at once when it is urgent, otherwise when others have passed it for long,
-        and in one partition at a time.
+        An urgent job does so immediately, another job after smaller tasks have been scheduled
+        before it for ``patience_s``. A job does so in one partition at a time.
         """
         urgent = job.spec.priority == PriorityClass.URGENT
         passed = job.passed_since
@@ -189,10 +192,10 @@
 
     @staticmethod
     def _spread(job: Job, room: Room, now: float) -> bool:
-        """Tell whether a service may have one task more in the room's failure domain.
+        """Return whether a service may place one more task in the partition's failure domain.
 
-        A service that waits is better off crowded than not running, so this holds it only
-        for a moment.
+        The spread is enforced for ``SPREAD_WAIT_S`` only, because a service with several tasks in
+        one failure domain is better than a service that does not run.
         """
         if now - job.waiting_since >= SPREAD_WAIT_S:
             return True
@@ -212,7 +215,7 @@
 
 
 def _note_passed(too_large: Iterable[Job], by: Job, now: float) -> None:
-    """Note jobs that were due before another one that goes now."""
+    """Record since when jobs have been skipped in favour of a later one."""
     for job in too_large:
         if job is not by and job.passed_since is None:
             job.passed_since = now
--- a/rhubarbferry/core/jobs.py
+++ b/rhubarbferry/core/jobs.py
@@ -1,4 +1,4 @@
-"""State of one job: what each of its tasks has come to, and what it does next."""
+"""State of one job and its tasks, including retries and recovery from the log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class JobKind(IntEnum):
-    """How a job's tasks are placed; values as in the messages."""
+    """How a job's tasks are placed; the values are those of the RPC messages."""
 
     BATCH = 0
     GANG = 1
@@ -23,7 +23,7 @@
 
 
 class JobPhase(IntEnum):
-    """How far a job has come; values as in the messages."""
+    """Phase of a job; the values are those of the RPC messages."""
 
     WAITING = 0
     RUNNING = 1
@@ -35,10 +35,10 @@
 
 
 class TaskState(IntEnum):
-    """What one task has come to.
+    """State of one task.
 
-    ``UNSURE``: an earlier owner of the job may have started it, and the workers have not all
-    been heard yet.
+    ``UNSURE``: an earlier owner of the job may have started the task, and not all workers have
+    reported their tasks yet.
     """
 
     WAITING = 0
@@ -56,7 +56,7 @@
 
 @frozen(kw_only=True, slots=True)
 class JobSpec:
-    """What was asked for; fields as in the message of the same name."""
+    """Specification of a job; the fields are those of the RPC message of the same name."""
 
     account: str
     kind: JobKind = JobKind.BATCH
@@ -74,10 +74,10 @@
 
 @define(kw_only=True, slots=True)
 class LiveAttempt:
-    """An attempt that may run.
+    """An attempt that may be running.
 
-    :param partition: the worker partition it was claimed from.
-    :param epoch: the epoch of that partition's owner at the time.
+    :param partition: the worker partition that the attempt was claimed for.
+    :param epoch: the epoch of the partition's owner when it was claimed.
     """
 
     task_id: str
@@ -89,7 +89,7 @@
 
 @define(kw_only=True, slots=True)
 class Counts:
-    """How many tasks of a job are in which state."""
+    """Number of tasks of a job per state."""
 
     waiting: int = 0
     running: int = 0
@@ -99,7 +99,7 @@
     not_run: int = 0
 
     def add(self, state: TaskState, change: int) -> None:
-        """Count ``change`` tasks more in a state."""
+        """Add ``change`` to the number of tasks in a state."""
         match state:
             case TaskState.WAITING:
                 self.waiting += change
@@ -118,13 +118,13 @@
 class Job:
     """One job and its tasks.
 
-    An attempt of a task begins only from ``WAITING``, and a task comes back to ``WAITING`` only
-    when its last attempt is known to have ended or never to have begun. A task that is not
-    idempotent does not come back once an attempt may have run.
+    An attempt of a task starts only from ``WAITING``, and a task returns to ``WAITING`` only when
+    its last attempt is known to have ended or never to have started. A task that is not idempotent
+    does not return to ``WAITING`` once an attempt may have run.
 
-    :param accepted_at: wall time, for the record.
-    :param since: monotonic time at which this process learned of it.
-    :param max_attempts: failures of one idempotent task after which it is given up.
+    :param accepted_at: wall-clock time of acceptance; informational.
+    :param since: monotonic time at which this process received the job.
+    :param max_attempts: number of failures after which an idempotent task fails for good.
     """
 
     def __init__(
@@ -141,15 +141,16 @@
         self.accepted_at = accepted_at
         self.since = since
         self.cancelled = False
-        # Whether the tasks of a gang have once run all together; they are then replaced singly.
+        # Whether all tasks of a gang have run together; failed ones are then replaced individually.
         self.formed = False
         self.finished: JobPhase | None = None
         self.reason = ""
         self.paused_until = 0.0
         self.waiting_since = since
-        # Since when smaller tasks, due later, have gone before this job's.
+        # Time since which smaller tasks of later jobs have been scheduled before this job's.
         self.passed_since: float | None = None
-        # The worker partition that is to keep a worker for this job, and when to ask again.
+        # The worker partition requested to reserve a worker for this job, and the time of the next
+        # request.
         self.insists_on = ""
         self.insists_at = 0.0
         self.first_start: float | None = None
@@ -162,16 +163,16 @@
         self._waiting: deque[int] = deque(range(spec.tasks))
         self._attempts: dict[int, int] = {}
         self._failures: dict[int, int] = {}
-        # What cancelling makes of tasks that wait again after an attempt that ran.
+        # State that cancellation gives to tasks that wait again after an attempt that ran.
         self._ran: dict[int, TaskState] = {}
-        # Attempts that the record says may have begun, per task; filled by replay only.
+        # Attempts per task that may have started according to the log; set only by replay.
         self._dispatched: dict[int, set[int]] = {}
         self._ever_started = False
 
-    # ------------------------------------------------------------ looks
+    # ------------------------------------------------------------ queries
 
     def state(self, index: int) -> TaskState:
-        """Return what a task has come to."""
+        """Return the state of a task."""
         state = TaskState(self._states[index])
         if state is TaskState.WAITING and self.cancelled:
             return TaskState.NOT_RUN
@@ -182,23 +183,23 @@
         return [index for index in range(self.spec.tasks) if self.state(index) is state]
 
     def on_partition(self, partition: str) -> int:
-        """Return how many attempts may run on a worker partition."""
+        """Return the number of attempts that may be running on a worker partition."""
         return self._placed[partition]
 
     def last_attempt(self, index: int) -> int:
-        """Return the number of a task's last attempt, 0 when there was none."""
+        """Return the number of a task's last attempt, 0 if there was none."""
         return self._attempts.get(index, 0)
 
     def waiting(self) -> int:
-        """Return how many tasks wait to be placed."""
+        """Return the number of tasks that wait to be placed."""
         return self.counts.waiting
 
     def open(self) -> bool:
-        """Tell whether some task is not final."""
+        """Return whether any task is not in a final state."""
         return self.finished is None and self.counts.waiting + self.counts.running > 0
 
     def phase(self) -> JobPhase:
-        """Return how far the job has come."""
+        """Return the phase of the job."""
         if self.finished is not None:
             return self.finished
         counts = self.counts
@@ -215,13 +216,13 @@
         return JobPhase.DONE
 
     def may_have_run(self) -> bool:
-        """Tell whether an attempt of some task was started, or may have been."""
+        """Return whether an attempt of any task was or may have been started."""
         return self._ever_started
 
     def may_run(self) -> list[int]:
-        """Return the tasks of which an attempt may run, or has run and was not final.
+        """Return the tasks of which an attempt may be running, or has run without being final.
 
-        A later owner of the job must not call these "not run" without asking the workers.
+        A later owner of the job must not report these as "not run" without querying the workers.
         """
         open_states = (TaskState.CLAIMED, TaskState.RUNNING, TaskState.UNSURE)
         return [
@@ -234,14 +235,14 @@
     # ------------------------------------------------------------ events
 
     def claim(self, *, partition: str, epoch: int, home_epoch: int) -> int:
-        """Take the next waiting task for an attempt; return its index."""
+        """Start an attempt of the next waiting task and return the task's index."""
         index = self._waiting.popleft()
         while self.state(index) is not TaskState.WAITING:
             index = self._waiting.popleft()
         attempt = self._attempts.get(index, 0) + 1
         self._attempts[index] = attempt
         live = LiveAttempt(
-            # The home's epoch makes the id unique: a later home counts attempts anew.
+            # The home's epoch makes the id unique: a later home restarts the attempt numbers.
             task_id=f"{self.id}/{index}/{home_epoch}.{attempt}",
             attempt=attempt,
             partition=partition,
@@ -252,7 +253,7 @@
         return index
 
     def started(self, index: int, *, worker: str, now: float) -> None:
-        """Note that an attempt runs."""
+        """Record that an attempt is running."""
         if self.state(index) is not TaskState.CLAIMED:
             return
         self.live[index].worker = worker
@@ -262,17 +263,17 @@
         self._move(index, TaskState.RUNNING)
 
     def never_started(self, index: int) -> None:
-        """Note that the last attempt has not run and never will."""
+        """Record that the last attempt did not run and never will."""
         if self.state(index) in (TaskState.CLAIMED, TaskState.RUNNING, TaskState.UNSURE):
             self._wait_again(index)
 
     def ended(self, index: int, end: End, *, now: float) -> None:
-        """Note how an attempt ended, and let the task wait again or be final."""
+        """Record how an attempt ended; the task then waits again or becomes final."""
         state = self.state(index)
         if state in FINAL or state is TaskState.WAITING:
             return
         if state is TaskState.UNSURE and not self.is_final(index, end):
-            # The end may be that of an attempt before the last one, which can still run.
+            # The end may belong to an earlier attempt while the last one may still be running.
             return
         if end is not End.NOT_STARTED:
             self._note_start(now)
@@ -284,12 +285,12 @@
         self._end(index, end, after)
 
     def is_final(self, index: int, end: End) -> bool:
-        """Tell whether this end of an attempt makes the task final."""
+        """Return whether this end of an attempt makes the task final."""
         failures = self._failures.get(index, 0) + (end is End.FAILED)
         return self._after(index, end, failures=failures) is not TaskState.WAITING
 
     def cancel(self) -> None:
-        """Let no task start any more; those that wait and never ran are not run."""
+        """Prevent further starts; waiting tasks that never ran become ``NOT_RUN``."""
         if self.cancelled:
             return
         for index, state in self._ran.items():
@@ -301,14 +302,14 @@
         self._waiting.clear()
 
     def give_up(self, reason: str) -> None:
-        """Let no task start any more, for a reason that is not the caller's."""
+        """Cancel the job for a reason other than a caller's request."""
         self.reason = reason
         self.cancel()
 
     # ------------------------------------------------------------ recovery
 
     def unsure(self, index: int, attempt: int = 0) -> None:
-        """Note that an earlier owner may have started an attempt of a task."""
+        """Record that an earlier owner may have started an attempt of a task."""
         if self._states[index] not in (TaskState.WAITING, TaskState.UNSURE):
             return
         self._dispatched.setdefault(index, set()).add(attempt)
@@ -316,13 +317,13 @@
         if self._states[index] == TaskState.UNSURE:
             return
         if self.cancelled:
-            # The dispatch was on its way to the record when the job was cancelled.
+            # The dispatch was being recorded when the job was cancelled.
             self.counts.not_run -= 1
             self.counts.waiting += 1
         self._move(index, TaskState.UNSURE)
 
     def found(self, index: int, attempt: LiveAttempt, *, now: float) -> None:
-        """Note that an attempt was found running."""
+        """Record that a worker reported a running attempt."""
         if self.state(index) is not TaskState.UNSURE:
             return
         self._note_start(now)
@@ -332,7 +333,7 @@
         self._move(index, TaskState.RUNNING)
 
     def not_found(self, index: int) -> None:
-        """Settle a task of which no worker holds an attempt and none can run any more."""
+        """Resolve a task of which no worker holds an attempt and no attempt can still run."""
         if self.state(index) is not TaskState.UNSURE:
             return
         self._ever_started = True
@@ -340,11 +341,11 @@
         if self.spec.idempotent:
             self._wait_again(index)
         else:
-            # It was dispatched and nobody can say whether it ran: it must never run again.
+            # It was dispatched and may have run, so it must never run again.
             self._settle(index, TaskState.UNKNOWN)
 
     def restore(self, index: int, end: End, *, attempt: int) -> None:
-        """Apply a recorded end."""
+        """Apply a recorded end of an attempt."""
         if self.state(index) in FINAL:
             return
         if end is End.NOT_STARTED:
@@ -358,8 +359,8 @@
     def _restore_not_started(self, index: int, attempt: int) -> None:
         """Apply the record that an attempt was never started.
 
-        Ends of attempts that are followed by another one are not on record. So an earlier
-        dispatch that was not taken back may have run, and the task is not "not run" then.
+        The end of an attempt that is followed by another attempt is not recorded. An earlier
+        dispatch that was not revoked may therefore have run, so the task cannot be "not run".
         """
         dispatched = self._dispatched.get(index, set())
         dispatched.discard(attempt)
@@ -371,14 +372,14 @@
         self._wait_again(index)
 
     def restore_finished(self, phase: JobPhase, counts: Counts | None) -> None:
-        """Apply the record of a job that is over."""
+        """Apply the record of a finished job."""
         self.finished = phase
         self._waiting.clear()
         self.live.clear()
         if counts is not None:
             self.counts = counts
 
-    # ------------------------------------------------------------ inside
+    # ------------------------------------------------------------ internal
 
     def _after(self, index: int, end: End, *, failures: int | None = None) -> TaskState:
         spec = self.spec
--- a/rhubarbferry/core/lease.py
+++ b/rhubarbferry/core/lease.py
@@ -1,4 +1,4 @@
-"""A holder's own view of its lease in the store."""
+"""A holder's local record of its lease in the store."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @frozen(kw_only=True, slots=True)
 class Lease:
-    """One lease as its holder counts it on its own monotonic clock.
+    """A lease whose expiry the holder computes on its own monotonic clock.
 
-    The store starts to count when a renewal arrives; the holder counts from before it was
-    sent. So the holder's count ends first, however long the call or its reply took.
+    The store starts a lease term when a renewal arrives, the holder before it sends the renewal.
+    The lease therefore expires at the holder first, whatever the latency of the call or its reply.
 
-    :param id: the store's id of the lease.
-    :param incarnation: counts the leases of this process, from 1.
-    :param until: monotonic time at which the holder must have stopped.
-    :param margin_s: taken off each term, for clocks of differing rates.
+    :param id: lease id assigned by the store.
+    :param incarnation: number of this lease among those of the process, from 1.
+    :param until: monotonic time by which the holder must have stopped acting.
+    :param margin_s: subtracted from each term to allow for clocks that run at different rates.
     """
 
     id: int
@@ -29,18 +29,18 @@
     ) -> Lease:
         """Return a new lease.
 
-        :param asked_at: monotonic time BEFORE the call was sent.
+        :param asked_at: monotonic time BEFORE the request was sent.
         """
         until = asked_at + ttl_s - margin_s
         return cls(id=id, incarnation=incarnation, until=until, margin_s=margin_s)
 
     def renewed(self, *, asked_at: float, ttl_s: float) -> Lease:
-        """Return the lease after a renewal that the store has confirmed.
+        """Return the lease extended by a renewal that the store has confirmed.
 
         :param asked_at: monotonic time BEFORE the renewal was sent.
         """
         return evolve(self, until=max(self.until, asked_at + ttl_s - self.margin_s))
 
     def holds(self, now: float) -> bool:
-        """Tell whether the store still keeps this lease, for sure."""
+        """Return whether the lease is certain to be still valid in the store."""
         return now < self.until
--- a/rhubarbferry/core/limits.py
+++ b/rhubarbferry/core/limits.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts, split over the partitions that hold them together."""
+"""Division of client account limits among the partitions that enforce them."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @frozen(kw_only=True, slots=True)
 class Part:
-    """Which of the partitions that hold a limit together this one is.
+    """Position of a partition among those that enforce a limit jointly.
 
-    :param index: its place in the order of their names, from 0.
-    :param count: how many there are.
+    :param index: position of the partition in name order, from 0.
+    :param count: number of partitions.
     """
 
     index: int = 0
     count: int = 1
 
     def whole(self, limit: int) -> int | None:
-        """Return this partition's part of a whole number; the parts add up to the limit.
+        """Return this partition's part of an integer limit; the parts add up to the limit.
 
-        :returns: ``None`` for no limit. With a limit below ``count`` some parts are 0.
+        :returns: ``None`` for no limit. If the limit is below ``count``, some parts are 0.
         """
         if limit == NO_LIMIT:
             return None
@@ -37,12 +37,13 @@
 
 @define(kw_only=True, eq=False)
 class DelayedLimit:
-    """A limit that falls at once and rises late.
+    """A limit whose decreases apply immediately and whose increases are delayed.
 
-    Partitions learn of a change at different times. One that takes more before another has
-    given it up would break the limit of the whole cell, so a rise waits until all know of it.
+    Partitions receive a change at different times. A partition that raised its part before
+    another one lowered its own would exceed the limit of the cell, so an increase is delayed until
+    all partitions have received the change.
 
-    :param rise_s: seconds that a rise waits.
+    :param rise_s: delay of an increase, in seconds.
     """
 
     rise_s: float
@@ -51,7 +52,7 @@
     _since: float | None = field(default=None, init=False)
 
     def want(self, limit: float | None, *, now: float) -> float | None:
-        """Take in the wanted limit and return the one in force; ``None`` is no limit."""
+        """Set the configured limit and return the limit in force; ``None`` means no limit."""
         if _at_most(limit, self.value):
             self.value = limit
             self._since = None
@@ -72,9 +73,9 @@
 
 @define(kw_only=True, eq=False)
 class TokenBucket:
-    """A rate with a burst of one second's worth, at least one.
+    """Token bucket whose burst is one second's tokens, but at least one token.
 
-    :param rate_per_s: ``None`` for no limit.
+    :param rate_per_s: tokens added per second, ``None`` for no limit.
     """
 
     rate_per_s: float | None
@@ -82,9 +83,9 @@
     _at: float = field(default=0.0, init=False)
 
     def take(self, *, now: float) -> float:
-        """Take one token.
+        """Take a token if one is available.
 
-        :returns: 0 when there was one, else the seconds until there is one.
+        :returns: 0 when a token was taken, else the seconds until one is available.
         """
         if self.rate_per_s is None:
             return 0.0
--- a/rhubarbferry/core/log.py
+++ b/rhubarbferry/core/log.py
@@ -1,4 +1,4 @@
-"""Rules of the sealed log: names of its records, and what a record found there means."""
+"""Keys of the sealed log, and rules for writing and trimming it."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @frozen(kw_only=True, slots=True)
 class Stamp:
-    """Who wrote a record.
+    """Identifies the writer of a record.
 
     :param epoch: the writer's epoch for the partition.
-    :param writer_id: the writing process.
-    :param write_id: unique for each record of that process.
-    :param seal: whether it opens the tenure of a new owner.
+    :param writer_id: id of the writing process.
+    :param write_id: unique per record of that process.
+    :param seal: whether the record is a seal, which begins the tenure of a new owner.
     """
 
     epoch: int
@@ -29,7 +29,7 @@
 
 
 class Verdict(StrEnum):
-    """What a record at the number that we wanted means to us."""
+    """What it means that a record already exists at the number that the writer tried to append."""
 
     OURS = "ours"
     EARLIER = "earlier"
@@ -37,7 +37,10 @@
 
 
 def judge(found: Stamp, *, mine: Stamp) -> Verdict:
-    """Tell whether a record is ours, an earlier owner's, or the end of our tenure."""
+    """Classify an existing record.
+
+    It is the writer's own, was written by an earlier owner, or shows that the writer is fenced.
+    """
     if (found.writer_id, found.write_id) == (mine.writer_id, mine.write_id):
         return Verdict.OURS
     if found.epoch > mine.epoch:
@@ -49,14 +52,14 @@
 
 @frozen(kw_only=True, slots=True)
 class Head:
-    """Where the log of a partition begins, and the highest epoch that has claimed it.
+    """Start of a partition's log and the highest epoch that has claimed the log.
 
-    :param epoch: the owner that may move the head; a lower one may not.
-    :param writer_id: the process that wrote this head.
-    :param write_id: unique for each head of that process.
-    :param upto: highest number that the snapshot covers, 0 for none.
+    :param epoch: epoch of the owner that may replace the head; owners with a lower one may not.
+    :param writer_id: id of the process that wrote this head.
+    :param write_id: unique per head written by that process.
+    :param upto: number of the last segment that the snapshot includes, 0 for none.
     :param snapshot: id of the snapshot, empty for none.
-    :param chunks: how many values the snapshot has.
+    :param chunks: number of values that the snapshot is stored in.
     """
 
     epoch: int
@@ -68,7 +71,7 @@
 
 
 def may_move(found: Head, *, epoch: int, writer_id: str) -> bool:
-    """Tell whether the owner of ``epoch`` may replace a head."""
+    """Return whether the owner with ``epoch`` may replace a head."""
     if found.epoch == epoch:
         return found.writer_id == writer_id
     return found.epoch < epoch
@@ -76,9 +79,9 @@
 
 @frozen(kw_only=True, slots=True)
 class LogKeys:
-    """Keys of the log of one partition.
+    """Store keys of the log of one partition.
 
-    :param partition: the partition as text.
+    :param partition: text form of the partition id.
     """
 
     partition: str
@@ -90,7 +93,7 @@
 
     @property
     def first_segment(self) -> str:
-        """Return the lowest key that a segment can have."""
+        """Return the lowest possible key of a segment."""
         return self.segment(0)
 
     def segment(self, number: int) -> str:
@@ -98,33 +101,33 @@
         return f"log/{self.partition}/{number:0{NUMBER_DIGITS}d}"
 
     def segment_page(self, number: int) -> str:
-        """Return the prefix of the ``PAGE`` segments among which ``number`` is."""
+        """Return the key prefix of the page of ``PAGE`` segments that contains ``number``."""
         return self.segment(number)[:-1]
 
     def snapshots_below(self, snapshot: str) -> tuple[str, str]:
-        """Return the range of keys of all snapshots older than this one."""
+        """Return the key range of all snapshots older than this one."""
         return f"snap/{self.partition}/0", f"snap/{self.partition}/{snapshot}/"
 
     def chunk(self, snapshot: str, index: int) -> str:
-        """Return the key of one value of a snapshot."""
+        """Return the key of one chunk of a snapshot."""
         return f"snap/{self.partition}/{snapshot}/{index:0{CHUNK_DIGITS}d}"
 
     def chunk_page(self, snapshot: str, index: int) -> str:
-        """Return the prefix of the ``PAGE`` values among which ``index`` is."""
+        """Return the key prefix of the page of ``PAGE`` chunks that contains ``index``."""
         return self.chunk(snapshot, index)[:-1]
 
 
 def snapshot_id(*, epoch: int, upto: int, attempt: int) -> str:
-    """Return the id of a snapshot; ids of later snapshots are greater as text.
+    """Return the id of a snapshot; the ids of later snapshots sort after it as text.
 
-    That is what makes it safe to delete "all older ones" by range at any later time: the
-    snapshot in force is never among them, whoever wrote it.
+    This order makes it safe to delete all older snapshots by key range at any time: the range
+    never contains the current snapshot, whichever process wrote it.
     """
     return f"{epoch:0{NUMBER_DIGITS}d}-{upto:0{NUMBER_DIGITS}d}-{attempt:0{CHUNK_DIGITS}d}"
 
 
 def leading(sizes: Iterable[int], *, cap: int) -> int:
-    """Return how many of the first items fit under ``cap``, at least one if there is one."""
+    """Return how many leading items have a total size of at most ``cap``, at least one if any."""
     total = 0
     count = 0
     for size in sizes:
@@ -136,7 +139,10 @@
 
 
 def chunked(sizes: Sequence[int], *, cap: int) -> Iterator[slice]:
-    """Cut items into runs of at most ``cap`` each; one that is larger stands alone."""
+    """Split items into consecutive groups of total size at most ``cap``.
+
+    An item that is larger forms a group of its own.
+    """
     start = 0
     while start < len(sizes):
         count = leading((sizes[at] for at in range(start, len(sizes))), cap=cap)
@@ -146,23 +152,24 @@
 
 @frozen(kw_only=True, slots=True)
 class Retention:
-    """When segments may be deleted, and when an owner must look at the head again.
+    """Rules for deleting segments and for verifying the head before an append.
 
-    A deleted seal frees its number. An owner that was paused before its append of that number
-    would then succeed, and take as recorded what nobody reads. So a new owner deletes nothing
-    for ``keep_s`` after its seal, and an owner that has not seen the head as its own within
-    half of that looks again before it counts an append. Only the rates of the two clocks
-    matter, and they may differ by a factor of two.
+    Deleting a seal frees its number. A former owner that was paused before it appended that number
+    could then append successfully and treat as recorded what no process reads. A new owner
+    therefore deletes nothing for ``keep_s`` after its seal. An owner that has not verified within
+    half of that time that the head is its own verifies it again before it treats an append as
+    successful. This depends only on the rates of the two clocks, which may differ by a factor
+    of two.
 
-    :param keep_s: seconds after the seal during which nothing is deleted.
+    :param keep_s: seconds after the seal during which no segment is deleted.
     """
 
     keep_s: float
 
     def may_delete(self, *, sealed_at: float, now: float) -> bool:
-        """Tell whether the owner that sealed at ``sealed_at`` may delete segments."""
+        """Return whether the owner that wrote its seal at ``sealed_at`` may delete segments."""
         return now - sealed_at >= self.keep_s
 
     def must_verify(self, *, verified_at: float, now: float) -> bool:
-        """Tell whether the head must be looked at before an append counts."""
+        """Return whether the head must be verified before an append is treated as successful."""
         return now - verified_at >= self.keep_s / 2
--- a/rhubarbferry/core/overrun.py
+++ b/rhubarbferry/core/overrun.py
@@ -1,4 +1,4 @@
-"""What to do with tasks that use more than they declared."""
+"""Enforcement of declared sizes: actions on tasks that exceed them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Remedy(IntEnum):
-    """What a worker is told to do with a task, mildest first."""
+    """Action that a worker takes on a task, in order of severity."""
 
     NONE = 0
     THROTTLE = 1
@@ -20,11 +20,11 @@
 
 @frozen(kw_only=True, slots=True)
 class OverrunRules:
-    """When to go one step further.
+    """Thresholds for escalating to the next remedy.
 
-    :param tolerance: use over declared size that is let pass, as a part of that size.
-    :param step_s: how long a remedy is given to work. Usage comes with a lag, so a shorter time
-        would punish a task for what it used before it was throttled.
+    :param tolerance: permitted usage above the declared size, as a fraction of that size.
+    :param step_s: time that a remedy is given to take effect. Usage is reported with a lag, so a
+        shorter time would penalise a task for what it used before it was throttled.
     """
 
     tolerance: float = 0.1
@@ -39,7 +39,7 @@
 
 @define(kw_only=True, eq=False)
 class OverrunWatch:
-    """The tasks of one worker partition that use too much."""
+    """Tracks the tasks of one worker partition that exceed their declared size."""
 
     rules: OverrunRules = Factory(OverrunRules)
     _cases: dict[str, _Case] = Factory(dict)
@@ -47,10 +47,10 @@
     def judge(
         self, task_id: str, *, declared: Size, used: Size, preemptible: bool, now: float
     ) -> Remedy:
-        """Return what to order now; ``NONE`` when the last order is still given time.
+        """Return the remedy to apply now, ``NONE`` while the last one may still take effect.
 
-        Throttled first. A task that goes on using too much is checkpointed when it can be, and
-        stopped when that doesn't end it.
+        A task is throttled first. If it still exceeds its declared size, it is checkpointed if it
+        is preemptible, and stopped if that is not possible or does not end it.
         """
         if not self._over(declared, used):
             self._cases.pop(task_id, None)
@@ -67,11 +67,11 @@
         return case.remedy
 
     def forget(self, task_id: str) -> None:
-        """Drop a task that has ended."""
+        """Discard the state of a task that has ended."""
         self._cases.pop(task_id, None)
 
     def _over(self, declared: Size, used: Size) -> bool:
-        # Processors can be shared for a while; memory and accelerators can't.
+        # Processors can be shared temporarily; memory and accelerators cannot.
         slack = 1.0 + self.rules.tolerance
         return (
             used.memory_bytes > declared.memory_bytes * slack
--- a/rhubarbferry/core/ownership.py
+++ b/rhubarbferry/core/ownership.py
@@ -1,4 +1,4 @@
-"""The ownership table and the pure plan of the next one."""
+"""The ownership table of the partitions, and the computation of the next one."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 class OwnerEntry:
     """The owner of one partition.
 
-    :param member_id: the owning process.
-    :param incarnation: the lease of that process under which it won; a later lease of the
-        same process does not own the partition.
-    :param address: ``ip:port`` of its RPC server.
-    :param epoch: raised with each change of owner or lease, never lowered.
+    :param member_id: id of the owning process.
+    :param incarnation: incarnation of the lease under which the process acquired the partition;
+        the process does not own the partition under a later lease.
+    :param address: ``ip:port`` of the owner's RPC server.
+    :param epoch: increased with each change of owner or lease, never decreased.
     """
 
     member_id: str
@@ -32,18 +32,18 @@
     epoch: int
 
     def belongs_to(self, member: Member) -> bool:
-        """Tell whether ``member`` owns under the lease that it has now."""
+        """Return whether ``member`` is the owner under its current lease."""
         return (self.member_id, self.incarnation) == (member.id, member.incarnation)
 
 
 @frozen(kw_only=True, slots=True)
 class Table:
-    """All owners and guard sets: the one value that is changed by compare-and-swap.
+    """All owners and guard sets, stored as one value that is changed by compare-and-swap.
 
-    A partition never leaves the table, since the host list may forget a rack for a while and
-    an epoch that began again at 1 would be refused by everyone who has seen a higher one.
+    A partition is never removed from the table. The host list may temporarily omit a rack, and an
+    epoch that restarted at 1 would be refused by every process that has seen a higher one.
 
-    :param planned_for: ids of the schedulers it was planned for, in order.
+    :param planned_for: ids of the schedulers that the table was computed for, in order.
     """
 
     entries: Mapping[PartitionId, OwnerEntry] = Factory(dict)
@@ -51,7 +51,7 @@
     planned_for: tuple[str, ...] = ()
 
     def owned_by(self, member: Member) -> tuple[PartitionId, ...]:
-        """Return the partitions that ``member`` owns under its present lease, in order."""
+        """Return the partitions that ``member`` owns under its current lease, in order."""
         return tuple(sorted(p for p, e in self.entries.items() if e.belongs_to(member)))
 
 
@@ -61,14 +61,15 @@
     partitions: Iterable[PartitionId],
     floors: Mapping[PartitionId, int] | None = None,
 ) -> Table:
-    """Return the table that ``members`` should have; the same for every order of the inputs.
-
-    :param table: the present table.
-    :param members: all live members; only schedulers that don't drain are given partitions.
-    :param partitions: what is to be owned besides the partitions already in the table.
-    :param floors: lowest epochs that may be used; lower ones are used up, though the table
-        may not show it (it went back with the store, or its owner gave up).
-    :returns: the table itself when nothing has to change.
+    """Return the table for ``members``, independent of the order of the inputs.
+
+    :param table: the current table.
+    :param members: all live members; only schedulers that are not draining receive partitions.
+    :param partitions: partitions that need an owner, besides those already in the table.
+    :param floors: lowest epoch that may be assigned per partition. Lower epochs have been used
+        even if the table does not contain them, because the store was restored to an older state
+        or the owner gave up the partition.
+    :returns: ``table`` itself if nothing has to change.
     """
     schedulers = _schedulers(members)
     if not schedulers:
@@ -90,10 +91,11 @@
 ) -> Table:
     """Return ``ideal`` without the moves that would take a partition from a live owner.
 
-    A live owner that has not yet heard of the move would go on deciding beside the new one.
-    So only the owner itself writes such a move, after it has stopped to decide.
+    A live owner that has not received the change yet would continue to make decisions
+    concurrently with the new owner. Only the owner itself therefore writes such a move, after it
+    has stopped making decisions.
 
-    :param given_up: partitions of the writer for which it has stopped to decide.
+    :param given_up: partitions of the writer for which it has stopped making decisions.
     """
     live = {(member.id, member.incarnation) for member in members}
     entries = dict(ideal.entries)
@@ -108,7 +110,7 @@
 
 
 def misplaced(table: Table, ideal: Table, member: Member) -> frozenset[PartitionId]:
-    """Return the partitions of ``member`` that the plan gives to others."""
+    """Return the partitions of ``member`` that the planned table assigns to others."""
     return frozenset(p for p in table.owned_by(member) if not ideal.entries[p].belongs_to(member))
 
 
@@ -143,7 +145,8 @@
     for region, candidates in sorted(by_region.items()):
         local = [p for p in partitions if p.region == region]
         owners.update(_fill(table, candidates, local, load))
-    # A region without a scheduler is served from the others, after these have their own.
+    # Partitions of a region without a scheduler are assigned to schedulers of other regions, after
+    # those have been assigned their own.
     orphans = [p for p in partitions if p.region not in by_region]
     owners.update(_fill(table, schedulers, orphans, load))
     return owners
@@ -169,8 +172,8 @@
         if partition in owners:
             continue
         room = [m for m in candidates if load[m.id] < bound]
-        # Partitions of one kind are spread first, so that the loss of a failure domain
-        # doesn't take all of the services or all of the keys of a region at once.
+        # Spread the partitions of one kind first, so that the loss of a failure domain does not
+        # affect all services or all keys of a region at once.
         owner = min(
             room,
             key=lambda m: (domains[m.failure_domain, partition.kind], -_weight(partition, m)),
--- a/rhubarbferry/core/partition.py
+++ b/rhubarbferry/core/partition.py
@@ -1,4 +1,4 @@
-"""Names of partitions, the units of ownership."""
+"""Partition ids. A partition is the unit of ownership."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PartitionKind(StrEnum):
-    """What a partition is made of."""
+    """What a partition consists of."""
 
     WORKER = "worker"
     RUNNER = "runner"
@@ -18,11 +18,11 @@
 
 @frozen(kw_only=True, slots=True, order=True)
 class PartitionId:
-    """One unit of ownership: a rack, a service in a region, or a slice of keys.
+    """Identifies a partition: a rack, a service in a region, or a slice of the key space.
 
-    :param kind: what it is made of.
-    :param region: the region that it belongs to.
-    :param name: rack, service, or number of the slice.
+    :param kind: what the partition consists of.
+    :param region: the region that the partition belongs to.
+    :param name: name of the rack or service, or number of the slice.
     """
 
     kind: PartitionKind
@@ -34,9 +34,9 @@
 
     @classmethod
     def parse(cls, text: str) -> PartitionId:
-        """Read the form that ``str()`` writes.
+        """Parse the text form that ``str()`` returns.
 
-        :raises ValueError: when ``text`` has another form.
+        :raises ValueError: if ``text`` is not in that form.
         """
         kind, region, name = text.split("/", 2)
         return cls(kind=PartitionKind(kind), region=region, name=name)
@@ -53,14 +53,14 @@
 
 
 def key_partition(*, region: str, number: int) -> PartitionId:
-    """Return the partition of one slice of keys, homed in ``region``."""
+    """Return the partition of one slice of the key space, whose home is in ``region``."""
     return PartitionId(kind=PartitionKind.KEY, region=region, name=str(number))
 
 
 def home_of(*, account: str, key: str, regions: tuple[str, ...], per_region: int) -> PartitionId:
-    """Return the key partition that owns ``key`` of ``account``, the same on every host.
+    """Return the key partition that owns ``key`` of ``account``; all hosts compute the same one.
 
-    The account is part of the hash, so that two accounts may use the same key.
+    The account is part of the hash, so the same key of two accounts is independent.
     """
     slices = len(regions) * per_region
     number = xxhash.xxh3_64_intdigest(f"{account}\x00{key}".encode()) % slices
--- a/rhubarbferry/core/partitions.py
+++ b/rhubarbferry/core/partitions.py
@@ -1,4 +1,4 @@
-"""The set of partitions of a cell, from its configuration and its hosts."""
+"""Computation of a cell's partitions from its configuration and hosts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def partitions_of(cell: Cell, hosts: Iterable[Host]) -> frozenset[PartitionId]:
-    """Return what must be owned: slices of keys, services in a region, and racks."""
+    """Return all partitions: slices of the key space, services per region, and racks."""
     keys = {
         key_partition(region=region, number=number)
         for region in cell.regions
--- a/rhubarbferry/core/placement.py
+++ b/rhubarbferry/core/placement.py
@@ -1,10 +1,11 @@
-"""Choose a worker for a task: an index of the free sizes of the workers of one partition.
+"""Worker selection for tasks, using an index of the free capacity of a partition's workers.
 
-Batch tasks go where they leave the free sizes most in proportion and the least behind, services
-where the fewest of their kind run.
-The index is kept in order of free processors within groups of equal free accelerators, so a
-choice looks at a bounded number of workers whatever their number; only when none of these has
-room does it look further, and a size that found no room is remembered until room appears.
+Batch tasks are placed where the remaining free capacity is best balanced between the dimensions
+and smallest (best fit). Tasks of a service are placed where the fewest tasks of the same job run.
+
+The index groups workers by free accelerators and orders each group by free processors, so a
+selection examines a bounded number of workers. It examines more only when none of these has enough
+free capacity, and a size that could not be placed is cached until capacity for it becomes free.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 from rhubarbferry.core.cell import Size
 
 CANDIDATES = 16
-# Room is stranded when one dimension runs out before the others, so keeping what is left in
-# proportion counts far more than leaving little.
+# Capacity is stranded when one dimension is exhausted before the others, so balance between the
+# dimensions has far more weight than a small remainder.
 SKEW_WEIGHT = 25.0
 MAX_REMEMBERED = 256
 
 
 class Spread(IntEnum):
-    """How tasks of a job lie to each other."""
+    """How the tasks of a job are distributed over workers."""
 
     PACK = 0
     APART = 1
@@ -33,9 +34,9 @@
 
 @frozen(kw_only=True, slots=True)
 class Need:
-    """One task that looks for a worker.
+    """Requirements of one task that needs a worker.
 
-    :param job_id: tasks of one job are kept apart from each other when ``spread`` says so.
+    :param job_id: job of the task; ``Spread.APART`` separates tasks of the same job.
     :param avoid: workers that must not be chosen.
     """
 
@@ -57,10 +58,10 @@
 
 
 class Placement:
-    """Free sizes of workers, and the choice among them.
+    """Free capacity of workers, and worker selection.
 
-    The caller says what is taken and given back; :meth:`take` refuses what does not fit, so
-    no order of events can put more on a worker than it holds.
+    The caller reports allocations and releases. :meth:`take` refuses what does not fit, so no
+    order of events can overcommit a worker.
     """
 
     def __init__(self) -> None:
@@ -72,7 +73,7 @@
         self._largest_memory = 1
 
     def put(self, worker: str, *, capacity: Size, failure_domain: str) -> None:
-        """Add an empty worker, in place of what was known of it; it takes tasks from now on."""
+        """Add an empty worker that accepts tasks, replacing any previous state of the worker."""
         self.drop(worker)
         room = _Room(
             id=worker,
@@ -87,7 +88,7 @@
         self._list(room)
 
     def drop(self, worker: str) -> None:
-        """Forget a worker."""
+        """Remove a worker."""
         room = self._rooms.pop(worker, None)
         if room is None:
             return
@@ -96,7 +97,7 @@
             self._domain_jobs[room.failure_domain, job_id] -= count
 
     def set_open(self, worker: str, is_open: bool) -> None:
-        """Say whether a worker takes new tasks."""
+        """Set whether a worker accepts new tasks."""
         room = self._rooms[worker]
         if room.open == is_open:
             return
@@ -105,26 +106,26 @@
         self._list(room)
 
     def free(self, worker: str) -> Size:
-        """Return what is free on a worker, open or not."""
+        """Return the free capacity of a worker, whether or not it accepts tasks."""
         return self._rooms[worker].free
 
     def is_open(self, worker: str) -> bool:
-        """Tell whether a worker takes new tasks."""
+        """Return whether a worker accepts new tasks."""
         room = self._rooms.get(worker)
         return room is not None and room.open
 
     def take(self, worker: str, job_id: str, size: Size) -> bool:
-        """Take room on a worker; tell whether there was enough."""
+        """Allocate capacity on a worker and return whether there was enough."""
         if not size.fits(self._rooms[worker].free):
             return False
         self.take_running(worker, job_id, size)
         return True
 
     def take_running(self, worker: str, job_id: str, size: Size) -> None:
-        """Count a task that runs on a worker already, whether there is room for it or not.
+        """Allocate capacity for a task that is already running, even if it does not fit.
 
-        A worker can come back with less capacity than its tasks were given. They must count
-        all the same: the free size is then negative and nothing is placed until they end.
+        A worker can return with less capacity than its tasks were allocated. These tasks are
+        still counted: the free capacity is then negative, and no task is placed until they end.
         """
         room = self._rooms[worker]
         self._unlist(room)
@@ -134,7 +135,7 @@
         self._list(room, grown=False)
 
     def give_back(self, worker: str, job_id: str, size: Size) -> None:
-        """Return room that was taken."""
+        """Release allocated capacity."""
         room = self._rooms[worker]
         self._unlist(room)
         room.free = room.free + size
@@ -143,7 +144,7 @@
         self._list(room)
 
     def choose(self, need: Need) -> str | None:
-        """Return the best worker for a task, or ``None`` when none has room now."""
+        """Return the best worker for a task, or ``None`` if none has enough free capacity."""
         if not need.avoid and need.size in self._too_large:
             return None
         found = self._best(need)
@@ -152,7 +153,7 @@
         return found.id if found is not None else None
 
     def largest_free(self) -> Size:
-        """Return the largest free size of each dimension; no one worker need have all three."""
+        """Return the largest free capacity per dimension, possibly of different workers."""
         open_rooms = [room.free for room in self._rooms.values() if room.open]
         return Size(
             millicores=max((free.millicores for free in open_rooms), default=0),
@@ -188,8 +189,8 @@
     def _best(self, need: Need) -> _Room | None:
         if need.spread == Spread.APART:
             return self._farthest(need)
-        # Workers with more accelerators than needed come last: processors are found elsewhere,
-        # accelerators are not.
+        # Workers with more accelerators than needed are tried last: processors are available on
+        # other workers, accelerators are not.
         for accelerators in sorted(self._groups):
             if accelerators < need.size.accelerators:
                 continue
@@ -215,7 +216,7 @@
         return best
 
     def _left(self, millicores: int, memory: int) -> float:
-        """Weigh what a choice leaves behind: little of it, and in proportion."""
+        """Return the cost of a remainder: small and balanced remainders cost least."""
         processors = millicores / self._largest_millicores
         bytes_ = memory / self._largest_memory
         return processors + bytes_ + SKEW_WEIGHT * abs(processors - bytes_)
--- a/rhubarbferry/core/promise.py
+++ b/rhubarbferry/core/promise.py
@@ -1,7 +1,8 @@
-"""Both sides of a guard's promise, as pure state.
+"""State of a guard's promises, on the guard's side and on the owner's side.
 
-Past the end of its lease an owner can't tell an outage of the store from a cut of its own, so
-it may act only while a majority of its guards has promised to follow nobody else.
+After its lease has expired, an owner cannot distinguish an outage of the store from a network
+partition of its own. It may then act only while a majority of its guards has promised to
+acknowledge no other owner.
 """
 
 from __future__ import annotations
@@ -10,17 +11,17 @@
 
 from attrs import define, field, frozen
 
-# The length, in a request for a promise, by which an owner gives up the one that it has.
+# Duration in a promise request that releases the promise the owner already holds.
 NO_PROMISE_MS = 0
 
 
 @frozen(kw_only=True, slots=True)
 class GuardAnswer:
-    """What a guard answers an owner or a successor.
+    """Reply of a guard to an owner or a successor.
 
-    :param accepted: whether the epoch was acknowledged or the promise given.
+    :param accepted: whether the guard acknowledged the epoch or gave the promise.
     :param highest_epoch: the highest epoch that the guard has acknowledged.
-    :param promise_left_s: seconds until the promise that stands in the way has run out.
+    :param promise_left_s: seconds until the promise that prevents acceptance expires.
     """
 
     accepted: bool
@@ -30,11 +31,13 @@
 
 @define(kw_only=True, slots=True)
 class GuardState:
-    """One guard's state for one partition; lost with the process, which is a new member then.
+    """One guard's state for one partition.
 
-    :param highest_epoch: lower epochs are refused.
-    :param promised_to: the owner that holds the last promise.
-    :param promised_until: monotonic time at which that promise ends.
+    The state is lost when the process ends; a restarted process is a new member.
+
+    :param highest_epoch: highest acknowledged epoch; lower ones are refused.
+    :param promised_to: the owner that received the last promise.
+    :param promised_until: monotonic time at which that promise expires.
     :param closed_below: promises under a guard set with a lower version are refused.
     """
 
@@ -44,7 +47,7 @@
     closed_below: int = 0
 
     def acknowledge(self, *, epoch: int, owner: str, now: float) -> GuardAnswer:
-        """Raise the epoch for a successor, unless a promise to another owner is open."""
+        """Raise the epoch for a successor, unless a promise to another owner is active."""
         left = self.promise_left_s(now)
         if epoch < self.highest_epoch or (left > 0 and owner != self.promised_to):
             return self._answer(accepted=False, left=left)
@@ -54,9 +57,9 @@
     def promise(
         self, *, epoch: int, owner: str, now: float, duration_s: float, version: int = 0
     ) -> GuardAnswer:
-        """Promise ``owner`` to acknowledge nobody else for ``duration_s`` from ``now``.
+        """Promise ``owner`` to acknowledge no other owner for ``duration_s`` from ``now``.
 
-        :param version: the version of the guard set that the owner counts by.
+        :param version: version of the guard set in which the owner counts promises.
         """
         if version < self.closed_below:
             return self._answer(accepted=False, left=self.promise_left_s(now))
@@ -68,11 +71,11 @@
         return self._answer(accepted=True, left=self.promise_left_s(now))
 
     def give_up(self, *, epoch: int, owner: str, now: float) -> GuardAnswer:
-        """End the promise to an owner that says it acts no more under ``epoch``.
+        """End the promise to an owner that reports that it has stopped acting under ``epoch``.
 
-        A planned hand-over would otherwise wait for the promise to run out, up to 3 s in which
-        callers get no slot. A word that comes late, when a higher epoch has been acknowledged,
-        changes nothing: the promise may by then be one for that epoch.
+        Otherwise a planned handover would wait for the promise to expire, up to 3 s in which
+        callers get no slot. A release that arrives after a higher epoch was acknowledged has no
+        effect, because the promise may by then belong to that epoch.
         """
         if epoch < self.highest_epoch or owner != self.promised_to:
             return self._answer(accepted=False, left=self.promise_left_s(now))
@@ -80,12 +83,12 @@
         return self._answer(accepted=True, left=0.0)
 
     def close(self, *, version: int, now: float) -> GuardAnswer:
-        """Promise nothing more under guard sets below ``version``; what is open stays open."""
+        """Refuse promises under guard sets below ``version``; active promises remain valid."""
         self.closed_below = max(self.closed_below, version)
         return self._answer(accepted=True, left=self.promise_left_s(now))
 
     def promise_left_s(self, now: float) -> float:
-        """Return the seconds that the open promise still runs, 0 for none."""
+        """Return the remaining seconds of the active promise, 0 if there is none."""
         return max(0.0, self.promised_until - now)
 
     def _answer(self, *, accepted: bool, left: float) -> GuardAnswer:
@@ -94,11 +97,11 @@
 
 @define(kw_only=True, slots=True)
 class PromiseBook:
-    """The promises that one owner holds for one partition under one epoch.
+    """The promises that an owner holds for one partition under one epoch.
 
-    :param guards: ids of the guard set that the promises are counted by.
-    :param version: the version of that set.
-    :param margin_s: taken off each promise, for clocks of differing rates.
+    :param guards: ids of the guards in the guard set.
+    :param version: version of the guard set.
+    :param margin_s: subtracted from each promise to allow for clocks that run at different rates.
     """
 
     guards: frozenset[str] = field(default=frozenset(), converter=frozenset)
@@ -107,7 +110,7 @@
     _until: dict[str, float] = field(factory=dict, init=False)
 
     def use(self, *, guards: Iterable[str], version: int) -> None:
-        """Count by another version of the guard set from now on; begin with no promise."""
+        """Switch to a newer version of the guard set and discard all promises."""
         if version <= self.version:
             return
         self.guards = frozenset(guards)
@@ -115,9 +118,9 @@
         self._until.clear()
 
     def given(self, *, guard: str, version: int, asked_at: float, duration_s: float) -> None:
-        """Note a promise.
+        """Record a promise.
 
-        :param version: the version of the guard set that the request named.
+        :param version: version of the guard set in the request.
         :param asked_at: monotonic time BEFORE the request was sent.
         """
         if guard in self.guards and version == self.version:
@@ -125,9 +128,9 @@
             self._until[guard] = max(self._until.get(guard, until), until)
 
     def held(self, now: float) -> int:
-        """Return how many guards' promises are held."""
+        """Return the number of guards whose promise is active."""
         return sum(now < until for until in self._until.values())
 
     def majority(self, now: float) -> bool:
-        """Tell whether a majority of the guard set has promised."""
+        """Return whether a majority of the guard set has an active promise."""
         return self.held(now) > len(self.guards) // 2 if self.guards else False
--- a/rhubarbferry/core/refusals.py
+++ b/rhubarbferry/core/refusals.py
@@ -1,4 +1,4 @@
-"""Why a runner partition refuses a request; frontends go by it too."""
+"""Reasons for which a runner partition refuses a request; frontends use them as well."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a request does not wait."""
+    """Why a request is not queued."""
 
     UNKNOWN_ACCOUNT = "unknown account"
     ACCOUNT_QUEUE_FULL = "too many requests of the account wait"
--- a/rhubarbferry/core/request_queue.py
+++ b/rhubarbferry/core/request_queue.py
@@ -1,12 +1,12 @@
-"""Queue of requests that wait for a slot: priority, then fair share, then deadline.
+"""Queue of requests that wait for a slot, by priority, then fair share, then deadline.
 
-Order. The most urgent class goes first. Within a class the account goes first that has used the
-least slot time for its share (start-time fair queueing), and within an account the request whose
-deadline comes first. So that no class starves, each ``aged_every``-th grant goes to the request
-of a less urgent class that has waited longest, if it has waited ``aging_s``.
+Order: the most urgent priority class is first. Within a class, the account with the least slot
+time relative to its share is first (start-time fair queueing), and within an account the request
+with the earliest deadline. To prevent starvation, every ``aged_every``-th grant goes to the
+request of a less urgent class that has waited longest, if it has waited at least ``aging_s``.
 
-Refusal. A request that can't start in time is refused when it arrives, with the time after which
-to come back: under overload the slots then go to requests that can still be finished in time.
+Refusal: a request that cannot start in time is refused on arrival, with a time after which to
+retry. Under overload the slots are then used for requests that can still finish in time.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Refusal:
-    """A final answer: the request did not run; another try makes sense after a while."""
+    """Final reply to a request that did not run; it may be retried after ``retry_after_s``."""
 
     reason: RefusalReason
     retry_after_s: float
@@ -41,11 +41,11 @@
 
 @frozen(kw_only=True, slots=True)
 class QueueRules:
-    """Bounds of the queue.
+    """Limits of the queue.
 
-    :param max_waiting: requests waiting in all.
-    :param aging_s: wait after which a less urgent request may go out of turn.
-    :param aged_every: at most one of so many grants goes out of turn.
+    :param max_waiting: maximum total number of waiting requests.
+    :param aging_s: wait after which a request of a less urgent class may be granted out of order.
+    :param aged_every: at most one in this many grants is made out of order.
     """
 
     max_waiting: int = 5000
@@ -55,7 +55,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Terms:
-    """What one account is owed and allowed in this partition; ``None`` is no limit."""
+    """Share and limits of one account in this partition; ``None`` means no limit."""
 
     share: float = 1.0
     max_concurrency: int | None = None
@@ -65,10 +65,12 @@
 
 @define(kw_only=True, eq=False, slots=True)
 class Waiting:
-    """One request that wants a slot.
+    """One request that waits for a slot.
 
-    :param deadline: on the clock of ``now``.
-    :param excluded: runners that it must not go to.
+    :param deadline: deadline on the same clock as ``now``.
+    :param excluded: ids of runners that must not serve the request.
+    :param latest_start: time after which the request is dropped; set by the queue.
+    :param seq: arrival number; set by the queue.
     """
 
     request_id: str
@@ -84,31 +86,31 @@
 
 @frozen(kw_only=True, slots=True)
 class Admitted:
-    """The request waits; ``displaced`` had to go for it and needs its final answer."""
+    """The request was queued; ``displaced`` was removed for it and needs a final reply."""
 
     displaced: Waiting | None = None
 
 
 @define(kw_only=True, eq=False)
 class ServiceTimes:
-    """Running mean and mean deviation of the time that a request holds a slot."""
+    """Exponentially weighted mean and mean deviation of the time a request holds a slot."""
 
     mean_s: float = 0.0
     deviation_s: float = 0.0
     seen: int = 0
 
     def add(self, seconds: float) -> None:
-        """Take in one more."""
+        """Add one slot holding time."""
         self.seen += 1
         weight = max(TIME_WEIGHT, 1.0 / self.seen)
         self.deviation_s += weight * (abs(seconds - self.mean_s) - self.deviation_s)
         self.mean_s += weight * (seconds - self.mean_s)
 
     def reserve_s(self, timeout_s: float) -> float:
-        """Return the time before its deadline by which a request must start.
+        """Return how long before its deadline a request must start.
 
-        Started later it would probably be cut off, and its slot held for nothing. Under
-        overload every request starts as late as it may, so the mean alone is not enough.
+        A request started later would probably exceed its deadline and waste its slot. The mean
+        alone is not sufficient, because under overload every request starts as late as allowed.
         """
         likely_s = self.mean_s + DEVIATIONS * self.deviation_s
         return min(likely_s, MOST_RESERVE * timeout_s)
@@ -116,7 +118,10 @@
 
 @define(kw_only=True, eq=False)
 class _Account:
-    """:param used: slot time used for its share: its virtual time."""
+    """An account and its waiting requests.
+
+    :param used: slot time divided by share, which is the account's virtual time.
+    """
 
     name: str
     terms: Terms
@@ -137,7 +142,11 @@
 
 @define(kw_only=True, eq=False)
 class _Class:
-    """:param ready: ``(used, account)`` of those with a request that may start now."""
+    """Waiting requests of one priority class.
+
+    :param ready: ``(used, account)`` of the accounts with a request that may start now.
+    :param shares: sum of the shares of the accounts with waiting requests.
+    """
 
     ready: SortedList = Factory(SortedList)
     arrived: OrderedDict[int, Waiting] = Factory(OrderedDict)
@@ -146,7 +155,7 @@
 
 @define(kw_only=True, eq=False)
 class RequestQueue:
-    """Waiting requests of one runner partition; each operation is O(log n)."""
+    """Waiting requests of one runner partition; every operation is O(log n)."""
 
     rules: QueueRules = Factory(QueueRules)
     times: ServiceTimes = Factory(ServiceTimes)
@@ -164,7 +173,7 @@
         return len(self._by_id)
 
     def configure(self, terms: Mapping[str, Terms]) -> None:
-        """Take the terms of all accounts; those that are gone serve what they have waiting."""
+        """Set the terms of all accounts; a removed account first serves its waiting requests."""
         for name, new in terms.items():
             account = self._accounts.get(name)
             if account is None:
@@ -181,15 +190,15 @@
             if self._accounts[name].running == 0:
                 del self._accounts[name]
 
-    # ------------------------------------------------------------ in
+    # ------------------------------------------------------------ arrival
 
     def offer(
         self, waiting: Waiting, *, now: float, slots: int, free: int
     ) -> Result[Admitted, Refusal]:
-        """Let a request wait, or refuse it for good.
+        """Queue a request or refuse it.
 
-        :param slots: of all runners that take requests.
-        :param free: how many of them are free now.
+        :param slots: total number of slots of the runners that accept requests.
+        :param free: number of slots that are free now.
         :returns: ``Success(Admitted)`` or ``Failure(Refusal)``.
         """
         account = self._accounts.get(waiting.account)
@@ -220,13 +229,13 @@
         return Success(Admitted(displaced=displaced))
 
     def knows(self, account: str) -> bool:
-        """Tell whether requests of an account may wait here."""
+        """Return whether an account is configured in this queue."""
         return account in self._accounts
 
     def expected_wait(
         self, account: str, priority: PriorityClass, *, slots: int, free: int
     ) -> float:
-        """Estimate the seconds until a request that comes now would start."""
+        """Estimate the wait, in seconds, of a request that arrives now."""
         if self.times.seen == 0 or slots == 0:
             return 0.0
         mine = self._accounts[account]
@@ -243,10 +252,10 @@
             wait = max(wait, (mine.running + own - limit + 1) * self.times.mean_s / limit)
         return wait
 
-    # ------------------------------------------------------------ out
+    # ------------------------------------------------------------ dispatch
 
     def candidates(self, *, now: float) -> Iterator[Waiting]:
-        """Yield the requests that may start next, the first in turn first; a bounded number."""
+        """Yield a bounded number of requests that may start next, in order."""
         aged = self._aged(now)
         if aged is not None:
             yield aged
@@ -262,9 +271,9 @@
                         return
 
     def start(self, waiting: Waiting) -> float:
-        """Take a request out to start it.
+        """Remove a request from the queue to start it.
 
-        :returns: the slot time charged for now; give it back to :meth:`finish`.
+        :returns: the estimated slot time charged to the account; pass it to :meth:`finish`.
         """
         account = self._accounts[waiting.account]
         urgent = next(p for p, cls in self._classes.items() if cls.ready)
@@ -276,26 +285,26 @@
         return charged
 
     def resume(self, account: str) -> None:
-        """Count a request that was started by an earlier owner."""
+        """Count a running request that was started by an earlier owner."""
         known = self._accounts.get(account)
         if known is not None:
             self._charge(known, seconds=0.0, running=1)
 
     def finish(self, account: str, *, charged_s: float, used_s: float) -> None:
-        """Note that a started request has given its slot back after ``used_s``."""
+        """Record that a started request has released its slot after ``used_s`` seconds."""
         known = self._accounts.get(account)
         if known is not None:
             self._charge(known, seconds=used_s - charged_s, running=-1)
 
     def abandon(self, request_id: str) -> Waiting | None:
-        """Take out a request whose caller has gone."""
+        """Remove a request whose caller has disconnected."""
         waiting = self._by_id.get(request_id)
         if waiting is not None:
             self._remove(waiting)
         return waiting
 
     def expire(self, *, now: float) -> tuple[Waiting, ...]:
-        """Take out the requests that could no more be finished before their deadline."""
+        """Remove the requests that can no longer finish before their deadline."""
         late = []
         while self._starts and self._starts[0][0] < now:
             waiting = self._starts[0][2]
@@ -304,19 +313,19 @@
         return tuple(late)
 
     def next_expiry(self) -> float | None:
-        """Return when :meth:`expire` is due next."""
+        """Return the time at which :meth:`expire` must be called next."""
         return self._starts[0][0] if self._starts else None
 
     def find(self, request_id: str) -> Waiting | None:
-        """Return a waiting request."""
+        """Return the waiting request with an id."""
         return self._by_id.get(request_id)
 
     def running(self, account: str) -> int:
-        """Return how many requests of an account hold slots."""
+        """Return the number of an account's requests that hold slots."""
         known = self._accounts.get(account)
         return 0 if known is None else known.running
 
-    # ------------------------------------------------------------ inner
+    # ------------------------------------------------------------ internal
 
     def _aged(self, now: float) -> Waiting | None:
         if self._since_aged + 1 < self.rules.aged_every:
@@ -345,8 +354,8 @@
 
     def _add(self, account: _Account, waiting: Waiting) -> None:
         if account.depth() == 0:
-            # An account that was idle gets no credit for that time: with it, it would hold
-            # all slots for as long as it was away.
+            # An idle account receives no credit for that time. With credit, it would occupy all
+            # slots for as long as it was idle.
             account.used = max(account.used, self._virtual_now)
         cls = self._classes[waiting.priority]
         line = account.waiting[waiting.priority]
@@ -379,7 +388,7 @@
         self._ready(account, lines)
 
     def _unready(self, account: _Account) -> tuple[PriorityClass, ...]:
-        """Take an account out of the orders, so that what they sort by may change."""
+        """Remove an account from the sorted collections so that its sort key may change."""
         lines = tuple(p for p, line in account.waiting.items() if line)
         for priority in lines:
             cls = self._classes[priority]
--- a/rhubarbferry/core/retry.py
+++ b/rhubarbferry/core/retry.py
@@ -1,4 +1,4 @@
-"""How many retries one client account may cause."""
+"""Retry budget of a client account."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 
 @define(kw_only=True, slots=True)
 class RetryBudget:
-    """Retries allowed in proportion to the requests begun, with a small floor.
+    """Budget of retries in proportion to the number of started requests, with a small minimum rate.
 
-    Without it, every request to a failing service is sent several times, which keeps the
-    service down. With it, retries are at most ``ratio`` of the load, however many fail.
+    Without a budget, every request to a failing service is sent several times, which keeps the
+    service overloaded. With it, retries add at most ``ratio`` to the load (plus the minimum
+    rate), however many requests fail.
 
-    :param ratio: retries earned by each request begun.
-    :param floor_per_s: retries earned each second, so that an account with few requests has some.
-    :param ceiling: most retries that can be saved up.
-    :param tokens: retries saved up now.
+    :param ratio: retries added to the budget by each started request.
+    :param floor_per_s: retries added per second, for accounts with few requests.
+    :param ceiling: maximum number of retries in the budget.
+    :param tokens: current number of retries in the budget.
     """
 
     ratio: float
@@ -25,12 +26,12 @@
     _refilled: float | None = None
 
     def begun(self, *, now: float) -> None:
-        """Count a request that was begun at ``now`` (seconds on a monotonic clock)."""
+        """Record a request that was started at ``now`` (seconds on a monotonic clock)."""
         self._refill(now)
         self.tokens = min(self.ceiling, self.tokens + self.ratio)
 
     def take(self, *, now: float) -> bool:
-        """Take one retry; tell whether there was one."""
+        """Take one retry from the budget and return whether one was available."""
         self._refill(now)
         if self.tokens < 1.0:
             return False
--- a/rhubarbferry/core/routing.py
+++ b/rhubarbferry/core/routing.py
@@ -1,4 +1,4 @@
-"""Which region serves a request."""
+"""Selection of the region that serves a request."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 @frozen(kw_only=True, slots=True)
 class SpillRules:
-    """When a request goes to another region.
+    """Conditions for sending a request to another region.
 
-    :param round_trip_s: what a request there and its answer take on the way.
-    :param margin_s: how much sooner it must start there; 0 or less keeps all at home.
+    :param round_trip_s: network round-trip time to the other region.
+    :param margin_s: minimum time by which the request must start earlier there; 0 or less
+        disables spilling.
     """
 
     round_trip_s: float
@@ -26,11 +27,11 @@
 def choose_region(
     *, service: str, own_region: str, partitions: Sequence[PartitionId]
 ) -> PartitionId | None:
-    """Return the runner partition that a request for ``service`` is asked at.
+    """Return the runner partition to which a request for ``service`` is sent.
 
-    :param own_region: the region of the frontend; it is taken when it has the service.
+    :param own_region: region of the frontend, preferred if it provides the service.
     :param partitions: the known partitions, in any order.
-    :returns: ``None`` when no region has the service.
+    :returns: ``None`` if no region provides the service.
     """
     serving = serving_partitions(service=service, partitions=partitions)
     for partition in serving:
@@ -60,18 +61,19 @@
     rules: SpillRules,
     draw: float,
 ) -> PartitionId | None:
-    """Return another region's partition where a request starts sooner than at home.
-
-    Word of the waits is a little old. Were all requests sent to the best region, the frontends
-    would fill it before they hear of that, and then all would turn back, with one region idle at
-    any time. So the share that goes is what is gained by going, in proportion to the wait at
-    home, and never more than half while home has an owner.
-
-    :param home: the partition of the frontend's own region.
-    :param home_wait_s: expected there; ``None`` when not known, infinite without an owner.
-    :param waits: expected waits elsewhere, in seconds, as far as they are known.
-    :param draw: a random number from 0 up to 1.
-    :returns: ``None`` to stay at home.
+    """Return another region's partition where a request would start earlier than at home.
+
+    Reported waiting times are slightly out of date. If all requests were sent to the best
+    region, the frontends would fill it before they received its new waiting time and would then
+    all switch back, so that one region would be idle at any time. The fraction of requests that
+    is sent elsewhere is therefore the time saved relative to the wait at home, and at most half
+    while the home partition has an owner.
+
+    :param home: the partition in the frontend's own region.
+    :param home_wait_s: expected wait at home; ``None`` if unknown, infinite without an owner.
+    :param waits: known expected waits in other regions, in seconds.
+    :param draw: random number in [0, 1).
+    :returns: ``None`` to use the home partition.
     """
     if home_wait_s is None or rules.margin_s <= 0:
         return None
@@ -94,9 +96,9 @@
     rules: SpillRules,
     remaining_s: float,
 ) -> PartitionId | None:
-    """Return where a request that its own region has refused can still start in time.
+    """Return another region's partition where a refused request can still start in time.
 
-    :param remaining_s: until its deadline.
+    :param remaining_s: seconds until the request's deadline.
     """
     if rules.margin_s <= 0:
         return None
--- a/rhubarbferry/core/slots.py
+++ b/rhubarbferry/core/slots.py
@@ -1,4 +1,4 @@
-"""Ledger of the slots of the runners of one partition: which are taken, by whom, until when."""
+"""Ledger of the runner slots of one partition and the leases that occupy them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SlotEnd(Enum):
-    """How the use of a slot ended, as its frontend said it."""
+    """How the use of a slot ended, as reported by its frontend."""
 
     DONE = "done"
     NOT_SENT = "not sent"
@@ -28,13 +28,13 @@
 
 @frozen(kw_only=True, slots=True)
 class SlotRules:
-    """Bounds of the ledger, in seconds.
+    """Time limits of the ledger.
 
-    :param margin_s: a slot whose request was never heard of again is free this long after
-        the request's deadline.
-    :param settle_s: bytes of a request may still be on their way to the runner this long after
+    :param margin_s: time after a request's deadline at which its slot is freed if no outcome has
+        been reported.
+    :param settle_s: maximum time that bytes of a request can be in transit to the runner after
         its frontend was last able to send.
-    :param longest_request_s: longest time that a request may run.
+    :param longest_request_s: maximum run time of a request.
     """
 
     margin_s: float = 2.0
@@ -44,12 +44,13 @@
 
 @define(kw_only=True, eq=False)
 class SlotLease:
-    """One slot given to one request.
+    """One slot leased to one request.
 
-    :param usable_until: the frontend may begin to send until then.
-    :param deadline: of the request.
-    :param hold_until: free from then on, if nothing else is heard.
-    :param unclear_since: when its frontend stopped answering for it; ``None`` while it does.
+    :param usable_until: time until which the frontend may start to send the request.
+    :param deadline: deadline of the request.
+    :param hold_until: time at which the slot is freed unless a report changes it.
+    :param unclear_since: time since which the frontend can no longer report the outcome;
+        ``None`` while it can.
     """
 
     grant_id: int
@@ -66,11 +67,14 @@
 
 @frozen(kw_only=True, slots=True)
 class RunnerWord:
-    """What a runner said of itself.
+    """Status report of a runner.
 
-    :param asked_at: when it was ASKED; what it says may be older than the answer.
+    :param asked_at: time at which the report was REQUESTED; its content may be older than the
+        reply.
     :param running: ids of the requests in progress.
-    :param finished: ids of requests that ended a short time ago.
+    :param finished: ids of the requests that ended recently.
+    :param slots: number of slots according to the runner.
+    :param leaving: whether the runner is shutting down.
     """
 
     runner_id: str
@@ -83,15 +87,16 @@
 
 @define(kw_only=True, eq=False)
 class Runner:
-    """One runner as the ledger knows it.
-
-    :param listed: whether the platform lists it.
-    :param listed_leaving: whether the platform says that it is about to go.
-    :param said_leaving: whether it said so itself.
-    :param said_slots: its own number of slots, once heard.
-    :param blocked_until: all its slots count as taken until then, or until its word.
-    :param word_from: only a word asked for from then on lifts the block.
-    :param mean_service_s: mean time of a request, later ones counting more.
+    """State of one runner.
+
+    :param listed: whether the host list contains the runner.
+    :param listed_leaving: whether the host list marks the runner as shutting down.
+    :param said_leaving: whether the runner reported that it is shutting down.
+    :param said_slots: number of slots reported by the runner, ``None`` before its first report.
+    :param blocked_until: time until which all slots count as taken, unless a report lifts the
+        block earlier.
+    :param word_from: the block is lifted only by a report requested at or after this time.
+    :param mean_service_s: exponentially weighted mean duration of a request.
     """
 
     id: str
@@ -108,32 +113,33 @@
 
     @property
     def leaving(self) -> bool:
-        """Tell whether it gets no new requests."""
+        """Whether the runner receives no new requests."""
         return not self.listed or self.listed_leaving or self.said_leaving
 
     @property
     def capacity(self) -> int:
-        """Return its slots: the fewer of what the configuration and the runner say."""
+        """The number of slots: the lower of the configured and the reported number."""
         if self.said_slots is None:
             return self.slots
         return min(self.slots, self.said_slots)
 
     def free(self) -> int:
-        """Return the slots that may be given away now."""
+        """Return the number of slots that can be granted now."""
         if self.leaving or self.blocked_until is not None:
             return 0
         return max(0, self.capacity - len(self.leases))
 
 
 class NoFreeSlot(Exception):
-    """The runner has no free slot. Choose one with :meth:`SlotLedger.choose` right before."""
+    """The runner has no free slot; call :meth:`SlotLedger.choose` immediately before a grant."""
 
 
 @define(kw_only=True, eq=False)
 class SlotLedger:
-    """Slots of all runners of a partition; never more leases than slots on any runner.
+    """Slots of all runners of a partition; no runner is granted more leases than it has slots.
 
-    Time comes in as ``now``, in seconds on one monotonic clock. What is unknown counts as taken.
+    The parameter ``now`` is in seconds on one monotonic clock. A slot whose state is unknown counts
+    as taken.
     """
 
     rules: SlotRules = Factory(SlotRules)
@@ -151,7 +157,7 @@
     # ------------------------------------------------------------ runners
 
     def put_runner(self, *, id: str, address: str, slots: int, leaving: bool) -> Runner:
-        """Take in a runner of the platform's list, new or known."""
+        """Add or update a runner from the host list."""
         runner = self.runners.get(id)
         if runner is None:
             runner = Runner(id=id, address=address, slots=slots)
@@ -167,10 +173,10 @@
         return runner
 
     def drop_runner(self, id: str) -> None:
-        """Note that the platform lists a runner no more.
+        """Record that the host list no longer contains a runner.
 
-        The list lags and may be wrong, so a runner with requests is kept until they have
-        ended: were it forgotten, it would come back with slots that look free.
+        The list lags and may be wrong, so a runner with requests is kept until they have ended.
+        If it were removed, its slots would appear free when it is listed again.
         """
         runner = self.runners.get(id)
         if runner is None:
@@ -180,7 +186,10 @@
         self._forget_if_idle(runner)
 
     def block(self, id: str, *, until: float, word_from: float) -> None:
-        """Count all slots of a runner as taken until its word, or until ``until``."""
+        """Count all slots of a runner as taken until its next report or until ``until``.
+
+        :param word_from: reports requested before this time do not lift the block.
+        """
         runner = self.runners[id]
         runner.blocked_until = until
         runner.word_from = word_from
@@ -192,7 +201,7 @@
         excluded: Collection[str] = (),
         allowed: Callable[[str], bool] = lambda _: True,
     ) -> Runner | None:
-        """Return the runner with the least expected wait among those with a free slot."""
+        """Return the least loaded runner with a free slot, the faster one if several are equal."""
         best: Runner | None = None
         best_rank = (0.0, 0.0, "")
         for id, free in self._free_of.items():
@@ -207,23 +216,23 @@
     # ------------------------------------------------------------ leases
 
     def grant(self, lease: SlotLease) -> None:
-        """Take a free slot.
+        """Lease a free slot.
 
-        :raises NoFreeSlot: when the runner has none.
+        :raises NoFreeSlot: if the runner has no free slot.
         """
         if lease.runner_id not in self._free_of:
             raise NoFreeSlot(f"runner {lease.runner_id} has no free slot")
         self._add(lease)
 
     def adopt(self, lease: SlotLease, *, address: str = "") -> None:
-        """Take over a slot that an earlier owner gave, whatever the ledger knows so far."""
+        """Add a lease granted by an earlier owner, even if the runner is unknown or has no slot."""
         if lease.grant_id in self.leases:
             return
         if lease.runner_id not in self.runners:
             runner = Runner(id=lease.runner_id, address=address, slots=0, listed=False)
             self.runners[lease.runner_id] = runner
         known = self.find(runner_id=lease.runner_id, request_id=lease.request_id)
-        # Added first: a runner that is on no list is forgotten with its last lease.
+        # Added first, because an unlisted runner is removed with its last lease.
         self._add(lease)
         if known is not None and known.frontend_id == UNKNOWN_FRONTEND:
             self._remove(known)
@@ -238,9 +247,9 @@
         return tuple(self.leases[id] for id in self._by_request.get(request_id, {}).values())
 
     def release(self, grant_id: int, end: SlotEnd, *, now: float) -> SlotLease | None:
-        """Note how the use of a slot ended; an end that is not known keeps it taken.
+        """Record how the use of a slot ended; the slot stays taken if the outcome is unknown.
 
-        :returns: the lease if it was known, else ``None`` (a repeated release).
+        :returns: the lease, or ``None`` if there is none (a repeated release).
         """
         lease = self.leases.get(grant_id)
         if lease is None:
@@ -253,7 +262,7 @@
         return lease
 
     def served(self, runner_id: str, service_s: float) -> None:
-        """Learn how long a request took on a runner."""
+        """Add a request duration to the mean of a runner."""
         runner = self.runners.get(runner_id)
         if runner is None:
             return
@@ -262,9 +271,9 @@
         runner.mean_service_s += SERVICE_TIME_WEIGHT * (service_s - runner.mean_service_s)
 
     def frontend_gone(self, frontend_id: str, *, now: float) -> int:
-        """Keep the slots of a dead frontend taken until their ends are known.
+        """Mark the leases of a dead frontend as unclear; their slots stay taken until resolved.
 
-        :returns: how many there are.
+        :returns: the number of leases.
         """
         grant_ids = self._by_frontend.get(frontend_id, set())
         for grant_id in grant_ids:
@@ -274,15 +283,15 @@
         return len(grant_ids)
 
     def frontends(self) -> tuple[str, ...]:
-        """Return the frontends that hold slots."""
+        """Return the ids of the frontends that hold slots."""
         return tuple(id for id in self._by_frontend if id != UNKNOWN_FRONTEND)
 
-    # ------------------------------------------------------------ what runners say
+    # ------------------------------------------------------------ runner reports
 
     def hear(self, word: RunnerWord, *, now: float) -> tuple[SlotLease, ...]:
-        """Take in the word of a runner.
+        """Apply a status report of a runner.
 
-        :returns: leases that are free now.
+        :returns: the leases that the report ended.
         """
         runner = self.runners.get(word.runner_id)
         if runner is None:
@@ -304,9 +313,9 @@
         return ended
 
     def _hold_strangers(self, runner: Runner, word: RunnerWord, now: float) -> None:
-        """Hold a slot for each running request that no frontend has told of.
+        """Add a lease for each running request that has none.
 
-        An earlier owner may have been told that its end is unknown, or its frontend has died.
+        An earlier owner may have received an unknown outcome for it, or its frontend has died.
         """
         for request_id in word.running:
             if self.find(runner_id=runner.id, request_id=request_id) is not None:
@@ -326,7 +335,7 @@
             )
 
     def _judge(self, lease: SlotLease, word: RunnerWord, now: float) -> bool:
-        """Tell whether a runner's word ends a lease; its frontend's word goes before it."""
+        """Return whether a runner's report ends a lease; the frontend's report takes precedence."""
         if lease.request_id in word.running:
             self._extend(lease, now + self.rules.margin_s)
             return False
@@ -334,17 +343,17 @@
             return False
         if lease.request_id in word.finished:
             return True
-        # "Not running" counts only once nothing of the request can still be on its way:
-        # otherwise the slot is given away and the request arrives after that.
+        # "Not running" is conclusive only once no part of the request can be in transit. Otherwise
+        # the slot would be granted again before the request arrives.
         last_sent = max(lease.usable_until, lease.unclear_since)
         return word.asked_at >= last_sent + self.rules.settle_s
 
     # ------------------------------------------------------------ time
 
     def expire(self, *, now: float) -> tuple[SlotLease, ...]:
-        """Free the slots whose requests must have ended, and lift blocks that are over.
+        """Free the slots whose requests must have ended, and lift expired blocks.
 
-        :returns: the leases that are free now.
+        :returns: the leases that expired.
         """
         for runner in list(self.runners.values()):
             if runner.blocked_until is not None and runner.blocked_until <= now:
@@ -361,17 +370,17 @@
         return tuple(ended)
 
     def next_expiry(self) -> float | None:
-        """Return when :meth:`expire` is due next."""
+        """Return the time at which :meth:`expire` must be called next."""
         blocks = [r.blocked_until for r in self.runners.values() if r.blocked_until is not None]
         first = self._expiries[0][0] if self._expiries else None
         if first is not None:
             blocks.append(first)
         return min(blocks, default=None)
 
-    # ------------------------------------------------------------ sums
+    # ------------------------------------------------------------ totals
 
     def to_ask(self) -> tuple[Runner, ...]:
-        """Return the runners whose word would free slots."""
+        """Return the runners whose report may free slots."""
         return tuple(
             runner
             for runner in self.runners.values()
@@ -380,14 +389,14 @@
         )
 
     def capacity(self) -> int:
-        """Return the slots of the runners that take requests."""
+        """Return the total number of slots of the runners that accept requests."""
         return self._capacity
 
     def free(self) -> int:
-        """Return the slots that may be given away now."""
+        """Return the number of slots that can be granted now."""
         return self._free
 
-    # ------------------------------------------------------------ inner
+    # ------------------------------------------------------------ internal
 
     def _add(self, lease: SlotLease) -> None:
         self.leases[lease.grant_id] = lease
@@ -405,7 +414,7 @@
         self._trim_expiries()
 
     def _trim_expiries(self) -> None:
-        """Drop entries of leases that have gone, so that the heap stays near their number."""
+        """Remove entries of ended leases to keep the heap proportional to the number of leases."""
         if len(self._expiries) <= 64 + 4 * len(self.leases):
             return
         self._expiries = [(lease.hold_until, id) for id, lease in self.leases.items()]
@@ -428,7 +437,7 @@
         self._forget_if_idle(runner)
 
     def _recount(self, runner: Runner) -> None:
-        """Keep the sums after any change of a runner, so that no decision adds them up."""
+        """Update the totals after a change of a runner, so that no decision has to compute them."""
         self._free += self._put(self._free_of, runner.id, runner.free())
         capacity = 0 if runner.leaving else runner.capacity
         self._capacity += self._put(self._capacity_of, runner.id, capacity)
@@ -446,8 +455,8 @@
 
 
 def grant_ids(epoch: int) -> Iterable[int]:
-    """Return ids of grants that no other epoch uses.
+    """Return an iterator of grant ids that no other epoch uses.
 
-    A release that comes late, after a takeover, must never free another grant's slot.
+    A delayed release that arrives after a takeover must never free the slot of another grant.
     """
     return itertools.count((epoch << 32) + 1)
--- a/rhubarbferry/core/succession.py
+++ b/rhubarbferry/core/succession.py
@@ -1,7 +1,7 @@
-"""When the new owner of a rack may count what unheard workers ran as ended.
+"""Decides when the new owner of a rack may treat tasks on unreachable workers as ended.
 
-The owner before may be cut off from the store and go on, as long as a majority of the rack's
-workers answers it. A worker that was adopted answers it no more.
+The previous owner may be partitioned from the store and continue as long as a majority of the
+rack's workers replies to it. A worker that the new owner has adopted no longer replies to it.
 """
 
 from __future__ import annotations
@@ -13,17 +13,18 @@
 
 @define(kw_only=True, slots=True)
 class Succession:
-    """One takeover of a rack.
-
-    The owner before counted by its own list of workers, which may be older or newer than the
-    successor's. So no list is counted by here: those that it had counted and that were adopted
-    must outnumber those that were not heard. It can't have a majority of any list then that
-    holds both. A worker that is new, or was restarted, counts for nothing.
-
-    :param won_at: when the rack was won, seconds on the monotonic clock.
-    :param promise_s: how long an answer lets the owner before go on.
-    :param lease_s: lease of a task, with the margin for clocks that differ.
-    :param longest_extension_s: longest that the owner before may go on in any case.
+    """State of one takeover of a rack.
+
+    The previous owner computed its majority from its own list of workers, which may be older or
+    newer than the successor's. No list is used here. Instead, the adopted workers that the
+    previous owner had counted must outnumber the workers that were never adopted. The previous
+    owner then cannot have a majority of any list that contains both groups. A worker that is new
+    or was restarted is not counted.
+
+    :param won_at: monotonic time at which the successor acquired the rack.
+    :param promise_s: how long a worker's reply allows the previous owner to continue.
+    :param lease_s: lease of a task, including the margin for clock rate differences.
+    :param longest_extension_s: maximum time that the previous owner may continue.
     """
 
     won_at: float
@@ -34,29 +35,29 @@
     _majority_at: float | None = None
 
     def heard(self, worker: str, *, settled_epoch: int) -> None:
-        """Note an adoption.
+        """Record the adoption of a worker.
 
         :param settled_epoch: epoch of the last owner that counted this worker, 0 for none.
         """
         self._counted[worker] = max(settled_epoch, self._counted.get(worker, 0))
 
     def look(self, *, unheard: Iterable[str], now: float) -> None:
-        """Find out whether the majority is reached.
+        """Check whether a majority has been reached, and record the time at which it was.
 
-        :param unheard: the workers that the platform lists and that were never adopted.
+        :param unheard: workers in the host list that were never adopted.
         """
         if self._majority_at is None and self._outnumbered(list(unheard)):
             self._majority_at = now
 
     def settled_at(self) -> float:
-        """Return when nothing of an earlier owner runs on an unheard worker any more."""
+        """Return the time by which all tasks of earlier owners on unadopted workers have ended."""
         stopped_at = self.won_at + self.longest_extension_s
         if self._majority_at is not None:
             stopped_at = min(stopped_at, self._majority_at)
         return stopped_at + self.promise_s + self.lease_s
 
     def waits(self) -> bool:
-        """Tell whether the majority is still missing."""
+        """Return whether no majority has been reached yet."""
         return self._majority_at is None
 
     def _outnumbered(self, unheard: list[str]) -> bool:
--- a/rhubarbferry/core/worker_ledger.py
+++ b/rhubarbferry/core/worker_ledger.py
@@ -1,7 +1,7 @@
-"""What each worker of a partition holds: tasks, reservations, and what is not known.
+"""Ledger of the tasks and reservations on the workers of a partition.
 
-Room counts as taken from the moment a task is chosen for a worker until it is known to have
-ended: by the worker's word, or because its lease must have lapsed.
+Capacity counts as taken from the moment a worker is chosen for a task until the task is known to
+have ended, because the worker reported it or because its lease must have lapsed.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from rhubarbferry.core.placement import Need, Placement, Spread
 
 KEEP_S = 3.0
-# Tasks of one account that may be giving way to urgent ones on one worker at a time.
+# Maximum number of tasks of one account that may be preempted on one worker at a time.
 MAX_PREEMPTED = 8
 
 
 class End(IntEnum):
-    """How an attempt ended; values as in the messages."""
+    """How an attempt ended; the values are those of the RPC messages."""
 
     DONE = 0
     FAILED = 1
@@ -32,7 +32,7 @@
 
 
 class HeldState(IntEnum):
-    """How far a held attempt has come."""
+    """State of an attempt that a worker holds."""
 
     RESERVED = 0
     STARTING = 1
@@ -43,8 +43,8 @@
 class WorkerState(IntEnum):
     """Whether a worker can be given tasks.
 
-    ``UNHEARD``: never adopted under this epoch, so what it runs is not known. ``LIVE``: adopted
-    and answering. ``SILENT``: adopted, but not answering now; its tasks may run on.
+    ``UNHEARD``: never adopted under this epoch, so its tasks are unknown. ``LIVE``: adopted and
+    responding. ``SILENT``: adopted but not responding; its tasks may continue to run.
     """
 
     UNHEARD = 0
@@ -54,10 +54,10 @@
 
 @frozen(kw_only=True, slots=True)
 class Attempt:
-    """One attempt of a task, as its home described it.
+    """One attempt of a task, as specified by its home.
 
-    :param task_id: unique for each attempt.
-    :param home: the key partition that must hear of its end.
+    :param task_id: unique per attempt.
+    :param home: the key partition to which the attempt's end must be reported.
     """
 
     task_id: str
@@ -75,7 +75,7 @@
     avoid: frozenset[str] = frozenset()
 
     def need(self, spread: Spread) -> Need:
-        """Return what the placement has to look for."""
+        """Return the requirements for choosing a worker."""
         return Need(job_id=self.job_id, size=self.size, spread=spread, avoid=self.avoid)
 
 
@@ -83,9 +83,9 @@
 class Held:
     """One attempt on one worker.
 
-    :param reserved_until: when a reservation ends by itself, on the owner's monotonic clock.
-    :param stopping: an order to stop it has been given.
-    :param lapses_at: set when the worker has forgotten the attempt; it may run until then.
+    :param reserved_until: expiry of a reservation on the owner's monotonic clock.
+    :param stopping: whether the worker was ordered to stop the attempt.
+    :param lapses_at: set if the worker no longer reports the attempt, which may run until then.
     """
 
     attempt: Attempt
@@ -101,7 +101,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Reported:
-    """What a worker says of one attempt; ``end`` is ``None`` while it runs."""
+    """Report of a worker about one attempt; ``end`` is ``None`` while the attempt runs."""
 
     attempt: Attempt
     end: End | None = None
@@ -121,9 +121,9 @@
 
 @frozen(kw_only=True, slots=True)
 class Kept:
-    """A worker that is kept free for a task of one job until it fits.
+    """A worker that accepts no other tasks until a task of one job fits.
 
-    :param until: when the worker is given up again unless the task is claimed anew.
+    :param until: time at which the worker is released unless the task is claimed again.
     """
 
     job_id: str
@@ -134,10 +134,10 @@
 
 
 class WorkerLedger:
-    """The tasks and free sizes of one worker partition.
+    """The tasks and the free capacity of one worker partition.
 
-    :param lease_s: lease that each renewal gives a worker's tasks.
-    :param margin_s: for clocks that run at different rates.
+    :param lease_s: duration of the lease that each renewal gives a worker's tasks.
+    :param margin_s: added to leases to allow for clocks that run at different rates.
     """
 
     def __init__(self, *, lease_s: float, margin_s: float) -> None:
@@ -152,7 +152,7 @@
     # ------------------------------------------------------------ workers
 
     def add_worker(self, worker: str, *, failure_domain: str, unheard_until: float) -> None:
-        """Count a worker; until it is adopted, or ``unheard_until``, it may run anything."""
+        """Add a worker, which may run unknown tasks until it is adopted or ``unheard_until``."""
         self._workers[worker] = _Worker(
             id=worker,
             failure_domain=failure_domain,
@@ -169,7 +169,7 @@
         return self._workers[worker].state
 
     def remove_worker(self, worker: str) -> bool:
-        """Forget a worker that holds nothing; tell whether it is forgotten."""
+        """Remove a worker without tasks and return whether it was removed."""
         entry = self._workers[worker]
         if entry.tasks:
             return False
@@ -178,13 +178,13 @@
         return True
 
     def over_by(self, worker: str, *, until: float) -> None:
-        """Note that what a worker runs for an earlier owner ends by ``until``."""
+        """Record that all tasks of earlier owners on a worker end by ``until``."""
         entry = self._workers[worker]
         if entry.state == WorkerState.UNHEARD:
             entry.lease_until = min(entry.lease_until, until)
 
     def set_accepting(self, worker: str, accepting: bool) -> None:
-        """Say whether a worker may be given new tasks, as far as it is live."""
+        """Set whether a worker may be given new tasks while it is live."""
         entry = self._workers[worker]
         entry.accepting = accepting
         self._reopen(entry)
@@ -192,18 +192,19 @@
     def adopt(
         self, worker: str, *, capacity: Size, reported: Sequence[Reported], now: float
     ) -> list[Held]:
-        """Take a worker's word for what it holds.
+        """Take over a worker together with the attempts that it reports.
 
-        An attempt that was being started and is not reported was not started and never will
-        be: the worker refuses all requests from before this answer. One that ran and is not
-        reported counts on until its lease is over, since only the worker's memory is gone.
+        An attempt that was being started and is not reported was not started and never will be,
+        because the worker refuses all requests sent before this reply. A running attempt that is
+        not reported counts as running until its lease expires, because only the worker's record
+        of it may be lost.
 
-        :returns: the attempts that have ended thereby, to be told to their homes.
+        :returns: the attempts that ended, which must be reported to their homes.
         """
         entry = self._workers[worker]
         entry.capacity = capacity
         missing = self._missing(entry, reported)
-        # Set, not raised: what an earlier owner may have given is over by then as well.
+        # Assigned, not raised: a lease granted by an earlier owner has expired by then as well.
         entry.lease_until = now + self._lease_s + self._margin_s
         self.placement.put(worker, capacity=capacity, failure_domain=entry.failure_domain)
         for task_id in entry.tasks:
@@ -221,32 +222,32 @@
         return [held for held in ended if held is not None]
 
     def extend(self, worker: str, *, now: float) -> None:
-        """Count the lease from an answer that just came.
+        """Extend the lease of a worker from a reply that was just received.
 
-        A request counts its lease from the answer that it names, so no request sent before
-        this answer, however late it arrives, lets a task run longer than what is noted here.
+        A request starts its lease at the reply that it refers to. No request sent before this
+        reply, however late it arrives, can therefore extend a task beyond the time recorded here.
         """
         entry = self._workers[worker]
         entry.lease_until = max(entry.lease_until, now + self._lease_s + self._margin_s)
 
     def answers(self, worker: str) -> None:
-        """Note that an adopted worker answers again."""
+        """Record that an adopted worker responds again."""
         entry = self._workers[worker]
         if entry.state == WorkerState.SILENT:
             entry.state = WorkerState.LIVE
             self._reopen(entry)
 
     def silent(self, worker: str) -> None:
-        """Give a worker no more tasks until it answers."""
+        """Assign no tasks to a worker until it responds."""
         entry = self._workers[worker]
         if entry.state == WorkerState.LIVE:
             entry.state = WorkerState.SILENT
             self._reopen(entry)
 
     def lapse(self, now: float) -> list[Held]:
-        """End what runs on workers whose lease must have lapsed by ``now``.
+        """End the attempts on workers whose lease must have lapsed by ``now``.
 
-        :returns: the attempts that have ended thereby.
+        :returns: the attempts that ended.
         """
         ended: list[Held] = []
         for entry in self._workers.values():
@@ -261,17 +262,17 @@
         return ended
 
     def adopted(self) -> list[str]:
-        """Return the workers whose word was taken: they run nothing that is not held here."""
+        """Return the adopted workers; they run no attempt that is missing in this ledger."""
         workers = self._workers.values()
         return [entry.id for entry in workers if entry.state != WorkerState.UNHEARD]
 
     def never_heard(self) -> list[str]:
-        """Return the workers whose word was not taken, however long ago that may be."""
+        """Return the workers that were never adopted, also if their earlier tasks have ended."""
         workers = self._workers.values()
         return [entry.id for entry in workers if entry.state == WorkerState.UNHEARD]
 
     def unheard(self, now: float) -> list[str]:
-        """Return the workers that may run something that is not held here."""
+        """Return the workers that may run attempts that are missing in this ledger."""
         return [
             entry.id
             for entry in self._workers.values()
@@ -281,11 +282,11 @@
     # ------------------------------------------------------------ attempts
 
     def held(self, task_id: str) -> Held | None:
-        """Return an attempt that is held here, also when it has ended."""
+        """Return an attempt in the ledger, which may have ended."""
         return self._held.get(task_id)
 
     def all_held(self) -> Iterable[Held]:
-        """Return all attempts, the ended ones that are not forgotten among them."""
+        """Return all attempts in the ledger, including ended ones."""
         return self._held.values()
 
     def on_worker(self, worker: str) -> list[Held]:
@@ -295,9 +296,9 @@
     def place(
         self, attempt: Attempt, *, spread: Spread, now: float, reserved_until: float = 0.0
     ) -> Held | None:
-        """Choose a worker and take its room, for a start or as a reservation.
+        """Choose a worker and allocate its capacity to a task, to start it or as a reservation.
 
-        :returns: ``None`` when no worker has room.
+        :returns: ``None`` if no worker has enough free capacity.
         """
         worker = self._kept_for(attempt) or self.placement.choose(attempt.need(spread))
         if worker is None:
@@ -312,11 +313,11 @@
         return held
 
     def keep(self, attempt: Attempt, *, waited_s: float, now: float) -> bool:
-        """Keep a worker free for a task that has waited long; tell whether one is kept.
+        """Reserve a worker for a task that has waited long; return whether one is reserved.
 
-        In a full rack small tasks take whatever becomes free, so a large one would wait for
-        ever. One worker at a time takes no other tasks until the large one fits; the rest of
-        the rack goes on.
+        In a full rack, small tasks take all capacity that becomes free, and a large task would
+        starve. One worker at a time accepts no other tasks until the large task fits; the other
+        workers are unaffected.
         """
         self._give_up_kept(now)
         kept, since = self._kept, now - waited_s
@@ -340,13 +341,14 @@
         return True
 
     def preempt(self, attempt: Attempt, *, now: float) -> list[Held]:
-        """Choose tasks to checkpoint so that an urgent one fits, and keep their worker for it.
+        """Choose tasks to checkpoint so that an urgent task fits, and reserve their worker for it.
 
-        Only preemptible tasks of a lower class, from the worker where the fewest must go, the
-        youngest of the lowest class first, and only so many of one account at a time. Tasks
-        that are being stopped already count as gone, so that asking again stops no more.
+        Only preemptible tasks of a less urgent class are chosen, on the worker where the fewest
+        must be preempted. The most recently started tasks of the least urgent class are chosen
+        first, and at most ``MAX_PREEMPTED`` per account at a time. Tasks that are already being
+        stopped count as ended, so that a repeated call stops no further tasks.
 
-        :returns: the tasks to checkpoint; none when that can't make room.
+        :returns: the tasks to checkpoint; empty if preemption cannot free enough capacity.
         """
         best: tuple[int, str, list[Held]] | None = None
         for entry in self._workers.values():
@@ -377,7 +379,7 @@
         return best[2]
 
     def _victims(self, entry: _Worker, attempt: Attempt) -> list[Held] | None:
-        """Return the tasks that must go from a worker, or ``None`` when it can't make room."""
+        """Return the tasks to preempt on a worker, or ``None`` if that frees too little capacity."""
         room = self.placement.free(entry.id)
         stopping: Counter[str] = Counter()
         candidates = []
@@ -402,7 +404,7 @@
         return victims if attempt.size.fits(room) else None
 
     def _soonest(self, attempt: Attempt) -> str | None:
-        """Return the open worker that could hold a task and lacks the least now."""
+        """Return the open worker with sufficient capacity that lacks the least free capacity."""
         size = attempt.size
         best: str | None = None
         least = float("inf")
@@ -421,7 +423,7 @@
         return best
 
     def _kept_for(self, attempt: Attempt) -> str | None:
-        """Return the worker kept for this task once it fits there, and stop keeping it."""
+        """Release and return the worker reserved for this task, if the task fits there now."""
         kept = self._kept
         if kept is None or kept.job_id != attempt.job_id:
             return None
@@ -443,7 +445,7 @@
             self._reopen(self._workers[kept.worker])
 
     def commit(self, task_id: str) -> Held | None:
-        """Turn a reservation into a start; ``None`` when it is no longer there."""
+        """Turn a reservation into a start; return ``None`` if the reservation no longer exists."""
         held = self._held.get(task_id)
         if held is None or held.state != HeldState.RESERVED:
             return None
@@ -452,7 +454,7 @@
         return held
 
     def release(self, task_id: str) -> bool:
-        """Give back a reservation, or a start that is known not to have happened."""
+        """Release a reservation, or an attempt that is known not to have started."""
         held = self._held.get(task_id)
         if held is None or held.state not in (HeldState.RESERVED, HeldState.STARTING):
             return False
@@ -461,7 +463,7 @@
         return True
 
     def expire(self, now: float) -> int:
-        """Give back reservations that are over; return how many."""
+        """Release expired reservations and return their number."""
         self._give_up_kept(now)
         over = [
             task_id
@@ -471,15 +473,15 @@
         return sum(self.release(task_id) for task_id in over)
 
     def started(self, task_id: str) -> None:
-        """Note the worker's word that an attempt runs."""
+        """Record that the worker reported an attempt as running."""
         held = self._held.get(task_id)
         if held is not None and held.state == HeldState.STARTING:
             held.state = HeldState.RUNNING
 
     def end(self, task_id: str, end: End, ran_ms: int = 0) -> Held | None:
-        """Note that an attempt has ended and free its room; it stays until forgotten.
+        """Record the end of an attempt and free its capacity; it remains until :meth:`forget`.
 
-        :returns: the attempt, or ``None`` when it is not held or had ended before.
+        :returns: the attempt, or ``None`` if it is not in the ledger or had already ended.
         """
         held = self._held.get(task_id)
         if held is None or held.state in (HeldState.ENDED, HeldState.RESERVED):
@@ -491,19 +493,19 @@
         return held
 
     def forget(self, task_id: str) -> None:
-        """Drop an ended attempt whose home has put its end on record."""
+        """Remove an ended attempt whose home has recorded its end."""
         held = self._held.get(task_id)
         if held is not None and held.state == HeldState.ENDED:
             self._forget(held)
 
-    # ------------------------------------------------------------ sums
+    # ------------------------------------------------------------ totals
 
     def total(self) -> Size:
-        """Return the sum of the known capacities."""
+        """Return the total known capacity."""
         return sum((entry.capacity for entry in self._workers.values()), Size())
 
     def free(self) -> Size:
-        """Return the sum of what is free on workers that take tasks."""
+        """Return the total free capacity of the workers that accept tasks."""
         rooms = (
             self.placement.free(worker)
             for worker in self._workers
@@ -512,7 +514,7 @@
         return sum(rooms, Size())
 
     def largest_worker(self) -> Size:
-        """Return the largest known capacity of each dimension."""
+        """Return the largest known capacity of any worker, per dimension."""
         sizes = [entry.capacity for entry in self._workers.values()]
         return Size(
             millicores=max((size.millicores for size in sizes), default=0),
@@ -521,13 +523,13 @@
         )
 
     def usage(self) -> dict[str, Size]:
-        """Return the declared sizes held, per client account."""
+        """Return the total declared size of the attempts per client account."""
         return dict(self._used)
 
-    # ------------------------------------------------------------ inside
+    # ------------------------------------------------------------ internal
 
     def _missing(self, entry: _Worker, reported: Sequence[Reported]) -> list[str]:
-        """Return the attempts that were never started; let forgotten ones run out."""
+        """Return the attempts that never started; set ``lapses_at`` of unreported running ones."""
         told = {report.attempt.task_id for report in reported}
         missing = []
         for task_id in entry.tasks - told:
@@ -576,5 +578,5 @@
 
 
 def _may_give_way(held: Attempt, urgent: Attempt) -> bool:
-    """Tell whether a task may be interrupted; one that is not idempotent could not go on."""
+    """Return whether a task may be preempted; a non-idempotent task could not be resumed."""
     return held.preemptible and held.idempotent and held.priority > urgent.priority
