--- a/rhubarbferry/core/budget.py
+++ b/rhubarbferry/core/budget.py
@@ -10,7 +10,7 @@
 
 # Share of the store's request rate per process. A frontend only renews its lease and watches
 # keys; a scheduler also appends to logs.
-WEIGHTS = {Role.FRONTEND: 1, Role.SCHEDULER: 8}
+ROLE_WEIGHTS = {Role.FRONTEND: 1, Role.SCHEDULER: 8}
 
 
 @frozen(kw_only=True, slots=True)
@@ -63,8 +63,8 @@
 
 def sharers(role: Role, members: Iterable[Member]) -> float:
     """Return the divisor that gives a process of ``role`` its part of the total rate."""
-    total = sum(WEIGHTS[member.role] for member in members)
-    return max(1.0, total / WEIGHTS[role])
+    total = sum(ROLE_WEIGHTS[member.role] for member in members)
+    return max(1.0, total / ROLE_WEIGHTS[role])
 
 
 def share(*, per_s: float, members: float, burst_s: float) -> Rate:
--- a/rhubarbferry/core/ejection.py
+++ b/rhubarbferry/core/ejection.py
@@ -40,12 +40,12 @@
     failures: dict[str, float] = Factory(dict)
     ejected_until: float | None = None
     eject_s: float = 0.0
-    probing: str | None = None
+    probe_cause: str | None = None
 
-    def is_out(self, now: float) -> bool:
+    def is_ejected(self, now: float) -> bool:
         if self.ejected_until is None:
             return False
-        return self.ejected_until > now or self.probing is not None
+        return self.ejected_until > now or self.probe_cause is not None
 
 
 @define(kw_only=True, eq=False)
@@ -60,7 +60,7 @@
         host = self._hosts.get(id)
         if host is None or host.ejected_until is None:
             return Health.IN_USE
-        return Health.EJECTED if host.is_out(now) else Health.PROBED
+        return Health.EJECTED if host.is_ejected(now) else Health.PROBED
 
     def usable(self, id: str, *, now: float) -> bool:
         """Return whether a host may be given work now; a probed host gets one request or job."""
@@ -68,19 +68,19 @@
 
     def unusable(self, *, now: float) -> set[str]:
         """Return the hosts that may not be given work now."""
-        return {id for id, host in self._hosts.items() if host.is_out(now)}
+        return {id for id, host in self._hosts.items() if host.is_ejected(now)}
 
     def started(self, id: str, cause: str, *, now: float) -> None:
         """Record that a host was given a request or job; for a probed host it is the probe."""
         if self.health(id, now=now) is Health.PROBED:
-            self._hosts[id].probing = cause
+            self._hosts[id].probe_cause = cause
 
     def succeeded(self, id: str, cause: str, *, now: float) -> None:
         """Record a success, which clears the failures; the success of a probe ends the ejection."""
         host = self._hosts.get(id)
         if host is None:
             return
-        if host.ejected_until is not None and host.probing != cause:
+        if host.ejected_until is not None and host.probe_cause != cause:
             # Work started before the ejection does not show that the host has recovered.
             return
         del self._hosts[id]
@@ -108,8 +108,8 @@
     def neither(self, id: str, cause: str) -> None:
         """Record that work ended without showing success or failure; a probe may be repeated."""
         host = self._hosts.get(id)
-        if host is not None and host.probing == cause:
-            host.probing = None
+        if host is not None and host.probe_cause == cause:
+            host.probe_cause = None
 
     def forget(self, id: str) -> None:
         """Discard the state of a host that was removed."""
@@ -120,7 +120,7 @@
         return sum(1 for host in self._hosts.values() if host.ejected_until is not None)
 
     def _probe_failed(self, host: _Host, cause: str, now: float) -> bool:
-        if host.probing != cause:
+        if host.probe_cause != cause:
             return False
         self._eject(host, min(2 * host.eject_s, self.rules.max_eject_s), now)
         return True
@@ -128,5 +128,5 @@
     def _eject(self, host: _Host, seconds: float, now: float) -> None:
         host.eject_s = seconds
         host.ejected_until = now + seconds
-        host.probing = None
+        host.probe_cause = None
         host.failures = {}
--- a/rhubarbferry/core/fairshare.py
+++ b/rhubarbferry/core/fairshare.py
@@ -19,11 +19,11 @@
 
 from rhubarbferry.core.cell import Size
 
-ZERO = Size()
+ZERO_SIZE = Size()
 # Weight of past usage relative to current usage. With equal weights, an account with large tasks
 # permanently stays one task's share behind, because starting one more task outweighs that much
 # past usage.
-PAST_WEIGHT = 10.0
+PAST_USAGE_WEIGHT = 10.0
 
 
 @frozen(kw_only=True, slots=True)
@@ -38,13 +38,13 @@
 
 
 @define(kw_only=True, slots=True)
-class _Standing:
+class _AccountUsage:
     weight: float = 1.0
-    quota: Size = ZERO
-    now: Size = ZERO
-    claimed: Size = ZERO
-    mean: tuple[float, float, float] = (0.0, 0.0, 0.0)
-    since: float = 0.0
+    quota: Size = ZERO_SIZE
+    now: Size = ZERO_SIZE
+    claimed: Size = ZERO_SIZE
+    past_mean: tuple[float, float, float] = (0.0, 0.0, 0.0)
+    updated_at: float = 0.0
 
 
 class FairShare:
@@ -55,13 +55,13 @@
 
     def __init__(self, *, half_life_s: float) -> None:
         self._rate = math.log(2.0) / half_life_s
-        self._accounts: dict[str, _Standing] = {}
+        self._accounts: dict[str, _AccountUsage] = {}
         self._digests: dict[str, UsageDigest] = {}
         self._total = Size()
 
     def set_account(self, account: str, *, weight: float, quota: Size) -> None:
         """Set an account's weight and quota; a quota dimension of 0 is unlimited."""
-        standing = self._of(account)
+        standing = self._usage_of(account)
         standing.weight = weight
         standing.quota = quota
 
@@ -71,37 +71,37 @@
 
     def put_digest(self, partition: str, digest: UsageDigest) -> None:
         """Replace the usage digest of one partition."""
-        before = self._digests.get(partition)
+        previous = self._digests.get(partition)
         self._digests[partition] = digest
-        accounts = set(digest.used) | set(before.used if before else ())
+        accounts = set(digest.used) | set(previous.used if previous else ())
         for account in accounts:
-            change = digest.used.get(account, ZERO)
-            if before is not None:
-                change = change - before.used.get(account, ZERO)
-            self._advance(account, digest.taken_at)
-            standing = self._of(account)
+            change = digest.used.get(account, ZERO_SIZE)
+            if previous is not None:
+                change = change - previous.used.get(account, ZERO_SIZE)
+            self._decay(account, digest.taken_at)
+            standing = self._usage_of(account)
             standing.now = standing.now + change
 
     def claim(self, account: str, size: Size) -> None:
         """Add a claim that no digest includes yet."""
-        standing = self._of(account)
+        standing = self._usage_of(account)
         standing.claimed = standing.claimed + size
 
     def unclaim(self, account: str, size: Size) -> None:
         """Remove a claim that was refused or that a digest now includes."""
-        standing = self._of(account)
+        standing = self._usage_of(account)
         standing.claimed = standing.claimed - size
 
     def standing(self, account: str, now: float) -> float:
         """Return the account's weighted dominant share; the lowest is scheduled first."""
-        self._advance(account, now)
-        entry = self._of(account)
+        self._decay(account, now)
+        entry = self._usage_of(account)
         current = self._dominant(entry.now + entry.claimed)
-        return (current + PAST_WEIGHT * self._dominant_mean(entry.mean)) / entry.weight
+        return (current + PAST_USAGE_WEIGHT * self._dominant_mean(entry.past_mean)) / entry.weight
 
     def within_quota(self, account: str, size: Size) -> bool:
         """Return whether the account may use ``size`` more without exceeding its quota."""
-        entry = self._of(account)
+        entry = self._usage_of(account)
         after = entry.now + entry.claimed + size
         quota = entry.quota
         return (
@@ -112,7 +112,7 @@
 
     def used(self, account: str) -> Size:
         """Return the account's usage, including claims that no digest includes yet."""
-        entry = self._of(account)
+        entry = self._usage_of(account)
         return entry.now + entry.claimed
 
     def age(self, partition: str, now: float) -> float:
@@ -120,24 +120,25 @@
         digest = self._digests.get(partition)
         return math.inf if digest is None else now - digest.taken_at
 
-    def _of(self, account: str) -> _Standing:
+    def _usage_of(self, account: str) -> _AccountUsage:
         standing = self._accounts.get(account)
         if standing is None:
-            standing = self._accounts[account] = _Standing()
+            standing = self._accounts[account] = _AccountUsage()
         return standing
 
-    def _advance(self, account: str, now: float) -> None:
-        entry = self._of(account)
-        if now <= entry.since:
+    def _decay(self, account: str, now: float) -> None:
+        entry = self._usage_of(account)
+        if now <= entry.updated_at:
             return
         # An account without a previous update has no past usage: its mean starts at zero.
-        kept = math.exp(-self._rate * (now - entry.since)) if entry.since else 1.0
+        kept = math.exp(-self._rate * (now - entry.updated_at)) if entry.updated_at else 1.0
         held = entry.now + entry.claimed
         current = (held.millicores, held.memory_bytes, held.accelerators)
-        entry.mean = tuple(  # type: ignore[assignment]
-            value + (old - value) * kept for value, old in zip(current, entry.mean, strict=True)
+        entry.past_mean = tuple(  # type: ignore[assignment]
+            value + (old - value) * kept
+            for value, old in zip(current, entry.past_mean, strict=True)
         )
-        entry.since = now
+        entry.updated_at = now
 
     def _dominant(self, size: Size) -> float:
         return self._dominant_mean((size.millicores, size.memory_bytes, size.accelerators))
--- a/rhubarbferry/core/feasibility.py
+++ b/rhubarbferry/core/feasibility.py
@@ -45,19 +45,19 @@
         is large enough.
     """
     return (
-        _malformed(spec, cell, max_tasks)
-        or _over_quota(spec, cell)
-        or (None if extents is None else _too_large(spec, extents))
+        _spec_error(spec, cell, max_tasks)
+        or _quota_error(spec, cell)
+        or (None if extents is None else _size_error(spec, extents))
     )
 
 
-def _malformed(spec: JobSpec, cell: Cell, max_tasks: int) -> str | None:
+def _spec_error(spec: JobSpec, cell: Cell, max_tasks: int) -> str | None:
     if spec.account not in cell.accounts:
         return f"no client account {spec.account!r}; ask the operators to add it"
     if not 1 <= spec.tasks <= max_tasks:
         return f"{spec.tasks} tasks; a job has 1 to {max_tasks}"
-    for name, of in DIMENSIONS:
-        if of(spec.size) < 0:
+    for name, value_of in DIMENSIONS:
+        if value_of(spec.size) < 0:
             return f"negative {name}"
     if spec.size.millicores == 0 and spec.size.memory_bytes == 0:
         return "a task needs processors or memory"
@@ -70,39 +70,39 @@
     return None
 
 
-def _over_quota(spec: JobSpec, cell: Cell) -> str | None:
+def _quota_error(spec: JobSpec, cell: Cell) -> str | None:
     quota = cell.accounts[spec.account].limits.quota
     # All tasks of a gang run at the same time; tasks of other jobs can run one after another.
     at_once = spec.tasks if spec.kind is JobKind.GANG else 1
-    for name, of in DIMENSIONS:
-        if of(quota) != NO_LIMIT and at_once * of(spec.size) > of(quota):
+    for name, value_of in DIMENSIONS:
+        if value_of(quota) != NO_LIMIT and at_once * value_of(spec.size) > value_of(quota):
             what = "the gang needs" if at_once > 1 else "one task needs"
             return f"{what} more {name} than the account's quota"
     return None
 
 
-def _too_large(spec: JobSpec, extents: Sequence[Extent]) -> str | None:
-    near = [e for e in extents if not spec.region or e.region == spec.region]
+def _size_error(spec: JobSpec, extents: Sequence[Extent]) -> str | None:
+    in_region = [e for e in extents if not spec.region or e.region == spec.region]
     where = f"in region {spec.region}" if spec.region else "in the cell"
-    if not near:
+    if not in_region:
         return f"there are no workers {where}"
-    if not any(spec.size.fits(extent.largest_worker) for extent in near):
-        return f"no worker {where} is large enough: {_shortest(spec.size, near)}"
+    if not any(spec.size.fits(extent.largest_worker) for extent in in_region):
+        return f"no worker {where} is large enough: {_exceeded_dimensions(spec.size, in_region)}"
     if spec.kind is JobKind.GANG:
-        return _gang_too_large(spec, near)
+        return _gang_size_error(spec, in_region)
     return None
 
 
-def _shortest(size: Size, extents: Sequence[Extent]) -> str:
+def _exceeded_dimensions(size: Size, extents: Sequence[Extent]) -> str:
     short = [
-        f"{of(size)} {_unit(name)} asked, {most} at most"
-        for name, of in DIMENSIONS
-        if of(size) > (most := max(of(extent.largest_worker) for extent in extents))
+        f"{value_of(size)} {_unit(name)} asked, {most} at most"
+        for name, value_of in DIMENSIONS
+        if value_of(size) > (most := max(value_of(extent.largest_worker) for extent in extents))
     ]
     return "; ".join(short) or "no rack has all of the sizes together"
 
 
-def _gang_too_large(spec: JobSpec, extents: Sequence[Extent]) -> str | None:
+def _gang_size_error(spec: JobSpec, extents: Sequence[Extent]) -> str | None:
     by_region: dict[str, Size] = {}
     for extent in extents:
         by_region[extent.region] = by_region.get(extent.region, Size()) + extent.total
@@ -128,22 +128,26 @@
         return (job.reason,) if job.reason else ()
     if not job.waiting():
         return ()
-    return tuple(_holding(job, extents, share, now))
+    return tuple(_waiting_reasons(job, extents, share, now))
 
 
-def _holding(job: Job, extents: Sequence[Extent], share: FairShare, now: float) -> list[str]:
+def _waiting_reasons(
+    job: Job, extents: Sequence[Extent], share: FairShare, now: float
+) -> list[str]:
     spec = job.spec
     lines = [f"{job.waiting()} of {spec.tasks} tasks wait"]
     if job.paused_until > now:
         lines.append(f"after a failure the next attempt waits {job.paused_until - now:.1f} s")
     if not share.within_quota(spec.account, spec.size):
-        lines.append(f"quota: account {spec.account} holds {_words(share.used(spec.account))}")
-    near = [e for e in extents if not spec.region or e.region == spec.region]
-    if not near:
+        lines.append(
+            f"quota: account {spec.account} holds {_format_size(share.used(spec.account))}"
+        )
+    in_region = [e for e in extents if not spec.region or e.region == spec.region]
+    if not in_region:
         lines.append("no worker partition of the job's region is known")
         return lines
-    if not any(spec.size.fits(extent.largest_free) for extent in near):
-        lines.append(_what_is_short(spec, near))
+    if not any(spec.size.fits(extent.largest_free) for extent in in_region):
+        lines.append(_missing_capacity(spec, in_region))
     elif spec.kind is JobKind.GANG:
         lines.append("gang: there is no room for all of its tasks at once")
     else:
@@ -152,18 +156,18 @@
     return lines
 
 
-def _what_is_short(spec: JobSpec, extents: Sequence[Extent]) -> str:
+def _missing_capacity(spec: JobSpec, extents: Sequence[Extent]) -> str:
     short = [
         name
-        for name, of in DIMENSIONS
-        if of(spec.size) > max(of(extent.largest_free) for extent in extents)
+        for name, value_of in DIMENSIONS
+        if value_of(spec.size) > max(value_of(extent.largest_free) for extent in extents)
     ]
     if short:
         return f"room: no worker has enough free {' and '.join(short)} now"
     return "room: no single worker has all of the sizes free together now"
 
 
-def _words(size: Size) -> str:
+def _format_size(size: Size) -> str:
     return (
         f"{size.millicores} millicores, {size.memory_bytes} bytes of memory, "
         f"{size.accelerators} accelerators"
--- a/rhubarbferry/core/gangs.py
+++ b/rhubarbferry/core/gangs.py
@@ -4,8 +4,8 @@
 
 from rhubarbferry.core.cell import Size
 
-PATIENT_AFTER_S = 5.0
-PATIENCE = 5.0
+LONG_HOLD_MIN_AGE_S = 5.0
+LONG_HOLD_FACTOR = 5.0
 FIRST_PAUSE_S = 0.1
 LONGEST_PAUSE_S = 2.0
 
@@ -36,7 +36,7 @@
     has waited holds its reservations longer and collects capacity as it becomes free, because in
     a full cell there is never enough free capacity for all tasks at the same moment.
     """
-    return reserve_s if age_s < PATIENT_AFTER_S else reserve_s * PATIENCE
+    return reserve_s if age_s < LONG_HOLD_MIN_AGE_S else reserve_s * LONG_HOLD_FACTOR
 
 
 def back_off(*, age_s: float, chance: float) -> float:
@@ -45,5 +45,5 @@
     :param chance: random number in [0, 1); jitter that keeps gangs of two homes from retrying in
         step.
     """
-    longest = max(FIRST_PAUSE_S, LONGEST_PAUSE_S / (1.0 + age_s / PATIENT_AFTER_S))
+    longest = max(FIRST_PAUSE_S, LONGEST_PAUSE_S / (1.0 + age_s / LONG_HOLD_MIN_AGE_S))
     return FIRST_PAUSE_S + chance * longest
--- a/rhubarbferry/core/guards.py
+++ b/rhubarbferry/core/guards.py
@@ -48,17 +48,17 @@
     frontends.sort(key=lambda m: m.id)
     changes: dict[str, GuardSet] = {}
     for region in sorted({member.region for member in frontends}):
-        old = sets.get(region, NO_GUARDS)
-        guards = _next_guards(old, region, frontends)
-        if guards != old.guards or old.closing:
-            changes[region] = GuardSet(version=old.version + 1, guards=guards)
+        current = sets.get(region, NO_GUARDS)
+        guards = _next_guards(current, region, frontends)
+        if guards != current.guards or current.closing:
+            changes[region] = GuardSet(version=current.version + 1, guards=guards)
     return changes
 
 
-def _next_guards(old: GuardSet, region: str, frontends: Sequence[Member]) -> tuple[Guard, ...]:
-    names = {guard.id for guard in old.guards}
+def _next_guards(current: GuardSet, region: str, frontends: Sequence[Member]) -> tuple[Guard, ...]:
+    current_ids = {guard.id for guard in current.guards}
     # Existing guards come first, to change as few guards as possible.
-    ordered = sorted(frontends, key=lambda m: (m.region != region, m.id not in names, m.id))
+    ordered = sorted(frontends, key=lambda m: (m.region != region, m.id not in current_ids, m.id))
     local = sum(member.region == region for member in frontends)
     wanted = min(max(local, MIN_GUARDS), MAX_GUARDS)
     chosen = sorted(ordered[:wanted], key=lambda m: m.id)
--- a/rhubarbferry/core/intents.py
+++ b/rhubarbferry/core/intents.py
@@ -148,7 +148,7 @@
         """Decide how to handle a request with a key; a resent request is a duplicate as well."""
         intent = self._intents.get(at)
         if intent is None:
-            return Full() if self._full(at.account, now_ms) else Free()
+            return Full() if self._is_full(at.account, now_ms) else Free()
         if intent.fingerprint != fingerprint:
             return Mismatch()
         match intent.outcome:
@@ -181,7 +181,7 @@
 
     def begun(self, intent: Intent) -> None:
         """Apply a recorded intent."""
-        self._forget(intent.at)
+        self._remove(intent.at)
         self._intents[intent.at] = intent
         self._running[intent.at] = intent
 
@@ -191,7 +191,7 @@
         if intent is None or intent.request_id != request_id:
             return
         if intent.outcome is None or intent.lapsed:
-            self._forget(at)
+            self._remove(at)
 
     def finished(
         self,
@@ -208,22 +208,22 @@
         intent = self._intents.get(at)
         if intent is None or intent.request_id != request_id:
             return
-        self._end(intent, outcome, finished_at_ms)
+        self._set_outcome(intent, outcome, finished_at_ms)
         intent.lapsed = False
         intent.status = status
         if answer is not None:
-            self._keep_answer(intent, answer, answer_size)
+            self._store_answer(intent, answer, answer_size)
 
     def lapse(self, *, now_ms: int) -> int:
         """Set expired running intents to the outcome "unknown".
 
         :returns: the number of expired intents.
         """
-        late = [intent for intent in self._running.values() if intent.expires_at_ms <= now_ms]
-        for intent in late:
-            self._end(intent, Outcome.UNKNOWN, intent.expires_at_ms)
+        expired = [intent for intent in self._running.values() if intent.expires_at_ms <= now_ms]
+        for intent in expired:
+            self._set_outcome(intent, Outcome.UNKNOWN, intent.expires_at_ms)
             intent.lapsed = True
-        return len(late)
+        return len(expired)
 
     def frontends_live(self, live: Collection[str]) -> int:
         """Mark running intents whose frontend is not live as orphaned.
@@ -243,34 +243,36 @@
 
         :returns: the number of removed intents.
         """
-        forgotten = 0
+        removed = 0
         for finished in list(self._finished.values()):
-            while finished and self._may_go(next(iter(finished.values())), len(finished), now_ms):
-                self._forget(next(iter(finished)))
-                forgotten += 1
-        return forgotten
+            while finished and self._is_removable(
+                next(iter(finished.values())), len(finished), now_ms
+            ):
+                self._remove(next(iter(finished)))
+                removed += 1
+        return removed
 
     # ------------------------------------------------------------ internal
 
-    def _may_go(self, oldest: Intent, count: int, now_ms: int) -> bool:
+    def _is_removable(self, oldest: Intent, count: int, now_ms: int) -> bool:
         age_s = (now_ms - oldest.finished_at_ms) / 1000
         if age_s >= self.rules.retention_s:
             return True
         return count > self.rules.kept_per_account and age_s >= self.rules.least_retention_s
 
-    def _full(self, account: str, now_ms: int) -> bool:
+    def _is_full(self, account: str, now_ms: int) -> bool:
         finished = self._finished.get(account)
         if not finished or len(finished) < self.rules.kept_per_account:
             return False
-        return not self._may_go(next(iter(finished.values())), len(finished) + 1, now_ms)
+        return not self._is_removable(next(iter(finished.values())), len(finished) + 1, now_ms)
 
-    def _end(self, intent: Intent, outcome: Outcome, at_ms: int) -> None:
+    def _set_outcome(self, intent: Intent, outcome: Outcome, at_ms: int) -> None:
         intent.outcome = outcome
         intent.finished_at_ms = at_ms
         self._running.pop(intent.at, None)
         self._finished.setdefault(intent.at.account, OrderedDict())[intent.at] = intent
 
-    def _keep_answer(self, intent: Intent, answer: Any, size: int) -> None:
+    def _store_answer(self, intent: Intent, answer: Any, size: int) -> None:
         intent.answer, intent.answer_size = answer, size
         self._answers[intent.at] = intent
         self._answer_bytes += size
@@ -283,7 +285,7 @@
             self._answer_bytes -= intent.answer_size
             intent.answer, intent.answer_size = None, 0
 
-    def _forget(self, at: IntentKey) -> None:
+    def _remove(self, at: IntentKey) -> None:
         if self._intents.pop(at, None) is None:
             return
         self._running.pop(at, None)
--- a/rhubarbferry/core/job_queue.py
+++ b/rhubarbferry/core/job_queue.py
@@ -14,9 +14,9 @@
 from rhubarbferry.core.jobs import Job, JobKind
 
 LOOK_AHEAD = 64
-SPREAD_WAIT_S = 1.0
-INSIST_EVERY_S = 0.5
-INSIST_ELSEWHERE_S = 5.0
+MAX_SPREAD_WAIT_S = 1.0
+CAPACITY_REQUEST_INTERVAL_S = 0.5
+PARTITION_SWITCH_DELAY_S = 5.0
 
 
 @define(kw_only=True, slots=True)
@@ -63,10 +63,10 @@
     """
 
     def __init__(self, *, far_after_s: float, patience_s: float) -> None:
-        self._far_after_s = far_after_s
+        self._other_region_after_s = far_after_s
         self._patience_s = patience_s
         self._jobs: dict[int, dict[str, SortedDict]] = {}
-        self._counted: dict[str, int] = {}
+        self._counted_tasks: dict[str, int] = {}
         self._depth = 0
 
     def put(self, job: Job) -> None:
@@ -74,11 +74,11 @@
         accounts = self._jobs.setdefault(job.spec.priority, {})
         jobs = accounts.setdefault(job.spec.account, SortedDict())
         jobs[job.since, job.id] = job
-        self._count(job)
+        self._update_depth(job)
 
     def drop(self, job: Job) -> None:
         """Remove a job from the queue."""
-        self._depth -= self._counted.pop(job.id, 0)
+        self._depth -= self._counted_tasks.pop(job.id, 0)
         accounts = self._jobs.get(job.spec.priority, {})
         jobs = accounts.get(job.spec.account)
         if jobs is None:
@@ -123,25 +123,25 @@
             while heap and len(picked) < limit:
                 _, account = heapq.heappop(heap)
                 jobs = accounts.get(account, {}).values()
-                job = self._next(jobs, room, share, now, too_large)
+                job = self._next_job(jobs, room, share, now, too_large)
                 if job is None:
                     continue
-                _note_passed(too_large.values(), job, now)
+                _record_skipped(too_large.values(), job, now)
                 index = job.claim(partition=room.partition, epoch=epoch, home_epoch=home_epoch)
                 picked.append(Picked(job=job, index=index))
                 room.free = room.free - job.spec.size
                 share.claim(account, job.spec.size)
-                self._count(job)
+                self._update_depth(job)
                 if not job.waiting():
                     self.drop(job)
                 heapq.heappush(heap, (share.standing(account, now), account))
         return picked
 
-    def _count(self, job: Job) -> None:
-        self._depth += job.waiting() - self._counted.get(job.id, 0)
-        self._counted[job.id] = job.waiting()
+    def _update_depth(self, job: Job) -> None:
+        self._depth += job.waiting() - self._counted_tasks.get(job.id, 0)
+        self._counted_tasks[job.id] = job.waiting()
 
-    def _next(
+    def _next_job(
         self,
         jobs: Iterable[Job],
         room: Room,
@@ -153,60 +153,63 @@
         for seen, job in enumerate(jobs):
             if seen >= LOOK_AHEAD:
                 return None
-            if not self._may_go(job, room, now):
+            if not self._is_eligible(job, room, now):
                 continue
             if not share.within_quota(job.spec.account, job.spec.size):
                 continue
-            if _fits(job, room) or self._insists(job, room, now):
+            if _fits(job, room) or self._requests_capacity(job, room, now):
                 return job
             too_large[job.id] = job
         return None
 
-    def _may_go(self, job: Job, room: Room, now: float) -> bool:
+    def _is_eligible(self, job: Job, room: Room, now: float) -> bool:
         spec = job.spec
         if spec.kind is JobKind.GANG and not job.formed:
             return False
         if not job.waiting() or job.paused_until > now:
             return False
-        if not self._in_reach(job, room, now):
+        if not self._region_allowed(job, room, now):
             return False
-        return spec.kind is not JobKind.SERVICE or self._spread(job, room, now)
+        return spec.kind is not JobKind.SERVICE or self._spread_allows(job, room, now)
 
-    def _insists(self, job: Job, room: Room, now: float) -> bool:
+    def _requests_capacity(self, job: Job, room: Room, now: float) -> bool:
         """Return whether a job requests that a partition free capacity for it.
 
         An urgent job does so immediately, another job after smaller tasks have been scheduled
         before it for ``patience_s``. A job does so in one partition at a time.
         """
         urgent = job.spec.priority == PriorityClass.URGENT
-        passed = job.passed_since
-        if not urgent and (passed is None or now - passed < self._patience_s):
+        skipped_since = job.passed_since
+        if not urgent and (skipped_since is None or now - skipped_since < self._patience_s):
             return False
         if not job.spec.size.fits(room.largest_worker):
             return False
-        elsewhere = job.insists_on not in ("", room.partition)
-        if now < job.insists_at + (INSIST_ELSEWHERE_S if elsewhere else 0.0):
+        elsewhere = job.capacity_partition not in ("", room.partition)
+        if now < job.next_capacity_request_at + (PARTITION_SWITCH_DELAY_S if elsewhere else 0.0):
             return False
-        job.insists_on, job.insists_at = room.partition, now + INSIST_EVERY_S
+        job.capacity_partition, job.next_capacity_request_at = (
+            room.partition,
+            now + CAPACITY_REQUEST_INTERVAL_S,
+        )
         return True
 
     @staticmethod
-    def _spread(job: Job, room: Room, now: float) -> bool:
+    def _spread_allows(job: Job, room: Room, now: float) -> bool:
         """Return whether a service may place one more task in the partition's failure domain.
 
-        The spread is enforced for ``SPREAD_WAIT_S`` only, because a service with several tasks in
+        The spread is enforced for ``MAX_SPREAD_WAIT_S`` only: a service with several tasks in
         one failure domain is better than a service that does not run.
         """
-        if now - job.waiting_since >= SPREAD_WAIT_S:
+        if now - job.waiting_since >= MAX_SPREAD_WAIT_S:
             return True
-        there = sum(job.on_partition(name) for name in room.domain)
-        return there < math.ceil(job.spec.tasks / room.domains)
+        placed = sum(job.on_partition(name) for name in room.domain)
+        return placed < math.ceil(job.spec.tasks / room.domains)
 
-    def _in_reach(self, job: Job, room: Room, now: float) -> bool:
+    def _region_allowed(self, job: Job, room: Room, now: float) -> bool:
         wanted = job.spec.region
         if wanted:
             return wanted == room.region
-        return room.local or now - job.since >= self._far_after_s
+        return room.local or now - job.since >= self._other_region_after_s
 
 
 def _fits(job: Job, room: Room) -> bool:
@@ -214,7 +217,7 @@
     return size.fits(room.free) and size.fits(room.largest) and size not in room.refused
 
 
-def _note_passed(too_large: Iterable[Job], by: Job, now: float) -> None:
+def _record_skipped(too_large: Iterable[Job], by: Job, now: float) -> None:
     """Record since when jobs have been skipped in favour of a later one."""
     for job in too_large:
         if job is not by and job.passed_since is None:
--- a/rhubarbferry/core/jobs.py
+++ b/rhubarbferry/core/jobs.py
@@ -151,20 +151,20 @@
         self.passed_since: float | None = None
         # The worker partition requested to reserve a worker for this job, and the time of the next
         # request.
-        self.insists_on = ""
-        self.insists_at = 0.0
+        self.capacity_partition = ""
+        self.next_capacity_request_at = 0.0
         self.first_start: float | None = None
         self.counts = Counts(waiting=spec.tasks)
         self.live: dict[int, LiveAttempt] = {}
         self.avoid: dict[int, frozenset[str]] = {}
         self._max_attempts = max_attempts
-        self._placed: Counter[str] = Counter()
+        self._live_per_partition: Counter[str] = Counter()
         self._states = bytearray(spec.tasks)
         self._waiting: deque[int] = deque(range(spec.tasks))
         self._attempts: dict[int, int] = {}
         self._failures: dict[int, int] = {}
         # State that cancellation gives to tasks that wait again after an attempt that ran.
-        self._ran: dict[int, TaskState] = {}
+        self._state_if_cancelled: dict[int, TaskState] = {}
         # Attempts per task that may have started according to the log; set only by replay.
         self._dispatched: dict[int, set[int]] = {}
         self._ever_started = False
@@ -184,7 +184,7 @@
 
     def on_partition(self, partition: str) -> int:
         """Return the number of attempts that may be running on a worker partition."""
-        return self._placed[partition]
+        return self._live_per_partition[partition]
 
     def last_attempt(self, index: int) -> int:
         """Return the number of a task's last attempt, 0 if there was none."""
@@ -229,7 +229,7 @@
             index
             for index in range(self.spec.tasks)
             if (state := self.state(index)) in open_states
-            or (state is TaskState.WAITING and index in self._ran)
+            or (state is TaskState.WAITING and index in self._state_if_cancelled)
         ]
 
     # ------------------------------------------------------------ events
@@ -248,8 +248,8 @@
             partition=partition,
             epoch=epoch,
         )
-        self._put_live(index, live)
-        self._move(index, TaskState.CLAIMED)
+        self._add_live(index, live)
+        self._set_state(index, TaskState.CLAIMED)
         return index
 
     def started(self, index: int, *, worker: str, now: float) -> None:
@@ -258,14 +258,14 @@
             return
         self.live[index].worker = worker
         self.passed_since = None
-        self.insists_on = ""
-        self._note_start(now)
-        self._move(index, TaskState.RUNNING)
+        self.capacity_partition = ""
+        self._record_start(now)
+        self._set_state(index, TaskState.RUNNING)
 
     def never_started(self, index: int) -> None:
         """Record that the last attempt did not run and never will."""
         if self.state(index) in (TaskState.CLAIMED, TaskState.RUNNING, TaskState.UNSURE):
-            self._wait_again(index)
+            self._requeue(index)
 
     def ended(self, index: int, end: End, *, now: float) -> None:
         """Record how an attempt ended; the task then waits again or becomes final."""
@@ -276,26 +276,26 @@
             # The end may belong to an earlier attempt while the last one may still be running.
             return
         if end is not End.NOT_STARTED:
-            self._note_start(now)
+            self._record_start(now)
         if end is End.FAILED:
-            self._note_failure(index, now)
-        after = self._after(index, end)
-        if after is TaskState.WAITING:
+            self._record_failure(index, now)
+        next_state = self._state_after(index, end)
+        if next_state is TaskState.WAITING:
             self.waiting_since = now
-        self._end(index, end, after)
+        self._apply_end(index, end, next_state)
 
     def is_final(self, index: int, end: End) -> bool:
         """Return whether this end of an attempt makes the task final."""
         failures = self._failures.get(index, 0) + (end is End.FAILED)
-        return self._after(index, end, failures=failures) is not TaskState.WAITING
+        return self._state_after(index, end, failures=failures) is not TaskState.WAITING
 
     def cancel(self) -> None:
         """Prevent further starts; waiting tasks that never ran become ``NOT_RUN``."""
         if self.cancelled:
             return
-        for index, state in self._ran.items():
+        for index, state in self._state_if_cancelled.items():
             if self.state(index) is TaskState.WAITING:
-                self._settle(index, state)
+                self._finalize(index, state)
         self.cancelled = True
         self.counts.not_run += self.counts.waiting
         self.counts.waiting = 0
@@ -320,29 +320,29 @@
             # The dispatch was being recorded when the job was cancelled.
             self.counts.not_run -= 1
             self.counts.waiting += 1
-        self._move(index, TaskState.UNSURE)
+        self._set_state(index, TaskState.UNSURE)
 
     def found(self, index: int, attempt: LiveAttempt, *, now: float) -> None:
         """Record that a worker reported a running attempt."""
         if self.state(index) is not TaskState.UNSURE:
             return
-        self._note_start(now)
+        self._record_start(now)
         self.formed = True
         self._attempts[index] = max(attempt.attempt, self._attempts.get(index, 0))
-        self._put_live(index, attempt)
-        self._move(index, TaskState.RUNNING)
+        self._add_live(index, attempt)
+        self._set_state(index, TaskState.RUNNING)
 
     def not_found(self, index: int) -> None:
         """Resolve a task of which no worker holds an attempt and no attempt can still run."""
         if self.state(index) is not TaskState.UNSURE:
             return
         self._ever_started = True
-        self._ran[index] = TaskState.UNKNOWN
+        self._state_if_cancelled[index] = TaskState.UNKNOWN
         if self.spec.idempotent:
-            self._wait_again(index)
+            self._requeue(index)
         else:
             # It was dispatched and may have run, so it must never run again.
-            self._settle(index, TaskState.UNKNOWN)
+            self._finalize(index, TaskState.UNKNOWN)
 
     def restore(self, index: int, end: End, *, attempt: int) -> None:
         """Apply a recorded end of an attempt."""
@@ -354,7 +354,7 @@
         if self.state(index) is TaskState.WAITING:
             self.unsure(index, attempt)
         self._ever_started = True
-        self._end(index, end, self._after(index, end, failures=self._max_attempts))
+        self._apply_end(index, end, self._state_after(index, end, failures=self._max_attempts))
 
     def _restore_not_started(self, index: int, attempt: int) -> None:
         """Apply the record that an attempt was never started.
@@ -368,8 +368,8 @@
             return
         if dispatched:
             self._ever_started = True
-            self._ran[index] = TaskState.UNKNOWN
-        self._wait_again(index)
+            self._state_if_cancelled[index] = TaskState.UNKNOWN
+        self._requeue(index)
 
     def restore_finished(self, phase: JobPhase, counts: Counts | None) -> None:
         """Apply the record of a finished job."""
@@ -381,7 +381,7 @@
 
     # ------------------------------------------------------------ internal
 
-    def _after(self, index: int, end: End, *, failures: int | None = None) -> TaskState:
+    def _state_after(self, index: int, end: End, *, failures: int | None = None) -> TaskState:
         spec = self.spec
         if failures is None:
             failures = self._failures.get(index, 0)
@@ -401,27 +401,27 @@
             return TaskState.FAILED
         return TaskState.WAITING
 
-    def _end(self, index: int, end: End, after: TaskState) -> None:
+    def _apply_end(self, index: int, end: End, next_state: TaskState) -> None:
         match end:
             case End.NOT_STARTED:
                 pass
             case End.LEASE_LAPSED:
-                self._ran[index] = TaskState.UNKNOWN
+                self._state_if_cancelled[index] = TaskState.UNKNOWN
             case End.DONE:
-                self._ran[index] = TaskState.DONE
+                self._state_if_cancelled[index] = TaskState.DONE
             case _:
-                self._ran[index] = TaskState.FAILED
-        if after is TaskState.WAITING:
-            self._wait_again(index)
+                self._state_if_cancelled[index] = TaskState.FAILED
+        if next_state is TaskState.WAITING:
+            self._requeue(index)
         else:
-            self._settle(index, after)
+            self._finalize(index, next_state)
 
-    def _note_start(self, now: float) -> None:
+    def _record_start(self, now: float) -> None:
         self._ever_started = True
         if self.first_start is None:
             self.first_start = now
 
-    def _note_failure(self, index: int, now: float) -> None:
+    def _record_failure(self, index: int, now: float) -> None:
         failures = self._failures.get(index, 0) + 1
         self._failures[index] = failures
         pause = min(FIRST_PAUSE_S * 2 ** (failures - 1), LONGEST_PAUSE_S)
@@ -430,33 +430,33 @@
         if live is not None and live.worker:
             self.avoid[index] = self.avoid.get(index, frozenset()) | {live.worker}
 
-    def _wait_again(self, index: int) -> None:
+    def _requeue(self, index: int) -> None:
         self._drop_live(index)
         if self.cancelled:
-            self._settle(index, self._ran.get(index, TaskState.NOT_RUN))
+            self._finalize(index, self._state_if_cancelled.get(index, TaskState.NOT_RUN))
             return
-        self._move(index, TaskState.WAITING)
+        self._set_state(index, TaskState.WAITING)
         self._waiting.append(index)
 
-    def _put_live(self, index: int, live: LiveAttempt) -> None:
+    def _add_live(self, index: int, live: LiveAttempt) -> None:
         self._drop_live(index)
         self.live[index] = live
-        self._placed[live.partition] += 1
+        self._live_per_partition[live.partition] += 1
 
     def _drop_live(self, index: int) -> None:
         live = self.live.pop(index, None)
         if live is not None:
-            self._placed[live.partition] -= 1
+            self._live_per_partition[live.partition] -= 1
 
-    def _settle(self, index: int, state: TaskState) -> None:
+    def _finalize(self, index: int, state: TaskState) -> None:
         self._drop_live(index)
         self.avoid.pop(index, None)
         self._failures.pop(index, None)
         self._attempts.pop(index, None)
         self._dispatched.pop(index, None)
-        self._move(index, state)
+        self._set_state(index, state)
 
-    def _move(self, index: int, state: TaskState) -> None:
+    def _set_state(self, index: int, state: TaskState) -> None:
         self.counts.add(TaskState(self._states[index]), -1)
         self._states[index] = state
         self.counts.add(state, 1)
--- a/rhubarbferry/core/limits.py
+++ b/rhubarbferry/core/limits.py
@@ -48,24 +48,24 @@
 
     rise_s: float
     value: float | None = None
-    _wanted: float | None = field(default=None, init=False)
-    _since: float | None = field(default=None, init=False)
+    _pending: float | None = field(default=None, init=False)
+    _pending_since: float | None = field(default=None, init=False)
 
     def want(self, limit: float | None, *, now: float) -> float | None:
         """Set the configured limit and return the limit in force; ``None`` means no limit."""
-        if _at_most(limit, self.value):
+        if _is_at_most(limit, self.value):
             self.value = limit
-            self._since = None
+            self._pending_since = None
             return self.value
-        if self._since is None or limit != self._wanted:
-            self._wanted, self._since = limit, now
-        if now - self._since >= self.rise_s:
+        if self._pending_since is None or limit != self._pending:
+            self._pending, self._pending_since = limit, now
+        if now - self._pending_since >= self.rise_s:
             self.value = limit
-            self._since = None
+            self._pending_since = None
         return self.value
 
 
-def _at_most(limit: float | None, value: float | None) -> bool:
+def _is_at_most(limit: float | None, value: float | None) -> bool:
     if value is None:
         return True
     return limit is not None and limit <= value
--- a/rhubarbferry/core/overrun.py
+++ b/rhubarbferry/core/overrun.py
@@ -32,7 +32,7 @@
 
 
 @define(kw_only=True, slots=True)
-class _Case:
+class _Overrun:
     remedy: Remedy
     since: float
 
@@ -42,7 +42,7 @@
     """Tracks the tasks of one worker partition that exceed their declared size."""
 
     rules: OverrunRules = Factory(OverrunRules)
-    _cases: dict[str, _Case] = Factory(dict)
+    _overruns: dict[str, _Overrun] = Factory(dict)
 
     def judge(
         self, task_id: str, *, declared: Size, used: Size, preemptible: bool, now: float
@@ -52,25 +52,25 @@
         A task is throttled first. If it still exceeds its declared size, it is checkpointed if it
         is preemptible, and stopped if that is not possible or does not end it.
         """
-        if not self._over(declared, used):
-            self._cases.pop(task_id, None)
+        if not self._exceeds(declared, used):
+            self._overruns.pop(task_id, None)
             return Remedy.NONE
-        case = self._cases.get(task_id)
-        if case is None:
-            self._cases[task_id] = _Case(remedy=Remedy.THROTTLE, since=now)
+        overrun = self._overruns.get(task_id)
+        if overrun is None:
+            self._overruns[task_id] = _Overrun(remedy=Remedy.THROTTLE, since=now)
             return Remedy.THROTTLE
-        if now - case.since < self.rules.step_s or case.remedy is Remedy.STOP:
+        if now - overrun.since < self.rules.step_s or overrun.remedy is Remedy.STOP:
             return Remedy.NONE
-        can_checkpoint = preemptible and case.remedy is Remedy.THROTTLE
-        case.remedy = Remedy.CHECKPOINT if can_checkpoint else Remedy.STOP
-        case.since = now
-        return case.remedy
+        can_checkpoint = preemptible and overrun.remedy is Remedy.THROTTLE
+        overrun.remedy = Remedy.CHECKPOINT if can_checkpoint else Remedy.STOP
+        overrun.since = now
+        return overrun.remedy
 
     def forget(self, task_id: str) -> None:
         """Discard the state of a task that has ended."""
-        self._cases.pop(task_id, None)
+        self._overruns.pop(task_id, None)
 
-    def _over(self, declared: Size, used: Size) -> bool:
+    def _exceeds(self, declared: Size, used: Size) -> bool:
         # Processors can be shared temporarily; memory and accelerators cannot.
         slack = 1.0 + self.rules.tolerance
         return (
--- a/rhubarbferry/core/ownership.py
+++ b/rhubarbferry/core/ownership.py
@@ -77,7 +77,7 @@
     owners = _assign(table, schedulers, sorted({*partitions, *table.entries}))
     floors = floors or {}
     entries = {
-        p: _entry(table.entries.get(p), owner, floors.get(p, FIRST_EPOCH))
+        p: _next_entry(table.entries.get(p), owner, floors.get(p, FIRST_EPOCH))
         for p, owner in owners.items()
     }
     planned_for = tuple(member.id for member in schedulers)
@@ -87,9 +87,9 @@
 
 
 def permitted(
-    table: Table, ideal: Table, members: Iterable[Member], given_up: frozenset[PartitionId]
+    table: Table, planned: Table, members: Iterable[Member], given_up: frozenset[PartitionId]
 ) -> Table:
-    """Return ``ideal`` without the moves that would take a partition from a live owner.
+    """Return ``planned`` without the moves that would take a partition from a live owner.
 
     A live owner that has not received the change yet would continue to make decisions
     concurrently with the new owner. Only the owner itself therefore writes such a move, after it
@@ -98,32 +98,32 @@
     :param given_up: partitions of the writer for which it has stopped making decisions.
     """
     live = {(member.id, member.incarnation) for member in members}
-    entries = dict(ideal.entries)
+    entries = dict(planned.entries)
     for partition, entry in table.entries.items():
         if (entry.member_id, entry.incarnation) not in live or partition in given_up:
             continue
         if not _same_owner(entry, entries[partition]):
             entries[partition] = entry
-    if entries == table.entries and ideal.planned_for == table.planned_for:
+    if entries == table.entries and planned.planned_for == table.planned_for:
         return table
-    return evolve(ideal, entries=entries)
+    return evolve(planned, entries=entries)
 
 
-def misplaced(table: Table, ideal: Table, member: Member) -> frozenset[PartitionId]:
+def misplaced(table: Table, planned: Table, member: Member) -> frozenset[PartitionId]:
     """Return the partitions of ``member`` that the planned table assigns to others."""
-    return frozenset(p for p in table.owned_by(member) if not ideal.entries[p].belongs_to(member))
+    return frozenset(p for p in table.owned_by(member) if not planned.entries[p].belongs_to(member))
 
 
 def _schedulers(members: Iterable[Member]) -> list[Member]:
-    able = (m for m in members if m.role is Role.SCHEDULER and not m.draining)
-    return sorted(able, key=lambda m: m.id)
+    eligible = (m for m in members if m.role is Role.SCHEDULER and not m.draining)
+    return sorted(eligible, key=lambda m: m.id)
 
 
 def _same_owner(one: OwnerEntry, other: OwnerEntry) -> bool:
     return (one.member_id, one.incarnation) == (other.member_id, other.incarnation)
 
 
-def _entry(old: OwnerEntry | None, owner: Member, floor: int) -> OwnerEntry:
+def _next_entry(old: OwnerEntry | None, owner: Member, floor: int) -> OwnerEntry:
     if old is not None and old.belongs_to(owner) and old.epoch >= floor:
         return old
     return OwnerEntry(
@@ -144,15 +144,15 @@
     owners: dict[PartitionId, Member] = {}
     for region, candidates in sorted(by_region.items()):
         local = [p for p in partitions if p.region == region]
-        owners.update(_fill(table, candidates, local, load))
+        owners.update(_assign_balanced(table, candidates, local, load))
     # Partitions of a region without a scheduler are assigned to schedulers of other regions, after
     # those have been assigned their own.
     orphans = [p for p in partitions if p.region not in by_region]
-    owners.update(_fill(table, schedulers, orphans, load))
+    owners.update(_assign_balanced(table, schedulers, orphans, load))
     return owners
 
 
-def _fill(
+def _assign_balanced(
     table: Table,
     candidates: Sequence[Member],
     partitions: Sequence[PartitionId],
@@ -163,10 +163,10 @@
     owners: dict[PartitionId, Member] = {}
     for partition in partitions:
         entry = table.entries.get(partition)
-        keeper = next((m for m in candidates if entry and entry.belongs_to(m)), None)
-        if keeper is not None and load[keeper.id] < bound:
-            owners[partition] = keeper
-            load[keeper.id] += 1
+        current = next((m for m in candidates if entry and entry.belongs_to(m)), None)
+        if current is not None and load[current.id] < bound:
+            owners[partition] = current
+            load[current.id] += 1
     domains = Counter((m.failure_domain, p.kind) for p, m in owners.items())
     for partition in partitions:
         if partition in owners:
@@ -176,7 +176,10 @@
         # affect all services or all keys of a region at once.
         owner = min(
             room,
-            key=lambda m: (domains[m.failure_domain, partition.kind], -_weight(partition, m)),
+            key=lambda m: (
+                domains[m.failure_domain, partition.kind],
+                -_rendezvous_weight(partition, m),
+            ),
         )
         owners[partition] = owner
         load[owner.id] += 1
@@ -184,5 +187,5 @@
     return owners
 
 
-def _weight(partition: PartitionId, member: Member) -> int:
+def _rendezvous_weight(partition: PartitionId, member: Member) -> int:
     return xxhash.xxh3_64_intdigest(f"{partition}\x00{member.id}".encode())
--- a/rhubarbferry/core/promise.py
+++ b/rhubarbferry/core/promise.py
@@ -16,7 +16,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class GuardAnswer:
+class GuardReply:
     """Reply of a guard to an owner or a successor.
 
     :param accepted: whether the guard acknowledged the epoch or gave the promise.
@@ -46,7 +46,7 @@
     promised_until: float = 0.0
     closed_below: int = 0
 
-    def acknowledge(self, *, epoch: int, owner: str, now: float) -> GuardAnswer:
+    def acknowledge(self, *, epoch: int, owner: str, now: float) -> GuardReply:
         """Raise the epoch for a successor, unless a promise to another owner is active."""
         left = self.promise_left_s(now)
         if epoch < self.highest_epoch or (left > 0 and owner != self.promised_to):
@@ -56,7 +56,7 @@
 
     def promise(
         self, *, epoch: int, owner: str, now: float, duration_s: float, version: int = 0
-    ) -> GuardAnswer:
+    ) -> GuardReply:
         """Promise ``owner`` to acknowledge no other owner for ``duration_s`` from ``now``.
 
         :param version: version of the guard set in which the owner counts promises.
@@ -70,7 +70,7 @@
         self.promised_to = owner
         return self._answer(accepted=True, left=self.promise_left_s(now))
 
-    def give_up(self, *, epoch: int, owner: str, now: float) -> GuardAnswer:
+    def give_up(self, *, epoch: int, owner: str, now: float) -> GuardReply:
         """End the promise to an owner that reports that it has stopped acting under ``epoch``.
 
         Otherwise a planned handover would wait for the promise to expire, up to 3 s in which
@@ -82,7 +82,7 @@
         self.promised_until = min(self.promised_until, now)
         return self._answer(accepted=True, left=0.0)
 
-    def close(self, *, version: int, now: float) -> GuardAnswer:
+    def close(self, *, version: int, now: float) -> GuardReply:
         """Refuse promises under guard sets below ``version``; active promises remain valid."""
         self.closed_below = max(self.closed_below, version)
         return self._answer(accepted=True, left=self.promise_left_s(now))
@@ -91,8 +91,8 @@
         """Return the remaining seconds of the active promise, 0 if there is none."""
         return max(0.0, self.promised_until - now)
 
-    def _answer(self, *, accepted: bool, left: float) -> GuardAnswer:
-        return GuardAnswer(accepted=accepted, highest_epoch=self.highest_epoch, promise_left_s=left)
+    def _answer(self, *, accepted: bool, left: float) -> GuardReply:
+        return GuardReply(accepted=accepted, highest_epoch=self.highest_epoch, promise_left_s=left)
 
 
 @define(kw_only=True, slots=True)
--- a/rhubarbferry/core/request_queue.py
+++ b/rhubarbferry/core/request_queue.py
@@ -23,12 +23,12 @@
 from rhubarbferry.core.limits import TokenBucket
 from rhubarbferry.core.refusals import RefusalReason
 
-LEAST_RETRY_S = 0.1
-MOST_RETRY_S = 60.0
-SCAN_LIMIT = 16
-TIME_WEIGHT = 0.05
-DEVIATIONS = 4.0
-MOST_RESERVE = 0.75
+MIN_RETRY_AFTER_S = 0.1
+MAX_RETRY_AFTER_S = 60.0
+MAX_SCANNED_REQUESTS = 16
+SERVICE_TIME_WEIGHT = 0.05
+RESERVE_DEVIATIONS = 4.0
+MAX_RESERVE_FRACTION = 0.75
 
 
 @frozen(kw_only=True, slots=True)
@@ -102,7 +102,7 @@
     def add(self, seconds: float) -> None:
         """Add one slot holding time."""
         self.seen += 1
-        weight = max(TIME_WEIGHT, 1.0 / self.seen)
+        weight = max(SERVICE_TIME_WEIGHT, 1.0 / self.seen)
         self.deviation_s += weight * (abs(seconds - self.mean_s) - self.deviation_s)
         self.mean_s += weight * (seconds - self.mean_s)
 
@@ -112,8 +112,8 @@
         A request started later would probably exceed its deadline and waste its slot. The mean
         alone is not sufficient, because under overload every request starts as late as allowed.
         """
-        likely_s = self.mean_s + DEVIATIONS * self.deviation_s
-        return min(likely_s, MOST_RESERVE * timeout_s)
+        likely_s = self.mean_s + RESERVE_DEVIATIONS * self.deviation_s
+        return min(likely_s, MAX_RESERVE_FRACTION * timeout_s)
 
 
 @define(kw_only=True, eq=False)
@@ -137,7 +137,7 @@
         return limit is not None and self.running >= limit
 
     def depth(self) -> int:
-        return sum(len(line) for line in self.waiting.values())
+        return sum(len(requests) for requests in self.waiting.values())
 
 
 @define(kw_only=True, eq=False)
@@ -164,10 +164,10 @@
         factory=lambda: {cls: _Class() for cls in PriorityClass}, init=False
     )
     _by_id: dict[str, Waiting] = field(factory=dict, init=False)
-    _starts: SortedList = field(factory=SortedList, init=False)
+    _by_latest_start: SortedList = field(factory=SortedList, init=False)
     _seq: itertools.count = field(factory=itertools.count, init=False)
     _virtual_now: float = field(default=0.0, init=False)
-    _since_aged: int = field(default=0, init=False)
+    _grants_since_aged: int = field(default=0, init=False)
 
     def __len__(self) -> int:
         return len(self._by_id)
@@ -182,10 +182,10 @@
                     name=name, terms=new, bucket=bucket, used=self._virtual_now
                 )
                 continue
-            with_change = self._unready(account)
+            priorities = self._remove_from_order(account)
             account.terms = new
             account.bucket.rate_per_s = new.rate_per_s
-            self._ready(account, with_change)
+            self._add_to_order(account, priorities)
         for name in [n for n, a in self._accounts.items() if n not in terms and not a.depth()]:
             if self._accounts[name].running == 0:
                 del self._accounts[name]
@@ -203,9 +203,9 @@
         """
         account = self._accounts.get(waiting.account)
         if account is None:
-            return _refused(RefusalReason.UNKNOWN_ACCOUNT, MOST_RETRY_S)
+            return _refused(RefusalReason.UNKNOWN_ACCOUNT, MAX_RETRY_AFTER_S)
         if account.terms.max_concurrency == 0:
-            return _refused(RefusalReason.NO_SHARE_OF_LIMIT, MOST_RETRY_S)
+            return _refused(RefusalReason.NO_SHARE_OF_LIMIT, MAX_RETRY_AFTER_S)
         expected = self.expected_wait(waiting.account, waiting.priority, slots=slots, free=free)
         if account.depth() >= account.terms.max_waiting:
             return _refused(RefusalReason.ACCOUNT_QUEUE_FULL, expected)
@@ -215,7 +215,7 @@
             return _refused(RefusalReason.TOO_LATE, late)
         displaced = None
         if len(self) >= self.rules.max_waiting:
-            displaced = self._displaced_by(waiting.priority)
+            displaced = self._find_displaceable(waiting.priority)
             if displaced is None:
                 return _refused(RefusalReason.QUEUE_FULL, expected)
         pause = account.bucket.take(now=now)
@@ -238,28 +238,28 @@
         """Estimate the wait, in seconds, of a request that arrives now."""
         if self.times.seen == 0 or slots == 0:
             return 0.0
-        mine = self._accounts[account]
-        own = len(mine.waiting[priority])
-        shares = self._classes[priority].shares + (mine.terms.share if own == 0 else 0.0)
-        by_share = own * shares / mine.terms.share
+        state = self._accounts[account]
+        own = len(state.waiting[priority])
+        shares = self._classes[priority].shares + (state.terms.share if own == 0 else 0.0)
+        by_share = own * shares / state.terms.share
         ahead = min(by_share, len(self._classes[priority].arrived))
         ahead += sum(len(c.arrived) for p, c in self._classes.items() if p < priority)
         wait = 0.0
         if ahead >= free:
             wait = (ahead - free + 1) * self.times.mean_s / slots
-        limit = mine.terms.max_concurrency
-        if limit is not None and mine.running + own >= limit:
-            wait = max(wait, (mine.running + own - limit + 1) * self.times.mean_s / limit)
+        limit = state.terms.max_concurrency
+        if limit is not None and state.running + own >= limit:
+            wait = max(wait, (state.running + own - limit + 1) * self.times.mean_s / limit)
         return wait
 
     # ------------------------------------------------------------ dispatch
 
     def candidates(self, *, now: float) -> Iterator[Waiting]:
         """Yield a bounded number of requests that may start next, in order."""
-        aged = self._aged(now)
+        aged = self._aged_candidate(now)
         if aged is not None:
             yield aged
-        left = SCAN_LIMIT
+        left = MAX_SCANNED_REQUESTS
         for priority, cls in self._classes.items():
             for _, name in cls.ready:
                 for _, _, waiting in self._accounts[name].waiting[priority][:left]:
@@ -277,7 +277,7 @@
         """
         account = self._accounts[waiting.account]
         urgent = next(p for p, cls in self._classes.items() if cls.ready)
-        self._since_aged = 0 if waiting.priority > urgent else self._since_aged + 1
+        self._grants_since_aged = 0 if waiting.priority > urgent else self._grants_since_aged + 1
         self._remove(waiting)
         self._virtual_now = max(self._virtual_now, account.used)
         charged = self.times.mean_s
@@ -286,15 +286,15 @@
 
     def resume(self, account: str) -> None:
         """Count a running request that was started by an earlier owner."""
-        known = self._accounts.get(account)
-        if known is not None:
-            self._charge(known, seconds=0.0, running=1)
+        state = self._accounts.get(account)
+        if state is not None:
+            self._charge(state, seconds=0.0, running=1)
 
     def finish(self, account: str, *, charged_s: float, used_s: float) -> None:
         """Record that a started request has released its slot after ``used_s`` seconds."""
-        known = self._accounts.get(account)
-        if known is not None:
-            self._charge(known, seconds=used_s - charged_s, running=-1)
+        state = self._accounts.get(account)
+        if state is not None:
+            self._charge(state, seconds=used_s - charged_s, running=-1)
 
     def abandon(self, request_id: str) -> Waiting | None:
         """Remove a request whose caller has disconnected."""
@@ -306,15 +306,15 @@
     def expire(self, *, now: float) -> tuple[Waiting, ...]:
         """Remove the requests that can no longer finish before their deadline."""
         late = []
-        while self._starts and self._starts[0][0] < now:
-            waiting = self._starts[0][2]
+        while self._by_latest_start and self._by_latest_start[0][0] < now:
+            waiting = self._by_latest_start[0][2]
             self._remove(waiting)
             late.append(waiting)
         return tuple(late)
 
     def next_expiry(self) -> float | None:
         """Return the time at which :meth:`expire` must be called next."""
-        return self._starts[0][0] if self._starts else None
+        return self._by_latest_start[0][0] if self._by_latest_start else None
 
     def find(self, request_id: str) -> Waiting | None:
         """Return the waiting request with an id."""
@@ -322,20 +322,20 @@
 
     def running(self, account: str) -> int:
         """Return the number of an account's requests that hold slots."""
-        known = self._accounts.get(account)
-        return 0 if known is None else known.running
+        state = self._accounts.get(account)
+        return 0 if state is None else state.running
 
     # ------------------------------------------------------------ internal
 
-    def _aged(self, now: float) -> Waiting | None:
-        if self._since_aged + 1 < self.rules.aged_every:
+    def _aged_candidate(self, now: float) -> Waiting | None:
+        if self._grants_since_aged + 1 < self.rules.aged_every:
             return None
         first = next((p for p, cls in self._classes.items() if cls.arrived), None)
         oldest: Waiting | None = None
         for priority, cls in self._classes.items():
             if first is None or priority == first:
                 continue
-            for waiting in itertools.islice(cls.arrived.values(), SCAN_LIMIT):
+            for waiting in itertools.islice(cls.arrived.values(), MAX_SCANNED_REQUESTS):
                 if self._accounts[waiting.account].at_limit():
                     continue
                 if oldest is None or waiting.enqueued_at < oldest.enqueued_at:
@@ -345,7 +345,7 @@
             return None
         return oldest
 
-    def _displaced_by(self, priority: PriorityClass) -> Waiting | None:
+    def _find_displaceable(self, priority: PriorityClass) -> Waiting | None:
         """Return the newest request of the least urgent class below ``priority``."""
         for other in reversed(PriorityClass):
             if other > priority and self._classes[other].arrived:
@@ -358,47 +358,47 @@
             # slots for as long as it was idle.
             account.used = max(account.used, self._virtual_now)
         cls = self._classes[waiting.priority]
-        line = account.waiting[waiting.priority]
-        if not line:
+        requests = account.waiting[waiting.priority]
+        if not requests:
             cls.shares += account.terms.share
-        line.add((waiting.deadline, waiting.seq, waiting))
-        if len(line) == 1 and not account.at_limit():
+        requests.add((waiting.deadline, waiting.seq, waiting))
+        if len(requests) == 1 and not account.at_limit():
             cls.ready.add((account.used, account.name))
         cls.arrived[waiting.seq] = waiting
-        self._starts.add((waiting.latest_start, waiting.seq, waiting))
+        self._by_latest_start.add((waiting.latest_start, waiting.seq, waiting))
         self._by_id[waiting.request_id] = waiting
 
     def _remove(self, waiting: Waiting) -> None:
         account = self._accounts[waiting.account]
         cls = self._classes[waiting.priority]
-        line = account.waiting[waiting.priority]
-        line.remove((waiting.deadline, waiting.seq, waiting))
-        if not line:
+        requests = account.waiting[waiting.priority]
+        requests.remove((waiting.deadline, waiting.seq, waiting))
+        if not requests:
             cls.shares -= account.terms.share
             if not account.at_limit():
                 cls.ready.remove((account.used, account.name))
         del cls.arrived[waiting.seq]
-        self._starts.remove((waiting.latest_start, waiting.seq, waiting))
+        self._by_latest_start.remove((waiting.latest_start, waiting.seq, waiting))
         del self._by_id[waiting.request_id]
 
     def _charge(self, account: _Account, *, seconds: float, running: int) -> None:
-        lines = self._unready(account)
+        priorities = self._remove_from_order(account)
         account.used += seconds / account.terms.share
         account.running = max(0, account.running + running)
-        self._ready(account, lines)
+        self._add_to_order(account, priorities)
 
-    def _unready(self, account: _Account) -> tuple[PriorityClass, ...]:
+    def _remove_from_order(self, account: _Account) -> tuple[PriorityClass, ...]:
         """Remove an account from the sorted collections so that its sort key may change."""
-        lines = tuple(p for p, line in account.waiting.items() if line)
-        for priority in lines:
+        priorities = tuple(p for p, requests in account.waiting.items() if requests)
+        for priority in priorities:
             cls = self._classes[priority]
             cls.shares -= account.terms.share
             if not account.at_limit():
                 cls.ready.remove((account.used, account.name))
-        return lines
+        return priorities
 
-    def _ready(self, account: _Account, lines: tuple[PriorityClass, ...]) -> None:
-        for priority in lines:
+    def _add_to_order(self, account: _Account, priorities: tuple[PriorityClass, ...]) -> None:
+        for priority in priorities:
             cls = self._classes[priority]
             cls.shares += account.terms.share
             if not account.at_limit():
@@ -406,5 +406,5 @@
 
 
 def _refused(reason: RefusalReason, retry_after_s: float) -> Result[Admitted, Refusal]:
-    bounded = min(MOST_RETRY_S, max(LEAST_RETRY_S, retry_after_s))
+    bounded = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
     return Failure(Refusal(reason=reason, retry_after_s=bounded))
--- a/rhubarbferry/core/routing.py
+++ b/rhubarbferry/core/routing.py
@@ -8,7 +8,7 @@
 
 from rhubarbferry.core.partition import PartitionId, PartitionKind
 
-MOST_SPILLED = 0.5
+MAX_SPILL_FRACTION = 0.5
 
 
 @frozen(kw_only=True, slots=True)
@@ -77,7 +77,7 @@
     """
     if home_wait_s is None or rules.margin_s <= 0:
         return None
-    best = _best(home, waits)
+    best = _shortest_wait(home, waits)
     if best is None:
         return None
     cost_s = waits[best] + rules.round_trip_s
@@ -85,7 +85,7 @@
         return None
     if home_wait_s == float("inf"):
         return best
-    share = min(MOST_SPILLED, (home_wait_s - cost_s) / home_wait_s)
+    share = min(MAX_SPILL_FRACTION, (home_wait_s - cost_s) / home_wait_s)
     return best if draw < share else None
 
 
@@ -102,12 +102,12 @@
     """
     if rules.margin_s <= 0:
         return None
-    best = _best(home, waits)
+    best = _shortest_wait(home, waits)
     if best is None or waits[best] + rules.round_trip_s + rules.margin_s >= remaining_s:
         return None
     return best
 
 
-def _best(home: PartitionId, waits: Mapping[PartitionId, float]) -> PartitionId | None:
+def _shortest_wait(home: PartitionId, waits: Mapping[PartitionId, float]) -> PartitionId | None:
     elsewhere = [partition for partition in waits if partition.region != home.region]
     return min(elsewhere, key=lambda partition: (waits[partition], partition), default=None)
--- a/rhubarbferry/core/slots.py
+++ b/rhubarbferry/core/slots.py
@@ -23,7 +23,7 @@
     UNKNOWN = "unknown"
 
 
-KNOWN_ENDS = frozenset({SlotEnd.DONE, SlotEnd.NOT_SENT, SlotEnd.REFUSED_BY_RUNNER})
+CONCLUSIVE_ENDS = frozenset({SlotEnd.DONE, SlotEnd.NOT_SENT, SlotEnd.REFUSED_BY_RUNNER})
 
 
 @frozen(kw_only=True, slots=True)
@@ -146,13 +146,13 @@
     runners: dict[str, Runner] = Factory(dict)
     leases: dict[int, SlotLease] = Factory(dict)
     _by_request: dict[str, dict[str, int]] = field(factory=dict, init=False)
-    _free_of: dict[str, int] = field(factory=dict, init=False)
-    _capacity_of: dict[str, int] = field(factory=dict, init=False)
+    _free_by_runner: dict[str, int] = field(factory=dict, init=False)
+    _capacity_by_runner: dict[str, int] = field(factory=dict, init=False)
     _free: int = field(default=0, init=False)
     _capacity: int = field(default=0, init=False)
     _by_frontend: dict[str, set[int]] = field(factory=dict, init=False)
     _expiries: list[tuple[float, int]] = field(factory=list, init=False)
-    _foreign_ids: itertools.count = field(factory=lambda: itertools.count(-1, -1), init=False)
+    _unknown_grant_ids: itertools.count = field(factory=lambda: itertools.count(-1, -1), init=False)
 
     # ------------------------------------------------------------ runners
 
@@ -169,7 +169,7 @@
         runner.slots = slots
         runner.listed = True
         runner.listed_leaving = leaving
-        self._recount(runner)
+        self._update_totals(runner)
         return runner
 
     def drop_runner(self, id: str) -> None:
@@ -182,8 +182,8 @@
         if runner is None:
             return
         runner.listed = False
-        self._recount(runner)
-        self._forget_if_idle(runner)
+        self._update_totals(runner)
+        self._remove_if_idle(runner)
 
     def block(self, id: str, *, until: float, word_from: float) -> None:
         """Count all slots of a runner as taken until its next report or until ``until``.
@@ -193,7 +193,7 @@
         runner = self.runners[id]
         runner.blocked_until = until
         runner.word_from = word_from
-        self._recount(runner)
+        self._update_totals(runner)
 
     def choose(
         self,
@@ -204,11 +204,11 @@
         """Return the least loaded runner with a free slot, the faster one if several are equal."""
         best: Runner | None = None
         best_rank = (0.0, 0.0, "")
-        for id, free in self._free_of.items():
+        for id, free in self._free_by_runner.items():
             if id in excluded or not allowed(id):
                 continue
             runner = self.runners[id]
-            rank = (-free / self._capacity_of[id], runner.mean_service_s, id)
+            rank = (-free / self._capacity_by_runner[id], runner.mean_service_s, id)
             if best is None or rank < best_rank:
                 best, best_rank = runner, rank
         return best
@@ -220,7 +220,7 @@
 
         :raises NoFreeSlot: if the runner has no free slot.
         """
-        if lease.runner_id not in self._free_of:
+        if lease.runner_id not in self._free_by_runner:
             raise NoFreeSlot(f"runner {lease.runner_id} has no free slot")
         self._add(lease)
 
@@ -254,7 +254,7 @@
         lease = self.leases.get(grant_id)
         if lease is None:
             return None
-        if end in KNOWN_ENDS:
+        if end in CONCLUSIVE_ENDS:
             self._remove(lease)
             return lease
         if lease.unclear_since is None:
@@ -288,41 +288,41 @@
 
     # ------------------------------------------------------------ runner reports
 
-    def hear(self, word: RunnerWord, *, now: float) -> tuple[SlotLease, ...]:
+    def hear(self, report: RunnerWord, *, now: float) -> tuple[SlotLease, ...]:
         """Apply a status report of a runner.
 
         :returns: the leases that the report ended.
         """
-        runner = self.runners.get(word.runner_id)
+        runner = self.runners.get(report.runner_id)
         if runner is None:
             return ()
-        runner.said_leaving = word.leaving
-        runner.said_slots = word.slots
-        if runner.blocked_until is not None and word.asked_at >= runner.word_from:
-            self._hold_strangers(runner, word, now)
+        runner.said_leaving = report.leaving
+        runner.said_slots = report.slots
+        if runner.blocked_until is not None and report.asked_at >= runner.word_from:
+            self._lease_unknown_requests(runner, report, now)
             runner.blocked_until = None
         ended = tuple(
             lease
             for lease in [self.leases[grant_id] for grant_id in runner.leases]
-            if self._judge(lease, word, now)
+            if self._is_ended_by(lease, report, now)
         )
         for lease in ended:
             self._remove(lease)
-        self._recount(runner)
-        self._forget_if_idle(runner)
+        self._update_totals(runner)
+        self._remove_if_idle(runner)
         return ended
 
-    def _hold_strangers(self, runner: Runner, word: RunnerWord, now: float) -> None:
+    def _lease_unknown_requests(self, runner: Runner, report: RunnerWord, now: float) -> None:
         """Add a lease for each running request that has none.
 
         An earlier owner may have received an unknown outcome for it, or its frontend has died.
         """
-        for request_id in word.running:
+        for request_id in report.running:
             if self.find(runner_id=runner.id, request_id=request_id) is not None:
                 continue
             self._add(
                 SlotLease(
-                    grant_id=next(self._foreign_ids),
+                    grant_id=next(self._unknown_grant_ids),
                     request_id=request_id,
                     frontend_id=UNKNOWN_FRONTEND,
                     account="",
@@ -334,19 +334,19 @@
                 )
             )
 
-    def _judge(self, lease: SlotLease, word: RunnerWord, now: float) -> bool:
+    def _is_ended_by(self, lease: SlotLease, report: RunnerWord, now: float) -> bool:
         """Return whether a runner's report ends a lease; the frontend's report takes precedence."""
-        if lease.request_id in word.running:
+        if lease.request_id in report.running:
             self._extend(lease, now + self.rules.margin_s)
             return False
         if lease.unclear_since is None:
             return False
-        if lease.request_id in word.finished:
+        if lease.request_id in report.finished:
             return True
         # "Not running" is conclusive only once no part of the request can be in transit. Otherwise
         # the slot would be granted again before the request arrives.
         last_sent = max(lease.usable_until, lease.unclear_since)
-        return word.asked_at >= last_sent + self.rules.settle_s
+        return report.asked_at >= last_sent + self.rules.settle_s
 
     # ------------------------------------------------------------ time
 
@@ -358,8 +358,8 @@
         for runner in list(self.runners.values()):
             if runner.blocked_until is not None and runner.blocked_until <= now:
                 runner.blocked_until = None
-                self._recount(runner)
-                self._forget_if_idle(runner)
+                self._update_totals(runner)
+                self._remove_if_idle(runner)
         ended = []
         while self._expiries and self._expiries[0][0] <= now:
             _, grant_id = heapq.heappop(self._expiries)
@@ -371,11 +371,11 @@
 
     def next_expiry(self) -> float | None:
         """Return the time at which :meth:`expire` must be called next."""
-        blocks = [r.blocked_until for r in self.runners.values() if r.blocked_until is not None]
+        expiries = [r.blocked_until for r in self.runners.values() if r.blocked_until is not None]
         first = self._expiries[0][0] if self._expiries else None
         if first is not None:
-            blocks.append(first)
-        return min(blocks, default=None)
+            expiries.append(first)
+        return min(expiries, default=None)
 
     # ------------------------------------------------------------ totals
 
@@ -402,7 +402,7 @@
         self.leases[lease.grant_id] = lease
         runner = self.runners[lease.runner_id]
         runner.leases.add(lease.grant_id)
-        self._recount(runner)
+        self._update_totals(runner)
         self._by_request.setdefault(lease.request_id, {})[lease.runner_id] = lease.grant_id
         self._by_frontend.setdefault(lease.frontend_id, set()).add(lease.grant_id)
         self._extend(lease, lease.deadline + self.rules.margin_s)
@@ -424,32 +424,32 @@
         del self.leases[lease.grant_id]
         runner = self.runners[lease.runner_id]
         runner.leases.discard(lease.grant_id)
-        self._recount(runner)
+        self._update_totals(runner)
         attempts = self._by_request.get(lease.request_id, {})
         if attempts.get(lease.runner_id) == lease.grant_id:
             del attempts[lease.runner_id]
             if not attempts:
                 del self._by_request[lease.request_id]
-        mine = self._by_frontend[lease.frontend_id]
-        mine.discard(lease.grant_id)
-        if not mine:
+        frontend_leases = self._by_frontend[lease.frontend_id]
+        frontend_leases.discard(lease.grant_id)
+        if not frontend_leases:
             del self._by_frontend[lease.frontend_id]
-        self._forget_if_idle(runner)
+        self._remove_if_idle(runner)
 
-    def _recount(self, runner: Runner) -> None:
+    def _update_totals(self, runner: Runner) -> None:
         """Update the totals after a change of a runner, so that no decision has to compute them."""
-        self._free += self._put(self._free_of, runner.id, runner.free())
+        self._free += self._set_count(self._free_by_runner, runner.id, runner.free())
         capacity = 0 if runner.leaving else runner.capacity
-        self._capacity += self._put(self._capacity_of, runner.id, capacity)
+        self._capacity += self._set_count(self._capacity_by_runner, runner.id, capacity)
 
     @staticmethod
-    def _put(counts: dict[str, int], id: str, count: int) -> int:
+    def _set_count(counts: dict[str, int], id: str, count: int) -> int:
         before = counts.pop(id, 0)
         if count:
             counts[id] = count
         return count - before
 
-    def _forget_if_idle(self, runner: Runner) -> None:
+    def _remove_if_idle(self, runner: Runner) -> None:
         if not runner.listed and not runner.leases and runner.blocked_until is None:
             self.runners.pop(runner.id, None)
 
--- a/rhubarbferry/core/succession.py
+++ b/rhubarbferry/core/succession.py
@@ -31,7 +31,7 @@
     promise_s: float
     lease_s: float
     longest_extension_s: float
-    _counted: dict[str, int] = Factory(dict)
+    _settled_epochs: dict[str, int] = Factory(dict)
     _majority_at: float | None = None
 
     def heard(self, worker: str, *, settled_epoch: int) -> None:
@@ -39,14 +39,14 @@
 
         :param settled_epoch: epoch of the last owner that counted this worker, 0 for none.
         """
-        self._counted[worker] = max(settled_epoch, self._counted.get(worker, 0))
+        self._settled_epochs[worker] = max(settled_epoch, self._settled_epochs.get(worker, 0))
 
     def look(self, *, unheard: Iterable[str], now: float) -> None:
         """Check whether a majority has been reached, and record the time at which it was.
 
         :param unheard: workers in the host list that were never adopted.
         """
-        if self._majority_at is None and self._outnumbered(list(unheard)):
+        if self._majority_at is None and self._has_majority(list(unheard)):
             self._majority_at = now
 
     def settled_at(self) -> float:
@@ -60,9 +60,9 @@
         """Return whether no majority has been reached yet."""
         return self._majority_at is None
 
-    def _outnumbered(self, unheard: list[str]) -> bool:
+    def _has_majority(self, unheard: list[str]) -> bool:
         if not unheard:
             return True
-        last = max(self._counted.values(), default=0)
-        counted = sum(1 for epoch in self._counted.values() if epoch == last and last > 0)
+        last = max(self._settled_epochs.values(), default=0)
+        counted = sum(1 for epoch in self._settled_epochs.values() if epoch == last and last > 0)
         return counted > len(unheard)
--- a/rhubarbferry/core/worker_ledger.py
+++ b/rhubarbferry/core/worker_ledger.py
@@ -43,11 +43,11 @@
 class WorkerState(IntEnum):
     """Whether a worker can be given tasks.
 
-    ``UNHEARD``: never adopted under this epoch, so its tasks are unknown. ``LIVE``: adopted and
+    ``NOT_ADOPTED``: never adopted under this epoch, so its tasks are unknown. ``LIVE``: adopted and
     responding. ``SILENT``: adopted but not responding; its tasks may continue to run.
     """
 
-    UNHEARD = 0
+    NOT_ADOPTED = 0
     LIVE = 1
     SILENT = 2
 
@@ -147,7 +147,7 @@
         self._held: dict[str, Held] = {}
         self._used: dict[str, Size] = {}
         self.placement = Placement()
-        self._kept: Kept | None = None
+        self._dedicated: Kept | None = None
 
     # ------------------------------------------------------------ workers
 
@@ -156,7 +156,7 @@
         self._workers[worker] = _Worker(
             id=worker,
             failure_domain=failure_domain,
-            state=WorkerState.UNHEARD,
+            state=WorkerState.NOT_ADOPTED,
             lease_until=unheard_until,
         )
 
@@ -180,14 +180,14 @@
     def over_by(self, worker: str, *, until: float) -> None:
         """Record that all tasks of earlier owners on a worker end by ``until``."""
         entry = self._workers[worker]
-        if entry.state == WorkerState.UNHEARD:
+        if entry.state == WorkerState.NOT_ADOPTED:
             entry.lease_until = min(entry.lease_until, until)
 
     def set_accepting(self, worker: str, accepting: bool) -> None:
         """Set whether a worker may be given new tasks while it is live."""
         entry = self._workers[worker]
         entry.accepting = accepting
-        self._reopen(entry)
+        self._update_open(entry)
 
     def adopt(
         self, worker: str, *, capacity: Size, reported: Sequence[Reported], now: float
@@ -203,7 +203,7 @@
         """
         entry = self._workers[worker]
         entry.capacity = capacity
-        missing = self._missing(entry, reported)
+        missing = self._find_unstarted(entry, reported)
         # Assigned, not raised: a lease granted by an earlier owner has expired by then as well.
         entry.lease_until = now + self._lease_s + self._margin_s
         self.placement.put(worker, capacity=capacity, failure_domain=entry.failure_domain)
@@ -212,9 +212,9 @@
             if held.state != HeldState.ENDED:
                 self.placement.take_running(worker, held.attempt.job_id, held.attempt.size)
         for report in reported:
-            self._learn(entry, report, now)
+            self._apply_report(entry, report, now)
         entry.state = WorkerState.LIVE
-        self._reopen(entry)
+        self._update_open(entry)
         ended = [self.end(task_id, End.NOT_STARTED) for task_id in missing]
         ended += [
             self.end(r.attempt.task_id, r.end, r.ran_ms) for r in reported if r.end is not None
@@ -235,14 +235,14 @@
         entry = self._workers[worker]
         if entry.state == WorkerState.SILENT:
             entry.state = WorkerState.LIVE
-            self._reopen(entry)
+            self._update_open(entry)
 
     def silent(self, worker: str) -> None:
         """Assign no tasks to a worker until it responds."""
         entry = self._workers[worker]
         if entry.state == WorkerState.LIVE:
             entry.state = WorkerState.SILENT
-            self._reopen(entry)
+            self._update_open(entry)
 
     def lapse(self, now: float) -> list[Held]:
         """End the attempts on workers whose lease must have lapsed by ``now``.
@@ -251,10 +251,10 @@
         """
         ended: list[Held] = []
         for entry in self._workers.values():
-            over = entry.state != WorkerState.LIVE and entry.lease_until <= now
+            expired = entry.state != WorkerState.LIVE and entry.lease_until <= now
             for task_id in tuple(entry.tasks):
                 lapses_at = self._held[task_id].lapses_at
-                if not over and (lapses_at is None or lapses_at > now):
+                if not expired and (lapses_at is None or lapses_at > now):
                     continue
                 held = self.end(task_id, End.LEASE_LAPSED)
                 if held is not None:
@@ -264,19 +264,19 @@
     def adopted(self) -> list[str]:
         """Return the adopted workers; they run no attempt that is missing in this ledger."""
         workers = self._workers.values()
-        return [entry.id for entry in workers if entry.state != WorkerState.UNHEARD]
+        return [entry.id for entry in workers if entry.state != WorkerState.NOT_ADOPTED]
 
     def never_heard(self) -> list[str]:
         """Return the workers that were never adopted, also if their earlier tasks have ended."""
         workers = self._workers.values()
-        return [entry.id for entry in workers if entry.state == WorkerState.UNHEARD]
+        return [entry.id for entry in workers if entry.state == WorkerState.NOT_ADOPTED]
 
     def unheard(self, now: float) -> list[str]:
         """Return the workers that may run attempts that are missing in this ledger."""
         return [
             entry.id
             for entry in self._workers.values()
-            if entry.state == WorkerState.UNHEARD and entry.lease_until > now
+            if entry.state == WorkerState.NOT_ADOPTED and entry.lease_until > now
         ]
 
     # ------------------------------------------------------------ attempts
@@ -300,7 +300,7 @@
 
         :returns: ``None`` if no worker has enough free capacity.
         """
-        worker = self._kept_for(attempt) or self.placement.choose(attempt.need(spread))
+        worker = self._dedicated_for(attempt) or self.placement.choose(attempt.need(spread))
         if worker is None:
             return None
         if not self.placement.take(worker, attempt.job_id, attempt.size):
@@ -309,7 +309,7 @@
         held = Held(
             attempt=attempt, worker=worker, state=state, since=now, reserved_until=reserved_until
         )
-        self._count(held)
+        self._add(held)
         return held
 
     def keep(self, attempt: Attempt, *, waited_s: float, now: float) -> bool:
@@ -319,25 +319,25 @@
         starve. One worker at a time accepts no other tasks until the large task fits; the other
         workers are unaffected.
         """
-        self._give_up_kept(now)
-        kept, since = self._kept, now - waited_s
-        name = attempt.job_id
-        if kept is not None and kept.job_id != name:
-            if (kept.priority, kept.since) <= (attempt.priority, since):
+        self._expire_dedicated(now)
+        dedicated, since = self._dedicated, now - waited_s
+        job_id = attempt.job_id
+        if dedicated is not None and dedicated.job_id != job_id:
+            if (dedicated.priority, dedicated.since) <= (attempt.priority, since):
                 return False
-            self._release_kept()
-            kept = None
-        worker = self._soonest(attempt) if kept is None else kept.worker
+            self._release_dedicated()
+            dedicated = None
+        worker = self._closest_fit(attempt) if dedicated is None else dedicated.worker
         if worker is None:
             return False
-        self._kept = Kept(
-            job_id=name,
+        self._dedicated = Kept(
+            job_id=job_id,
             worker=worker,
             priority=attempt.priority,
             since=since,
             until=now + KEEP_S,
         )
-        self._reopen(self._workers[worker])
+        self._update_open(self._workers[worker])
         return True
 
     def preempt(self, attempt: Attempt, *, now: float) -> list[Held]:
@@ -353,33 +353,33 @@
         best: tuple[int, str, list[Held]] | None = None
         for entry in self._workers.values():
             usable = entry.accepting and entry.state == WorkerState.LIVE
-            kept_for_other = (
-                self._kept is not None
-                and self._kept.worker == entry.id
-                and self._kept.job_id != attempt.job_id
+            dedicated_to_other = (
+                self._dedicated is not None
+                and self._dedicated.worker == entry.id
+                and self._dedicated.job_id != attempt.job_id
             )
-            if not usable or kept_for_other or entry.id in attempt.avoid:
+            if not usable or dedicated_to_other or entry.id in attempt.avoid:
                 continue
             victims = self._victims(entry, attempt)
             if victims is not None and (best is None or len(victims) < best[0]):
                 best = (len(victims), entry.id, victims)
         if best is None:
             return []
-        self._give_up_kept(now)
-        if self._kept is None or self._kept.job_id != attempt.job_id:
-            self._release_kept()
-            self._kept = Kept(
+        self._expire_dedicated(now)
+        if self._dedicated is None or self._dedicated.job_id != attempt.job_id:
+            self._release_dedicated()
+            self._dedicated = Kept(
                 job_id=attempt.job_id,
                 worker=best[1],
                 priority=attempt.priority,
                 since=now,
                 until=now + KEEP_S,
             )
-            self._reopen(self._workers[best[1]])
+            self._update_open(self._workers[best[1]])
         return best[2]
 
     def _victims(self, entry: _Worker, attempt: Attempt) -> list[Held] | None:
-        """Return the tasks to preempt on a worker, or ``None`` if that frees too little capacity."""
+        """Return the tasks to preempt on a worker, or ``None`` if that frees too little."""
         room = self.placement.free(entry.id)
         stopping: Counter[str] = Counter()
         candidates = []
@@ -389,7 +389,7 @@
             if held.stopping:
                 room = room + held.attempt.size
                 stopping[held.attempt.account] += 1
-            elif _may_give_way(held.attempt, attempt):
+            elif _is_preemptible_by(held.attempt, attempt):
                 candidates.append(held)
         candidates.sort(key=lambda held: (-held.attempt.priority, -held.since))
         victims: list[Held] = []
@@ -403,7 +403,7 @@
             victims.append(held)
         return victims if attempt.size.fits(room) else None
 
-    def _soonest(self, attempt: Attempt) -> str | None:
+    def _closest_fit(self, attempt: Attempt) -> str | None:
         """Return the open worker with sufficient capacity that lacks the least free capacity."""
         size = attempt.size
         best: str | None = None
@@ -422,27 +422,27 @@
                 best, least = entry.id, lack
         return best
 
-    def _kept_for(self, attempt: Attempt) -> str | None:
+    def _dedicated_for(self, attempt: Attempt) -> str | None:
         """Release and return the worker reserved for this task, if the task fits there now."""
-        kept = self._kept
-        if kept is None or kept.job_id != attempt.job_id:
+        dedicated = self._dedicated
+        if dedicated is None or dedicated.job_id != attempt.job_id:
             return None
-        entry = self._workers.get(kept.worker)
+        entry = self._workers.get(dedicated.worker)
         if entry is None or not entry.accepting or entry.state != WorkerState.LIVE:
             return None
-        if not attempt.size.fits(self.placement.free(kept.worker)):
+        if not attempt.size.fits(self.placement.free(dedicated.worker)):
             return None
-        self._release_kept()
-        return kept.worker
+        self._release_dedicated()
+        return dedicated.worker
 
-    def _give_up_kept(self, now: float) -> None:
-        if self._kept is not None and self._kept.until <= now:
-            self._release_kept()
+    def _expire_dedicated(self, now: float) -> None:
+        if self._dedicated is not None and self._dedicated.until <= now:
+            self._release_dedicated()
 
-    def _release_kept(self) -> None:
-        kept, self._kept = self._kept, None
-        if kept is not None and kept.worker in self._workers:
-            self._reopen(self._workers[kept.worker])
+    def _release_dedicated(self) -> None:
+        dedicated, self._dedicated = self._dedicated, None
+        if dedicated is not None and dedicated.worker in self._workers:
+            self._update_open(self._workers[dedicated.worker])
 
     def commit(self, task_id: str) -> Held | None:
         """Turn a reservation into a start; return ``None`` if the reservation no longer exists."""
@@ -458,19 +458,19 @@
         held = self._held.get(task_id)
         if held is None or held.state not in (HeldState.RESERVED, HeldState.STARTING):
             return False
-        self._free(held)
-        self._forget(held)
+        self._release_capacity(held)
+        self._remove(held)
         return True
 
     def expire(self, now: float) -> int:
         """Release expired reservations and return their number."""
-        self._give_up_kept(now)
-        over = [
+        self._expire_dedicated(now)
+        expired = [
             task_id
             for task_id, held in self._held.items()
             if held.state == HeldState.RESERVED and held.reserved_until <= now
         ]
-        return sum(self.release(task_id) for task_id in over)
+        return sum(self.release(task_id) for task_id in expired)
 
     def started(self, task_id: str) -> None:
         """Record that the worker reported an attempt as running."""
@@ -486,7 +486,7 @@
         held = self._held.get(task_id)
         if held is None or held.state in (HeldState.ENDED, HeldState.RESERVED):
             return None
-        self._free(held)
+        self._release_capacity(held)
         held.state = HeldState.ENDED
         held.end = end
         held.ran_ms = ran_ms
@@ -496,7 +496,7 @@
         """Remove an ended attempt whose home has recorded its end."""
         held = self._held.get(task_id)
         if held is not None and held.state == HeldState.ENDED:
-            self._forget(held)
+            self._remove(held)
 
     # ------------------------------------------------------------ totals
 
@@ -528,11 +528,11 @@
 
     # ------------------------------------------------------------ internal
 
-    def _missing(self, entry: _Worker, reported: Sequence[Reported]) -> list[str]:
+    def _find_unstarted(self, entry: _Worker, reported: Sequence[Reported]) -> list[str]:
         """Return the attempts that never started; set ``lapses_at`` of unreported running ones."""
-        told = {report.attempt.task_id for report in reported}
+        reported_ids = {report.attempt.task_id for report in reported}
         missing = []
-        for task_id in entry.tasks - told:
+        for task_id in entry.tasks - reported_ids:
             held = self._held[task_id]
             if held.state == HeldState.STARTING:
                 missing.append(task_id)
@@ -540,7 +540,7 @@
                 held.lapses_at = entry.lease_until
         return missing
 
-    def _learn(self, entry: _Worker, report: Reported, now: float) -> None:
+    def _apply_report(self, entry: _Worker, report: Reported, now: float) -> None:
         held = self._held.get(report.attempt.task_id)
         if held is not None:
             if held.state == HeldState.STARTING:
@@ -548,15 +548,15 @@
             return
         held = Held(attempt=report.attempt, worker=entry.id, state=HeldState.RUNNING, since=now)
         self.placement.take_running(entry.id, report.attempt.job_id, report.attempt.size)
-        self._count(held)
+        self._add(held)
 
-    def _count(self, held: Held) -> None:
+    def _add(self, held: Held) -> None:
         attempt = held.attempt
         self._held[attempt.task_id] = held
         self._workers[held.worker].tasks.add(attempt.task_id)
         self._used[attempt.account] = self._used.get(attempt.account, Size()) + attempt.size
 
-    def _free(self, held: Held) -> None:
+    def _release_capacity(self, held: Held) -> None:
         attempt = held.attempt
         self.placement.give_back(held.worker, attempt.job_id, attempt.size)
         left = self._used[attempt.account] - attempt.size
@@ -565,18 +565,18 @@
         else:
             self._used[attempt.account] = left
 
-    def _forget(self, held: Held) -> None:
+    def _remove(self, held: Held) -> None:
         task_id = held.attempt.task_id
         del self._held[task_id]
         self._workers[held.worker].tasks.discard(task_id)
 
-    def _reopen(self, entry: _Worker) -> None:
-        if entry.state != WorkerState.UNHEARD:
-            kept = self._kept is not None and self._kept.worker == entry.id
-            is_open = entry.accepting and entry.state == WorkerState.LIVE and not kept
+    def _update_open(self, entry: _Worker) -> None:
+        if entry.state != WorkerState.NOT_ADOPTED:
+            dedicated = self._dedicated is not None and self._dedicated.worker == entry.id
+            is_open = entry.accepting and entry.state == WorkerState.LIVE and not dedicated
             self.placement.set_open(entry.id, is_open)
 
 
-def _may_give_way(held: Attempt, urgent: Attempt) -> bool:
+def _is_preemptible_by(held: Attempt, urgent: Attempt) -> bool:
     """Return whether a task may be preempted; a non-idempotent task could not be resumed."""
     return held.preemptible and held.idempotent and held.priority > urgent.priority
--- a/tests/core/test_fairshare.py
+++ b/tests/core/test_fairshare.py
@@ -3,7 +3,7 @@
 import pytest
 
 from rhubarbferry.core.cell import Size
-from rhubarbferry.core.fairshare import PAST_WEIGHT, FairShare, UsageDigest
+from rhubarbferry.core.fairshare import PAST_USAGE_WEIGHT, FairShare, UsageDigest
 
 TOTAL = Size(millicores=100, memory_bytes=1000, accelerators=10)
 
@@ -58,8 +58,8 @@
     made = share(a=1.0, b=1.0)
     made.put_digest("p", UsageDigest(taken_at=1.0, used={"a": Size(millicores=100)}))
     made.put_digest("p", UsageDigest(taken_at=601.0, used={}))
-    assert made.standing("a", 601.0) == pytest.approx(0.5 * PAST_WEIGHT)
-    assert made.standing("a", 1201.0) == pytest.approx(0.25 * PAST_WEIGHT)
+    assert made.standing("a", 601.0) == pytest.approx(0.5 * PAST_USAGE_WEIGHT)
+    assert made.standing("a", 1201.0) == pytest.approx(0.25 * PAST_USAGE_WEIGHT)
     assert made.standing("b", 1201.0) == 0.0
 
 
--- a/tests/core/test_ownership.py
+++ b/tests/core/test_ownership.py
@@ -107,8 +107,8 @@
 @CHECKED
 @given(tables_st, members_st, partitions_st)
 def test_nobody_takes_a_partition_from_a_live_owner(table, members, partitions):
-    ideal = plan(table, members, partitions)
-    new = permitted(table, ideal, members, frozenset())
+    planned = plan(table, members, partitions)
+    new = permitted(table, planned, members, frozenset())
     live = {(m.id, m.incarnation) for m in members}
     for partition, old in table.entries.items():
         if (old.member_id, old.incarnation) in live:
@@ -160,7 +160,7 @@
 def test_owner_hands_over_what_it_has_given_up():
     members = [member(1), member(2, "south")]
     table = Table(entries={KEY: entry(2, 4)}, planned_for=("m1", "m2"))
-    ideal = plan(table, members, [KEY])
-    assert misplaced(table, ideal, members[1]) == {KEY}
-    assert permitted(table, ideal, members, frozenset()) is table
-    assert permitted(table, ideal, members, frozenset({KEY})).entries[KEY].member_id == "m1"
+    planned = plan(table, members, [KEY])
+    assert misplaced(table, planned, members[1]) == {KEY}
+    assert permitted(table, planned, members, frozenset()) is table
+    assert permitted(table, planned, members, frozenset({KEY})).entries[KEY].member_id == "m1"
--- a/tests/core/test_worker_ledger_machine.py
+++ b/tests/core/test_worker_ledger_machine.py
@@ -213,7 +213,7 @@
     def lost(self, worker: str, start: bool) -> None:
         if start:
             self.wires[worker].adopted = False
-        if self.ledger.state(worker) is not WorkerState.UNHEARD:
+        if self.ledger.state(worker) is not WorkerState.NOT_ADOPTED:
             self.ledger.silent(worker)
 
     def heard(self, worker: str, number: int) -> None:
