--- a/tests/core/test_guards.py
+++ b/tests/core/test_guards.py
@@ -57,10 +57,10 @@
         ),
     ],
 )
-def test_next_sets(old, members, new):
+def test_plan_guards(old, members, new):
     assert plan_guards(old, members) == new
 
 
 @pytest.mark.parametrize(("size", "majority"), [(1, 1), (2, 2), (3, 2), (4, 3), (5, 3)])
-def test_majority(size, majority):
+def test_majority_size(size, majority):
     assert guard_set(1, "abcde"[:size]).majority == majority
--- a/tests/core/test_intents_machine.py
+++ b/tests/core/test_intents_machine.py
@@ -1,4 +1,4 @@
-"""Intents against a log, with a crash after every step and writes whose fate is not known."""
+"""Model test of intents with crashes between log writes and their application."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class IntentsMachine(RuleBasedStateMachine):
-    """Each step first writes, then applies; ``crash`` forgets all but what is on record."""
+    """Each step writes to the log and then applies the record; ``crash`` replays the log."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -137,7 +137,7 @@
             return
         at = IntentKey(account="a", key=key)
         if self.book.judge_finish(at, request_id, None) is Finishing.RECORD:
-            # Written with its reply lost: nobody was told to run it.
+            # The write was stored but its reply was lost, so no request was dispatched.
             self.log.append(Ended(key=key, request_id=request_id, outcome=None))
         self.book.cancelled(at, request_id)
 
--- a/tests/core/test_keeping_workers.py
+++ b/tests/core/test_keeping_workers.py
@@ -24,45 +24,45 @@
 
 
 def ledger(*workers: str) -> WorkerLedger:
-    made = WorkerLedger(lease_s=6.0, margin_s=0.3)
+    rack = WorkerLedger(lease_s=6.0, margin_s=0.3)
     for worker in workers:
-        made.add_worker(worker, failure_domain="d", unheard_until=0.0)
-        made.adopt(worker, capacity=WORKER, reported=[], now=0.0)
-    return made
+        rack.add_worker(worker, failure_domain="d", unheard_until=0.0)
+        rack.adopt(worker, capacity=WORKER, reported=[], now=0.0)
+    return rack
 
 
 def test_a_large_task_is_not_starved_by_small_ones() -> None:
-    """Small tasks take whatever becomes free, so a whole worker is never free at one moment.
+    """Small tasks use all capacity that becomes free, so no worker is ever entirely free.
 
-    A large task would wait for as long as small ones keep coming.
+    Without a dedicated worker, a large task waits for as long as small tasks arrive.
     """
-    made = ledger("w1")
+    rack = ledger("w1")
     running = [attempt("small", 1, number) for number in range(8)]
     for small in running:
-        assert made.place(small, spread=PACK, now=0.0)
+        assert rack.place(small, spread=PACK, now=0.0)
     large = attempt("large", 8)
     for step in range(8):
-        assert made.place(large, spread=PACK, now=float(step)) is None
-        assert made.keep(large, waited_s=10.0, now=float(step))
-        made.end(running[step].task_id, End.DONE)
-        assert made.place(attempt("small", 1, 100 + step), spread=PACK, now=float(step)) is None
-    assert made.place(large, spread=PACK, now=8.0).worker == "w1"
+        assert rack.place(large, spread=PACK, now=float(step)) is None
+        assert rack.keep(large, waited_s=10.0, now=float(step))
+        rack.end(running[step].task_id, End.DONE)
+        assert rack.place(attempt("small", 1, 100 + step), spread=PACK, now=float(step)) is None
+    assert rack.place(large, spread=PACK, now=8.0).worker == "w1"
 
 
-def test_one_worker_is_kept_and_given_up_when_nobody_asks_again() -> None:
-    made = ledger("w1", "w2")
+def test_one_worker_is_dedicated_and_released_unless_renewed() -> None:
+    rack = ledger("w1", "w2")
     for number in range(2):
-        assert made.place(attempt("small", 5, number), spread=PACK, now=0.0)
-    assert made.keep(attempt("large", 8), waited_s=10.0, now=0.0)
-    assert not made.keep(attempt("other", 8), waited_s=5.0, now=0.0)
-    placed = [made.place(attempt("s", 1, number), spread=PACK, now=0.0) for number in range(4)]
+        assert rack.place(attempt("small", 5, number), spread=PACK, now=0.0)
+    assert rack.keep(attempt("large", 8), waited_s=10.0, now=0.0)
+    assert not rack.keep(attempt("other", 8), waited_s=5.0, now=0.0)
+    placed = [rack.place(attempt("s", 1, number), spread=PACK, now=0.0) for number in range(4)]
     assert len({held.worker for held in placed if held is not None}) == 1
     assert placed[3] is None
-    made.expire(KEEP_S)
-    assert made.place(attempt("s", 1, 9), spread=PACK, now=KEEP_S) is not None
+    rack.expire(KEEP_S)
+    assert rack.place(attempt("s", 1, 9), spread=PACK, now=KEEP_S) is not None
 
 
-def test_a_job_insists_only_when_others_have_gone_before_it_for_long() -> None:
+def test_a_job_requests_capacity_only_after_being_skipped_for_long() -> None:
     queue = JobQueue(far_after_s=1.0, patience_s=5.0)
     share = FairShare(half_life_s=600.0)
     share.set_total(WORKER)
--- a/tests/core/test_log_rules.py
+++ b/tests/core/test_log_rules.py
@@ -29,7 +29,7 @@
         (6, "me", "8", Verdict.FENCED),
     ],
 )
-def test_a_found_record_is_judged_by_its_stamp(
+def test_an_existing_record_is_classified_by_its_stamp(
     epoch: int, writer: str, write: str, verdict: Verdict
 ) -> None:
     found = Stamp(epoch=epoch, writer_id=writer, write_id=write)
@@ -40,7 +40,7 @@
     ("epoch", "writer", "allowed"),
     [(4, "other", True), (5, "me", True), (5, "other", False), (6, "me", False)],
 )
-def test_only_a_later_owner_or_the_same_may_move_a_head(
+def test_only_the_same_or_a_later_owner_may_replace_the_head(
     epoch: int, writer: str, allowed: bool
 ) -> None:
     found = Head(epoch=epoch, writer_id=writer, write_id="1")
@@ -51,32 +51,39 @@
     ("sizes", "count"),
     [([], 0), ([50], 1), ([4, 4, 4], 2), ([10], 1), ([11, 1], 1), ([1] * 20, 10)],
 )
-def test_the_leading_items_fit_under_the_cap(sizes: list[int], count: int) -> None:
+def test_leading_counts_the_items_that_fit_under_the_cap(sizes: list[int], count: int) -> None:
     assert leading(sizes, cap=10) == count
 
 
-def test_chunks_hold_every_item_once_and_in_order() -> None:
+def test_chunks_contain_every_item_once_and_in_order() -> None:
     sizes = [3, 9, 12, 1, 1, 8, 2]
-    runs = [sizes[run] for run in chunked(sizes, cap=10)]
-    assert [size for run in runs for size in run] == sizes
-    assert all(sum(run) <= 10 or len(run) == 1 for run in runs)
+    groups = [sizes[group] for group in chunked(sizes, cap=10)]
+    assert [size for group in groups for size in group] == sizes
+    assert all(sum(group) <= 10 or len(group) == 1 for group in groups)
 
 
-def test_later_snapshots_sort_behind_earlier_ones() -> None:
+def test_snapshot_ids_sort_in_order_of_creation() -> None:
     order = [(1, 9, 1), (1, 10, 1), (1, 10, 2), (2, 3, 1), (10, 1, 1)]
     ids = [snapshot_id(epoch=e, upto=n, attempt=a) for e, n, a in order]
     assert ids == sorted(ids)
     start, end = LogKeys(partition="key/r/1").snapshots_below(ids[2])
-    chunks = [LogKeys(partition="key/r/1").chunk(one, 0) for one in ids]
+    chunks = [LogKeys(partition="key/r/1").chunk(id, 0) for id in ids]
     assert [start <= key < end for key in chunks] == [True, True, False, False, False]
     assert not start <= LogKeys(partition="key/r/1").head < end
 
 
 @pytest.mark.parametrize("rate", [0.6, 1.0, 1.9])
-def test_a_seal_outlives_an_owner_that_does_not_look(rate: float) -> None:
-    """The clocks of two processes differ. Still, whoever appends without a look at the head
-    does so while the seal of a successor can't have been deleted yet."""
-    rule = Retention(keep_s=60.0)
-    unseen = max(t / 10 for t in range(1000) if not rule.must_verify(verified_at=0, now=t / 10))
-    deleted = min(t / 10 for t in range(1000) if rule.may_delete(sealed_at=0, now=t / 10))
-    assert unseen * rate < deleted
+def test_a_seal_is_kept_while_an_owner_may_append_without_verifying(rate: float) -> None:
+    """Clock rates of two processes may differ by up to a factor of two.
+
+    An owner that appends without verifying the head must do so before a successor can have
+    deleted its seal.
+    """
+    retention = Retention(keep_s=60.0)
+    last_unverified_append = max(
+        t / 10 for t in range(1000) if not retention.must_verify(verified_at=0, now=t / 10)
+    )
+    first_deletion = min(
+        t / 10 for t in range(1000) if retention.may_delete(sealed_at=0, now=t / 10)
+    )
+    assert last_unverified_append * rate < first_deletion
--- a/tests/core/test_overrun.py
+++ b/tests/core/test_overrun.py
@@ -22,14 +22,14 @@
         ),
     ],
 )
-def test_remedies(memory: tuple[int, ...], preemptible: bool, remedies: tuple) -> None:
-    """A task declares less than it uses, and its neighbours pay for it.
+def test_remedies_escalate(memory: tuple[int, ...], preemptible: bool, remedies: tuple) -> None:
+    """A task that exceeds its declared size takes capacity from other tasks of the worker.
 
-    It is throttled, then checkpointed, then stopped, each time after what it used before the
-    last order has left the lagging reports.
+    It is throttled, then checkpointed, then stopped. Usage reports lag, so each step waits until
+    they no longer include usage from before the previous step.
     """
     watch = OverrunWatch(rules=OverrunRules(step_s=10.0))
-    got = tuple(
+    actual = tuple(
         watch.judge(
             "t",
             declared=DECLARED,
@@ -39,4 +39,4 @@
         )
         for step, used in enumerate(memory)
     )
-    assert got == remedies
+    assert actual == remedies
--- a/tests/core/test_ownership.py
+++ b/tests/core/test_ownership.py
@@ -52,7 +52,7 @@
 
 @CHECKED
 @given(tables_st, members_st, partitions_st, st.randoms(use_true_random=False))
-def test_same_inputs_give_the_same_table(table, members, partitions, rng):
+def test_the_plan_is_independent_of_the_input_order(table, members, partitions, rng):
     mixed = list(members)
     rng.shuffle(mixed)
     entries = list(table.entries.items())
@@ -64,7 +64,7 @@
 
 @CHECKED
 @given(tables_st, members_st, partitions_st)
-def test_all_are_owned_within_bounds_and_epochs_never_fall(table, members, partitions):
+def test_all_partitions_are_owned_evenly_and_epochs_never_decrease(table, members, partitions):
     new = plan(table, members, partitions)
     if not able(members):
         assert new == table
@@ -94,7 +94,7 @@
 
 @CHECKED
 @given(partitions_st, st.integers(2, 6), st.data())
-def test_few_moves_when_one_member_is_lost(partitions, count, data):
+def test_losing_a_member_moves_only_its_partitions(partitions, count, data):
     members = [member(number) for number in range(count)]
     local = {evolve(p, region="north") for p in partitions}
     table = plan(Table(), members, local)
@@ -106,7 +106,7 @@
 
 @CHECKED
 @given(tables_st, members_st, partitions_st)
-def test_nobody_takes_a_partition_from_a_live_owner(table, members, partitions):
+def test_permitted_never_takes_a_partition_from_a_live_owner(table, members, partitions):
     planned = plan(table, members, partitions)
     new = permitted(table, planned, members, frozenset())
     live = {(m.id, m.incarnation) for m in members}
@@ -147,7 +147,7 @@
     assert (new.member_id, new.epoch) == (owner, epoch)
 
 
-def test_kinds_are_spread_over_failure_domains():
+def test_partitions_of_a_kind_are_spread_over_failure_domains():
     members = [member(number, failure_domain=f"d{number // 2}") for number in range(4)]
     names = [PartitionId(kind=k, region="north", name=n) for k in PartitionKind for n in "ab"]
     table = plan(Table(), members, names)
@@ -157,7 +157,7 @@
         assert len(set(owners)) == 2
 
 
-def test_owner_hands_over_what_it_has_given_up():
+def test_an_owner_hands_over_partitions_that_it_has_given_up():
     members = [member(1), member(2, "south")]
     table = Table(entries={KEY: entry(2, 4)}, planned_for=("m1", "m2"))
     planned = plan(table, members, [KEY])
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -9,12 +9,12 @@
 
 
 def placement(**free: tuple[int, int, int]) -> Placement:
-    """Return workers ``w_domain=(millicores, memory, accelerators)``."""
-    made = Placement()
+    """Return a placement of workers ``name_domain=(millicores, memory, accelerators)``."""
+    workers_index = Placement()
     for name, (millicores, memory, accelerators) in free.items():
         capacity = Size(millicores=millicores, memory_bytes=memory, accelerators=accelerators)
-        made.put(name, capacity=capacity, failure_domain=name.split("_")[1])
-    return made
+        workers_index.put(name, capacity=capacity, failure_domain=name.split("_")[1])
+    return workers_index
 
 
 def need(millicores: int, memory: int, accelerators: int = 0, **more: object) -> Need:
@@ -38,54 +38,54 @@
         ({"a_1": (4, 4, 0), "b_1": (8, 8, 0)}, need(1, 1, spread=APART), "b_1"),
     ],
 )
-def test_choice(free: dict, wanted: Need, chosen: str | None) -> None:
+def test_chosen_worker(free: dict, wanted: Need, chosen: str | None) -> None:
     assert placement(**free).choose(wanted) == chosen
 
 
-def test_a_service_takes_another_failure_domain_first_then_another_worker() -> None:
-    made = placement(a_1=(9, 9, 0), b_1=(8, 8, 0), c_2=(7, 7, 0))
+def test_service_tasks_are_spread_over_failure_domains_then_workers() -> None:
+    workers_index = placement(a_1=(9, 9, 0), b_1=(8, 8, 0), c_2=(7, 7, 0))
     wanted = need(1, 1, spread=APART)
     chosen = []
     for _ in range(3):
-        worker = made.choose(wanted)
-        assert made.take(worker, "j", wanted.size)
+        worker = workers_index.choose(wanted)
+        assert workers_index.take(worker, "j", wanted.size)
         chosen.append(worker)
     assert chosen == ["a_1", "c_2", "b_1"]
 
 
-def test_a_size_without_room_is_found_again_when_room_appears() -> None:
-    made = placement(a_1=(4, 4, 0))
+def test_an_unplaceable_size_is_placed_after_capacity_is_released() -> None:
+    workers_index = placement(a_1=(4, 4, 0))
     big = need(3, 3)
-    assert made.take("a_1", "j", big.size)
-    assert made.choose(big) is None
-    assert made.choose(big) is None
-    made.give_back("a_1", "j", big.size)
-    assert made.choose(big) == "a_1"
+    assert workers_index.take("a_1", "j", big.size)
+    assert workers_index.choose(big) is None
+    assert workers_index.choose(big) is None
+    workers_index.give_back("a_1", "j", big.size)
+    assert workers_index.choose(big) == "a_1"
 
 
-def test_a_closed_worker_is_not_chosen_and_keeps_count() -> None:
-    made = placement(a_1=(4, 4, 0))
-    made.set_open("a_1", False)
-    assert made.choose(need(1, 1)) is None
-    made.give_back("a_1", "j", Size(millicores=1))
-    made.set_open("a_1", True)
-    assert made.free("a_1").millicores == 5
+def test_a_closed_worker_is_not_chosen_and_still_tracks_capacity() -> None:
+    workers_index = placement(a_1=(4, 4, 0))
+    workers_index.set_open("a_1", False)
+    assert workers_index.choose(need(1, 1)) is None
+    workers_index.give_back("a_1", "j", Size(millicores=1))
+    workers_index.set_open("a_1", True)
+    assert workers_index.free("a_1").millicores == 5
 
 
-def test_the_index_finds_room_whenever_there_is_any() -> None:
+def test_a_worker_is_found_if_and_only_if_one_has_capacity() -> None:
     rng = random.Random(7)
-    made = placement(
+    workers_index = placement(
         **{f"w{i}_{i % 3}": (rng.randint(1, 9), rng.randint(1, 9), i % 3) for i in range(40)}
     )
     workers = [f"w{i}_{i % 3}" for i in range(40)]
     taken: list[tuple[str, Size]] = []
     for _ in range(2000):
         wanted = need(rng.randint(0, 9), rng.randint(1, 9), rng.randint(0, 2))
-        there = any(wanted.size.fits(made.free(w)) for w in workers)
-        worker = made.choose(wanted)
-        assert (worker is not None) == there
+        fits_anywhere = any(wanted.size.fits(workers_index.free(w)) for w in workers)
+        worker = workers_index.choose(wanted)
+        assert (worker is not None) == fits_anywhere
         if worker is not None:
-            assert made.take(worker, "j", wanted.size)
+            assert workers_index.take(worker, "j", wanted.size)
             taken.append((worker, wanted.size))
         if len(taken) > 30 or worker is None and taken:
-            made.give_back(taken[0][0], "j", taken.pop(0)[1])
+            workers_index.give_back(taken[0][0], "j", taken.pop(0)[1])
--- a/tests/core/test_promise.py
+++ b/tests/core/test_promise.py
@@ -24,7 +24,7 @@
         (1, "b", 14.0, False),
     ],
 )
-def test_guard_with_a_promise_to_a_until_13(epoch, owner, now, accepted):
+def test_a_guard_with_an_active_promise_acknowledges_only_its_owner(epoch, owner, now, accepted):
     guard = GuardState()
     assert guard.promise(epoch=2, owner="a", now=10.0, duration_s=3.0).accepted
     answer = guard.acknowledge(epoch=epoch, owner=owner, now=now)
@@ -36,11 +36,11 @@
     ("epoch", "owner", "accepted"),
     [(2, "a", True), (1, "a", False), (2, "b", False), (3, "a", True)],
 )
-def test_a_promise_is_given_up_by_its_holder_only(epoch, owner, accepted):
-    """A scheduler hands over as planned and says so to the guards.
+def test_only_the_holder_can_release_a_promise(epoch, owner, accepted):
+    """A scheduler releases its promises in a planned handover.
 
-    Were its release not received, callers would get no slot until the promise has run out; were it
-    received from the wrong one or too late, two owners could act.
+    If guards ignored the release, callers would get no slot until the promise expires. If they
+    accepted it from another owner or for an older epoch, two owners could act.
     """
     guard = GuardState()
     guard.acknowledge(epoch=2, owner="a", now=10.0)
@@ -49,7 +49,7 @@
     assert guard.acknowledge(epoch=4, owner="c", now=11.0).accepted is accepted
 
 
-def test_closed_set_gives_no_promise_but_keeps_the_open_one():
+def test_a_closed_guard_set_gives_no_promise_but_keeps_active_ones():
     guard = GuardState()
     guard.promise(epoch=1, owner="a", now=0.0, duration_s=3.0, version=4)
     assert guard.close(version=5, now=1.0).promise_left_s == 2.0
@@ -67,7 +67,7 @@
         ("ax", 1.0, False),
     ],
 )
-def test_book_counts_the_guards_of_its_set(given, now, majority):
+def test_only_promises_of_the_guard_set_are_counted(given, now, majority):
     book = PromiseBook(margin_s=0.5)
     book.use(guards="abc", version=1)
     for name in given:
@@ -75,7 +75,7 @@
     assert book.majority(now) is majority
 
 
-def test_book_begins_anew_with_another_set():
+def test_a_new_guard_set_discards_the_promises():
     book = PromiseBook()
     book.use(guards="abc", version=1)
     for name in "abc":
@@ -85,11 +85,11 @@
     assert book.held(1.0) == 0
 
 
-def test_book_without_guards_has_no_majority():
+def test_an_empty_guard_set_has_no_majority():
     assert not PromiseBook().majority(0.0)
 
 
-def test_lease_is_counted_from_before_the_call():
+def test_a_lease_term_starts_before_the_request_is_sent():
     lease = Lease.granted(id=1, incarnation=1, asked_at=10.0, ttl_s=3.0, margin_s=0.5)
     assert lease.holds(12.4) and not lease.holds(12.5)
     assert lease.renewed(asked_at=11.0, ttl_s=3.0).until == 13.5
@@ -98,7 +98,7 @@
 
 @frozen
 class Shared:
-    """The table: one partition, one guard set."""
+    """The ownership table with one partition and one guard set."""
 
     epoch: int = 1
     owner: int = 0
@@ -109,7 +109,7 @@
 
 @define
 class Scheduler:
-    """An owner or successor; it has read the table as of ``view``."""
+    """An owner or successor; ``view`` is the table as it last read it."""
 
     name: int
     view: Shared | None = None
@@ -121,7 +121,7 @@
 
 @frozen
 class Ask:
-    """A request for a promise on its way."""
+    """A promise request in transit."""
 
     name: int
     guard: str
@@ -137,7 +137,7 @@
 
 
 class PromiseMachine(RuleBasedStateMachine):
-    """Two schedulers, five guards of which three count; anything may be late or cut."""
+    """Two schedulers and five guards, three in a set; any message may be delayed or lost."""
 
     counted_from_reply = False
     acknowledge_despite_promise = False
@@ -231,7 +231,7 @@
 
     @rule(who=WHO, names=st.sets(GUARD, min_size=2))
     def hand_over(self, who, names):
-        """End a tenure as planned: act no more, say so to the guards, leave the table entry."""
+        """Hand over: stop acting, release the promises and give up the table entry."""
         scheduler, table = self.schedulers[who], self.table
         if scheduler.view is None or len(self.asks) > 5:
             return
@@ -239,7 +239,7 @@
         for name in sorted(names & set(view.guards)):
             self.asks.append(Ask(who, name, view.epoch, view.version, self.now, gives_up=True))
         if (table.owner, table.epoch) == (who, view.epoch):
-            # Nobody owns the partition now; whoever takes it next has a higher epoch.
+            # The partition has no owner now; its next owner gets a higher epoch.
             self.table = evolve(table, epoch=table.epoch + 1, incarnation=0)
 
     @rule(late=st.booleans())
@@ -299,33 +299,33 @@
         return self.now < scheduler.until or promised
 
 
-def test_machine_one_owner_acts():
+def test_at_most_one_owner_acts():
     run_state_machine_as_test(
         PromiseMachine,
         settings=machine_settings(examples=80, steps=40),
     )
 
 
-def succeed(machine, names):
+def take_over_and_adopt(machine, names):
     machine.renew(1)
     machine.take_over(1)
     machine.adopt(1, set(names))
 
 
-def promised_then_replaced(machine):
+def replaced_within_the_promise(machine):
     machine.wait(2)
     machine.ask(0, set("abc"))
     machine.deliver(late=False)
     machine.wait(1)
-    succeed(machine, "abc")
+    take_over_and_adopt(machine, "abc")
 
 
-def replaced_between_the_two_ends(machine):
+def replaced_before_the_promise_ends(machine):
     machine.wait(2)
     machine.ask(0, set("abc"))
     machine.deliver(late=False)
     machine.wait(2)
-    succeed(machine, "abc")
+    take_over_and_adopt(machine, "abc")
 
 
 def one_guard_each(machine):
@@ -333,7 +333,7 @@
     machine.ask(0, {"a"})
     machine.deliver(late=False)
     machine.wait(1)
-    succeed(machine, "b")
+    take_over_and_adopt(machine, "b")
 
 
 def guards_changed_twice(machine):
@@ -343,17 +343,17 @@
     machine.change_guards()
     machine.change_guards()
     machine.wait(1)
-    succeed(machine, "cde")
+    take_over_and_adopt(machine, "cde")
 
 
 def lease_regained_after_a_takeover(machine):
     machine.wait(3)
-    succeed(machine, "abc")
+    take_over_and_adopt(machine, "abc")
     machine.renew(0)
 
 
-def given_up_late(machine):
-    """The owner hands over, wins anew under a higher epoch, and only then its release arrives."""
+def release_delivered_late(machine):
+    """The owner's release arrives after it has acquired the partition again."""
     machine.hand_over(0, set("abc"))
     machine.take_over(0)
     machine.adopt(0, set("abc"))
@@ -364,24 +364,26 @@
     machine.asks = given_up
     machine.deliver(late=False)
     machine.wait(1)
-    succeed(machine, "abc")
+    take_over_and_adopt(machine, "abc")
 
 
 @pytest.mark.parametrize("disabled", [False, True])
 @pytest.mark.parametrize(
     ("mutant", "scenario"),
     [
-        ("given_up_under_any_epoch", given_up_late),
-        ("acknowledge_despite_promise", promised_then_replaced),
-        ("counted_from_reply", replaced_between_the_two_ends),
+        ("given_up_under_any_epoch", release_delivered_late),
+        ("acknowledge_despite_promise", replaced_within_the_promise),
+        ("counted_from_reply", replaced_before_the_promise_ends),
         ("one_is_enough", one_guard_each),
         ("change_without_closing", guards_changed_twice),
         ("regained_lease_revives", lease_regained_after_a_takeover),
     ],
 )
-def test_each_part_is_needed(mutant, scenario, disabled):
-    """An owner is cut off and a successor takes over. With one part of the protocol left out
-    both act, and a slot of a runner is given out twice."""
+def test_every_part_of_the_protocol_is_needed(mutant, scenario, disabled):
+    """A successor takes over while the owner is partitioned from the store.
+
+    With one part of the protocol disabled both act, and a runner slot is granted twice.
+    """
     machine = type(mutant, (PromiseMachine,), {mutant: disabled})()
     scenario(machine)
     if disabled:
--- a/tests/core/test_request_queue.py
+++ b/tests/core/test_request_queue.py
@@ -24,11 +24,11 @@
 
 
 def queue(*, rules: QueueRules | None = None, mean_s: float = 0.0, **terms: Terms) -> RequestQueue:
-    made = RequestQueue(
+    pending = RequestQueue(
         rules=rules or QueueRules(), times=ServiceTimes(mean_s=mean_s, seen=1 if mean_s else 0)
     )
-    made.configure(terms or {"a": Terms()})
-    return made
+    pending.configure(terms or {"a": Terms()})
+    return pending
 
 
 def waiting(id: str, **changes) -> Waiting:
@@ -43,21 +43,21 @@
     return Waiting(**{**values, **changes})
 
 
-def offer(made: RequestQueue, item: Waiting, *, now: float = 0.0, slots: int = 1, free: int = 0):
-    return made.offer(item, now=now, slots=slots, free=free)
+def offer(pending: RequestQueue, item: Waiting, *, now: float = 0.0, slots: int = 1, free: int = 0):
+    return pending.offer(item, now=now, slots=slots, free=free)
 
 
-def serve_all(made: RequestQueue, *, now: float = 0.0) -> list[str]:
+def serve_all(pending: RequestQueue, *, now: float = 0.0) -> list[str]:
     order = []
-    while (first := next(made.candidates(now=now), None)) is not None:
-        made.start(first)
-        made.finish(first.account, charged_s=made.times.mean_s, used_s=1.0)
+    while (first := next(pending.candidates(now=now), None)) is not None:
+        pending.start(first)
+        pending.finish(first.account, charged_s=pending.times.mean_s, used_s=1.0)
         order.append(first.request_id)
     return order
 
 
 def test_order_is_priority_then_share_then_deadline() -> None:
-    made = queue(a=Terms(share=1), b=Terms(share=2))
+    pending = queue(a=Terms(share=1), b=Terms(share=2))
     for item in (
         waiting("batch", priority=BATCH, account="b"),
         waiting("late", deadline=50),
@@ -66,60 +66,58 @@
         waiting("b1", account="b", deadline=90),
         waiting("b2", account="b", deadline=91),
     ):
-        offer(made, item)
+        offer(pending, item)
     # "urgent" charged account a, so b is served until it has used twice as much.
-    assert serve_all(made) == ["urgent", "b1", "b2", "soon", "late", "batch"]
+    assert serve_all(pending) == ["urgent", "b1", "b2", "soon", "late", "batch"]
 
 
-def test_slot_time_follows_the_shares_whatever_requests_cost() -> None:
-    made = queue(a=Terms(share=1), b=Terms(share=3))
+def test_slot_time_is_proportional_to_shares_for_any_request_duration() -> None:
+    pending = queue(a=Terms(share=1), b=Terms(share=3))
     cost = {"a": 4.0, "b": 1.0}
     used: Counter[str] = Counter()
     for number in range(800):
-        offer(made, waiting(f"a{number}", account="a"))
-        offer(made, waiting(f"b{number}", account="b"))
+        offer(pending, waiting(f"a{number}", account="a"))
+        offer(pending, waiting(f"b{number}", account="b"))
     for _ in range(700):
-        first = next(made.candidates(now=0.0))
-        charged = made.start(first)
-        made.finish(first.account, charged_s=charged, used_s=cost[first.account])
+        first = next(pending.candidates(now=0.0))
+        charged = pending.start(first)
+        pending.finish(first.account, charged_s=charged, used_s=cost[first.account])
         used[first.account] += cost[first.account]
     assert used["b"] / used["a"] == pytest.approx(3.0, rel=0.05)
 
 
-def test_an_account_that_was_away_gets_no_credit_for_that_time() -> None:
-    """An account comes back after a quiet night. It must share the slots, not take them all."""
-    made = queue(a=Terms(), b=Terms())
+def test_an_idle_account_gets_no_credit() -> None:
+    """An account that was idle must share the slots instead of occupying all of them."""
+    pending = queue(a=Terms(), b=Terms())
     for number in range(100):
-        offer(made, waiting(f"a{number}"))
+        offer(pending, waiting(f"a{number}"))
     for _ in range(50):
-        first = next(made.candidates(now=0.0))
-        made.finish("a", charged_s=made.start(first), used_s=1.0)
+        first = next(pending.candidates(now=0.0))
+        pending.finish("a", charged_s=pending.start(first), used_s=1.0)
     for number in range(50):
-        offer(made, waiting(f"b{number}", account="b"))
-    assert 18 <= Counter(id[0] for id in serve_all(made)[:40])["b"] <= 22
+        offer(pending, waiting(f"b{number}", account="b"))
+    assert 18 <= Counter(id[0] for id in serve_all(pending)[:40])["b"] <= 22
 
 
-def test_a_batch_request_goes_out_of_turn_now_and_then() -> None:
-    """Urgent work never ends. A batch request that waits must still be served, and cost urgent
-    work no more than its part of the turns.
-    """
-    made = queue(rules=QueueRules(aging_s=5.0, aged_every=8))
+def test_waiting_batch_requests_are_not_starved_by_urgent_ones() -> None:
+    """Under continuous urgent load, waiting batch requests get one of ``aged_every`` grants."""
+    pending = queue(rules=QueueRules(aging_s=5.0, aged_every=8))
     for number in range(100):
-        offer(made, waiting(f"u{number}", priority=URGENT))
-        offer(made, waiting(f"b{number}", priority=BATCH))
-    assert "b" not in {id[0] for id in serve_turns(made, 80, now=1.0)}
-    made = queue(rules=QueueRules(aging_s=5.0, aged_every=8))
+        offer(pending, waiting(f"u{number}", priority=URGENT))
+        offer(pending, waiting(f"b{number}", priority=BATCH))
+    assert "b" not in {id[0] for id in serve_turns(pending, 80, now=1.0)}
+    pending = queue(rules=QueueRules(aging_s=5.0, aged_every=8))
     for number in range(100):
-        offer(made, waiting(f"u{number}", priority=URGENT))
-        offer(made, waiting(f"b{number}", priority=BATCH))
-    assert Counter(id[0] for id in serve_turns(made, 80, now=6.0)) == {"u": 70, "b": 10}
+        offer(pending, waiting(f"u{number}", priority=URGENT))
+        offer(pending, waiting(f"b{number}", priority=BATCH))
+    assert Counter(id[0] for id in serve_turns(pending, 80, now=6.0)) == {"u": 70, "b": 10}
 
 
-def serve_turns(made: RequestQueue, turns: int, *, now: float) -> list[str]:
+def serve_turns(pending: RequestQueue, turns: int, *, now: float) -> list[str]:
     order = []
     for _ in range(turns):
-        first = next(made.candidates(now=now))
-        made.start(first)
+        first = next(pending.candidates(now=now))
+        pending.start(first)
         order.append(first.request_id)
     return order
 
@@ -136,62 +134,64 @@
         (Terms(), None, 0, {"deadline": 0.0}, RefusalReason.TOO_LATE),
     ],
 )
-def test_a_request_that_cannot_wait_is_refused_at_once(terms, rules, before, item, reason) -> None:
-    made = queue(rules=rules, mean_s=1.0, a=terms)
+def test_a_request_that_cannot_be_queued_is_refused_on_arrival(
+    terms, rules, before, item, reason
+) -> None:
+    pending = queue(rules=rules, mean_s=1.0, a=terms)
     for number in range(before):
-        offer(made, waiting(f"w{number}"))
-    match offer(made, waiting("last", **item)):
+        offer(pending, waiting(f"w{number}"))
+    match offer(pending, waiting("last", **item)):
         case Failure(refusal):
             assert refusal.reason is reason
             assert refusal.retry_after_s > 0
         case Success(_):
             pytest.fail("admitted")
-    assert len(made) == before
+    assert len(pending) == before
 
 
 def test_urgent_work_displaces_the_newest_batch_request_of_a_full_queue() -> None:
-    made = queue(rules=QueueRules(max_waiting=2))
-    offer(made, waiting("b1", priority=BATCH))
-    offer(made, waiting("b2", priority=BATCH))
-    admitted = offer(made, waiting("u", priority=URGENT)).unwrap()
+    pending = queue(rules=QueueRules(max_waiting=2))
+    offer(pending, waiting("b1", priority=BATCH))
+    offer(pending, waiting("b2", priority=BATCH))
+    admitted = offer(pending, waiting("u", priority=URGENT)).unwrap()
     assert admitted.displaced.request_id == "b2"
-    assert serve_all(made) == ["u", "b1"]
+    assert serve_all(pending) == ["u", "b1"]
 
 
-def test_an_account_at_its_concurrency_limit_lets_others_pass() -> None:
-    made = queue(a=Terms(max_concurrency=1), b=Terms())
+def test_an_account_at_its_concurrency_limit_does_not_block_others() -> None:
+    pending = queue(a=Terms(max_concurrency=1), b=Terms())
     for item in (waiting("a1"), waiting("a2"), waiting("b1", account="b")):
-        offer(made, item)
-    charged = made.start(next(made.candidates(now=0.0)))
-    assert [item.request_id for item in made.candidates(now=0.0)] == ["b1"]
-    made.finish("a", charged_s=charged, used_s=1.0)
-    assert {item.request_id for item in made.candidates(now=0.0)} == {"a2", "b1"}
+        offer(pending, item)
+    charged = pending.start(next(pending.candidates(now=0.0)))
+    assert [item.request_id for item in pending.candidates(now=0.0)] == ["b1"]
+    pending.finish("a", charged_s=charged, used_s=1.0)
+    assert {item.request_id for item in pending.candidates(now=0.0)} == {"a2", "b1"}
 
 
-def test_requests_that_can_finish_no_more_are_taken_out() -> None:
-    made = queue(mean_s=1.0)
-    offer(made, waiting("a1", deadline=3.0), free=1)
-    assert made.next_expiry() == 2.0
-    assert made.expire(now=2.0) == ()
-    assert [item.request_id for item in made.expire(now=2.1)] == ["a1"]
-    assert len(made) == 0
+def test_requests_that_can_no_longer_finish_are_removed() -> None:
+    pending = queue(mean_s=1.0)
+    offer(pending, waiting("a1", deadline=3.0), free=1)
+    assert pending.next_expiry() == 2.0
+    assert pending.expire(now=2.0) == ()
+    assert [item.request_id for item in pending.expire(now=2.1)] == ["a1"]
+    assert len(pending) == 0
 
 
-def test_ten_thousand_waiting_requests_stay_cheap() -> None:
-    """The cost of one offer, start and abandon grows far slower than the queue."""
+def test_cost_per_operation_grows_slower_than_the_queue() -> None:
+    """Ten times as many waiting requests must cost less than six times as much."""
 
     def cost_s(size: int) -> float:
         accounts = {f"t{number}": Terms(max_waiting=size) for number in range(20)}
-        made = queue(rules=QueueRules(max_waiting=size + 100), **accounts)
-        chance = random.Random(7)
+        pending = queue(rules=QueueRules(max_waiting=size + 100), **accounts)
+        rng = random.Random(7)
         for number in range(size):
-            name, when = f"t{number % 20}", 100 + chance.random()
-            offer(made, waiting(f"w{number}", account=name, deadline=when))
+            name, when = f"t{number % 20}", 100 + rng.random()
+            offer(pending, waiting(f"w{number}", account=name, deadline=when))
         began = time.process_time()
         for number in range(1000):
-            offer(made, waiting(f"n{number}", account="t1"))
-            made.start(next(made.candidates(now=0.0)))
-            made.abandon(f"w{number * (size // 1000)}")
+            offer(pending, waiting(f"n{number}", account="t1"))
+            pending.start(next(pending.candidates(now=0.0)))
+            pending.abandon(f"w{number * (size // 1000)}")
         return time.process_time() - began
 
     assert min(cost_s(10_000) for _ in range(2)) < 6 * min(cost_s(1000) for _ in range(2))
@@ -208,14 +208,14 @@
     assert sum(part.rate(limit) for part in parts) == pytest.approx(limit)
 
 
-def test_a_limit_falls_at_once_and_rises_late() -> None:
-    """Two partitions learn of a change at different times; together they must not exceed it."""
+def test_a_limit_decreases_immediately_and_increases_with_a_delay() -> None:
+    """Partitions receive a change at different times and together must not exceed the limit."""
     limit = DelayedLimit(rise_s=10.0)
     seen = [(10, 0), (4, 1), (8, 2), (8, 11), (8, 12), (2, 13), (None, 14), (None, 24)]
     assert [limit.want(value, now=now) for value, now in seen] == [10, 4, 4, 4, 8, 2, 2, None]
 
 
-def test_a_rate_holds_over_time() -> None:
+def test_a_token_bucket_enforces_its_rate() -> None:
     bucket = TokenBucket(rate_per_s=5.0)
     taken = sum(bucket.take(now=step / 100) == 0.0 for step in range(1000))
     assert 5 * 10 <= taken <= 5 * 11
@@ -226,9 +226,9 @@
 
 @define(kw_only=True)
 class Load:
-    """Drive a queue with requests of one service, in injected time.
+    """Simulate the requests of one service in a queue.
 
-    A request that is cut off at its deadline has held its slot for nothing.
+    The slot time of a request that does not finish before its deadline is wasted.
     """
 
     factor: float
@@ -241,45 +241,45 @@
     refused: int = 0
 
     def run(self) -> Load:
-        chance = random.Random(11)
-        made = queue(rules=QueueRules(max_waiting=500), a=Terms(share=1), b=Terms(share=2))
+        rng = random.Random(11)
+        pending = queue(rules=QueueRules(max_waiting=500), a=Terms(share=1), b=Terms(share=2))
         mean_s, urgent_part = 0.25, 0.2 / self.factor
         rate = self.factor * self.slots / mean_s
         now, number, free = 0.0, 0, self.slots
         ends: list[tuple[float, int, str, float, float, bool]] = []
-        arrival = chance.expovariate(rate)
+        arrival = rng.expovariate(rate)
         while now < self.seconds:
             if ends and ends[0][0] <= arrival:
-                now, _, account, charged, began, whole = heapq.heappop(ends)
+                now, _, account, charged, began, in_time = heapq.heappop(ends)
                 free += 1
-                made.times.add(now - began)
-                made.finish(account, charged_s=charged, used_s=now - began)
-                if whole:
+                pending.times.add(now - began)
+                pending.finish(account, charged_s=charged, used_s=now - began)
+                if in_time:
                     self.useful_s += now - began
             else:
                 now = arrival
-                arrival = now + chance.expovariate(rate)
+                arrival = now + rng.expovariate(rate)
                 number += 1
                 item = waiting(
                     f"q{number}",
-                    account=chance.choice("ab"),
-                    priority=URGENT if chance.random() < urgent_part else NORMAL,
+                    account=rng.choice("ab"),
+                    priority=URGENT if rng.random() < urgent_part else NORMAL,
                     deadline=now + self.timeout_s,
                     enqueued_at=now,
                 )
-                admitted = made.offer(item, now=now, slots=self.slots, free=free)
+                admitted = pending.offer(item, now=now, slots=self.slots, free=free)
                 self.refused += isinstance(admitted, Failure)
-            self.deepest = max(self.deepest, len(made))
-            made.expire(now=now)
-            while free and (first := next(made.candidates(now=now), None)) is not None:
-                charged = made.start(first)
+            self.deepest = max(self.deepest, len(pending))
+            pending.expire(now=now)
+            while free and (first := next(pending.candidates(now=now), None)) is not None:
+                charged = pending.start(first)
                 free -= 1
                 if first.priority is URGENT:
                     self.urgent_waits.append(now - first.enqueued_at)
-                end_at = now + chance.expovariate(1 / mean_s)
-                whole, end_at = end_at <= first.deadline, min(end_at, first.deadline)
+                end_at = now + rng.expovariate(1 / mean_s)
+                in_time, end_at = end_at <= first.deadline, min(end_at, first.deadline)
                 number += 1
-                end = (end_at, number, first.account, charged, now, whole)
+                end = (end_at, number, first.account, charged, now, in_time)
                 heapq.heappush(ends, end)
         return self
 
@@ -289,11 +289,11 @@
 
 @pytest.mark.parametrize("timeout_s", [10.0, 1.0])
 @pytest.mark.parametrize("factor", [2.0, 10.0])
-def test_overload_costs_no_useful_work_and_no_urgent_waiting(factor, timeout_s) -> None:
-    """Callers send two or ten times what the runners can do.
+def test_overload_reduces_no_useful_work_and_delays_no_urgent_requests(factor, timeout_s) -> None:
+    """Callers send two or ten times as many requests as the runners can serve.
 
-    Without early refusal every request would wait until it is too late to be of use; then
-    nobody gets an answer although all slots are busy.
+    Without early refusal, every request would wait until it can no longer finish before its
+    deadline, and all slots would be busy with requests that time out.
     """
     peak = Load(factor=1.0, timeout_s=timeout_s).run()
     load = Load(factor=factor, timeout_s=timeout_s).run()
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -20,7 +20,7 @@
     ("own", "partitions", "expected"),
     [("a", [B, A], A), ("b", [A, B], B), ("c", [B, A], A), ("a", [B], B), ("a", [], None)],
 )
-def test_the_own_region_first_then_any_that_has_the_service(own, partitions, expected) -> None:
+def test_the_own_region_is_preferred_if_it_has_the_service(own, partitions, expected) -> None:
     found = choose_region(service="s", own_region=own, partitions=[*OTHERS, *partitions])
     assert found == expected
 
@@ -50,28 +50,28 @@
         (INF, {}, 0.0, None),
     ],
     ids=[
-        "home not known",
+        "home unknown",
         "home free",
         "within the margin",
         "past the margin",
-        "little to gain",
+        "gain below the margin",
         "the best of two",
-        "only home known",
-        "nothing known",
-        "the share that gains",
-        "the share that stays",
-        "half at most goes",
-        "half at least stays",
+        "only home wait known",
+        "no wait known",
+        "drawn to spill",
+        "drawn to stay",
+        "at most half spills",
+        "at least half stays",
         "no owner at home",
         "no owner anywhere",
     ],
 )
-def test_a_request_goes_elsewhere_only_when_it_wins_by_the_margin(
+def test_a_request_spills_only_if_it_starts_earlier_by_the_margin(
     home_wait_s, waits, draw, expected
 ) -> None:
-    asked = {"home": A, "home_wait_s": home_wait_s, "waits": waits, "draw": draw}
-    assert choose_spill(**asked, rules=RULES) == expected
-    assert choose_spill(**asked, rules=NEVER) is None
+    arguments = {"home": A, "home_wait_s": home_wait_s, "waits": waits, "draw": draw}
+    assert choose_spill(**arguments, rules=RULES) == expected
+    assert choose_spill(**arguments, rules=NEVER) is None
 
 
 @pytest.mark.parametrize(
@@ -84,32 +84,32 @@
         ({}, 9.0, None),
     ],
 )
-def test_a_refused_request_goes_where_it_can_still_start_in_time(
+def test_a_refused_request_is_sent_where_it_can_still_start_in_time(
     waits, remaining_s, expected
 ) -> None:
-    asked = {"home": A, "waits": waits, "remaining_s": remaining_s}
-    assert choose_refuge(**asked, rules=RULES) == expected
-    assert choose_refuge(**asked, rules=NEVER) is None
+    arguments = {"home": A, "waits": waits, "remaining_s": remaining_s}
+    assert choose_refuge(**arguments, rules=RULES) == expected
+    assert choose_refuge(**arguments, rules=NEVER) is None
 
 
-def test_frontends_with_old_word_do_not_all_go_to_one_region_and_back() -> None:
-    """Each frontend hears of a region's wait only now and then.
+def test_outdated_waits_do_not_make_all_frontends_switch_regions() -> None:
+    """Frontends receive the waits of the regions only at intervals.
 
-    If all went to the best until they hear again, it would be overfull by then, and all would
-    turn back: both regions would swing between idle and full.
+    If all of them used the best region in between, it would be overloaded at the next update and
+    all would switch back, so that both regions oscillate between idle and overloaded.
     """
     rng = random.Random(5)
     waits = {A: 8.0, B: 0.0}
-    moved = []
+    spilled_counts = []
     for _ in range(30):
         known = dict(waits)
-        gone = [
+        spilled = [
             choose_spill(home=A, home_wait_s=known[A], waits=known, rules=RULES, draw=rng.random())
             for _ in range(100)
         ].count(B)
-        moved.append(gone)
+        spilled_counts.append(spilled)
         waits = {
-            A: max(0.0, waits[A] + (100 - gone) * 0.02 - 1.5),
-            B: max(0.0, waits[B] + gone * 0.02 - 1.5),
+            A: max(0.0, waits[A] + (100 - spilled) * 0.02 - 1.5),
+            B: max(0.0, waits[B] + spilled * 0.02 - 1.5),
         }
-    assert max(moved[10:]) - min(moved[10:]) < 60
+    assert max(spilled_counts[10:]) - min(spilled_counts[10:]) < 60
--- a/tests/core/test_slots.py
+++ b/tests/core/test_slots.py
@@ -16,10 +16,10 @@
 
 
 def ledger(*, runners: int = 1, slots: int = 1) -> SlotLedger:
-    made = SlotLedger(rules=RULES)
+    slot_ledger = SlotLedger(rules=RULES)
     for number in range(runners):
-        made.put_runner(id=f"r{number}", address=f"a{number}", slots=slots, leaving=False)
-    return made
+        slot_ledger.put_runner(id=f"r{number}", address=f"a{number}", slots=slots, leaving=False)
+    return slot_ledger
 
 
 def lease(grant_id: int = 1, **changes) -> SlotLease:
@@ -36,7 +36,7 @@
     return SlotLease(**{**values, **changes})
 
 
-def word(asked_at: float, *running: str, finished: tuple[str, ...] = ()) -> RunnerWord:
+def report(asked_at: float, *running: str, finished: tuple[str, ...] = ()) -> RunnerWord:
     return RunnerWord(
         runner_id="r0",
         asked_at=asked_at,
@@ -55,7 +55,7 @@
         (SlotEnd.UNKNOWN, 0),
     ],
 )
-def test_only_a_known_end_frees_a_slot(end: SlotEnd, free: int) -> None:
+def test_only_a_conclusive_end_frees_a_slot(end: SlotEnd, free: int) -> None:
     slots = ledger()
     slots.grant(lease())
     slots.release(1, end, now=2.0)
@@ -63,44 +63,44 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "free"),
+    ("status", "free"),
     [
-        (word(2.2), 0),
-        (word(2.6), 1),
-        (word(2.6, "q1"), 0),
-        (word(2.1, finished=("q1",)), 1),
+        (report(2.2), 0),
+        (report(2.6), 1),
+        (report(2.6, "q1"), 0),
+        (report(2.1, finished=("q1",)), 1),
     ],
-    ids=["asked too early", "not running", "still running", "finished"],
+    ids=["requested too early", "not running", "still running", "finished"],
 )
-def test_a_runners_word_frees_a_slot_of_unknown_end(said: RunnerWord, free: int) -> None:
-    """A connection broke in the middle of a request, and its frontend can't tell the end.
+def test_a_runner_report_frees_a_slot_with_unknown_end(status: RunnerWord, free: int) -> None:
+    """A connection failed during a request, and the frontend does not know the outcome.
 
-    Were the slot given away on a word that was asked for while bytes were still on their way,
-    the runner would get one request more than it has slots.
+    If a report requested while bytes were in transit freed the slot, the runner would receive
+    one request more than it has slots.
     """
     slots = ledger()
     slots.grant(lease())
     slots.release(1, SlotEnd.UNKNOWN, now=2.0)
-    slots.hear(said, now=3.0)
+    slots.hear(status, now=3.0)
     assert slots.free() == free
 
 
 @pytest.mark.parametrize(("asked_at", "free"), [(0.8, 0), (1.4, 0), (1.6, 1)])
-def test_a_dead_frontends_unused_grant_counts_until_it_can_be_used_no_more(asked_at, free) -> None:
-    """A frontend is taken for dead while it is only paused, with a grant it has not used yet.
+def test_an_unused_grant_of_a_dead_frontend_is_held_while_usable(asked_at, free) -> None:
+    """A frontend that is declared dead may only be paused and hold an unused grant.
 
-    It may wake and send until the grant's time is over, so an earlier "not running" of the
-    runner proves nothing.
+    It may resume and send until the grant expires, so an earlier report that the request is not
+    running is not conclusive.
     """
     slots = ledger()
     slots.grant(lease())
     slots.frontend_gone("f1", now=0.2)
-    slots.hear(word(asked_at), now=2.0)
+    slots.hear(report(asked_at), now=2.0)
     assert slots.free() == free
 
 
 @pytest.mark.parametrize(("now", "free"), [(5.9, 0), (6.0, 1)])
-def test_a_slot_never_heard_of_again_is_free_after_deadline_and_margin(now, free) -> None:
+def test_a_slot_without_reports_is_freed_after_deadline_and_margin(now, free) -> None:
     slots = ledger()
     slots.grant(lease())
     slots.frontend_gone("f1", now=0.5)
@@ -108,25 +108,25 @@
     assert slots.free() == free
 
 
-def test_a_runner_that_says_running_keeps_its_slot_past_the_deadline() -> None:
-    """A request runs longer than its deadline and its frontend is dead.
+def test_a_request_reported_as_running_keeps_its_slot_past_the_deadline() -> None:
+    """A request runs past its deadline and its frontend is dead.
 
-    Freed by time alone, the slot would go to a second request while the first still runs.
+    If the slot were freed by time alone, a second request would get it while the first runs.
     """
     slots = ledger()
     slots.grant(lease())
     slots.frontend_gone("f1", now=0.5)
-    slots.hear(word(5.8, "q1"), now=5.9)
+    slots.hear(report(5.8, "q1"), now=5.9)
     slots.expire(now=6.5)
     assert slots.free() == 0
     slots.expire(now=6.9)
     assert slots.free() == 1
 
 
-def test_a_runner_that_leaves_and_comes_back_still_has_its_requests() -> None:
-    """The platform's list drops a runner for a moment and then shows it again.
+def test_a_runner_that_is_listed_again_keeps_its_leases() -> None:
+    """The host list temporarily omits a runner.
 
-    Were it forgotten in between, its slots would look free with requests running on them.
+    If the ledger removed the runner, its slots would appear free while requests run on them.
     """
     slots = ledger()
     slots.grant(lease())
@@ -138,33 +138,33 @@
     assert slots.choose().id == "r0"
 
 
-@pytest.mark.parametrize("case", ["listed as leaving", "says so itself", "not listed"])
-def test_a_leaving_runner_gets_nothing_new(case: str) -> None:
+@pytest.mark.parametrize("case", ["listed as leaving", "reports leaving", "not listed"])
+def test_a_leaving_runner_is_not_chosen(case: str) -> None:
     slots = ledger(slots=4)
     match case:
         case "listed as leaving":
             slots.put_runner(id="r0", address="a0", slots=4, leaving=True)
-        case "says so itself":
-            said = RunnerWord(runner_id="r0", asked_at=0, running=frozenset(), leaving=True)
-            slots.hear(said, now=0.1)
+        case "reports leaving":
+            status = RunnerWord(runner_id="r0", asked_at=0, running=frozenset(), leaving=True)
+            slots.hear(status, now=0.1)
         case "not listed":
             slots.drop_runner("r0")
     assert slots.choose() is None
 
 
-def test_a_blocked_runner_gives_nothing_until_its_word_or_the_longest_request() -> None:
+def test_a_blocked_runner_has_no_free_slot_until_a_report_or_the_timeout() -> None:
     slots = ledger(slots=2)
     slots.block("r0", until=10.0, word_from=1.5)
-    slots.hear(word(1.0), now=1.1)
+    slots.hear(report(1.0), now=1.1)
     assert slots.free() == 0
-    slots.hear(word(1.6, "stranger"), now=1.7)
+    slots.hear(report(1.6, "stranger"), now=1.7)
     assert slots.free() == 1
     slots.block("r0", until=10.0, word_from=99.0)
     slots.expire(now=10.0)
     assert slots.free() == 1
 
 
-def test_the_runner_with_most_room_is_chosen_then_the_faster_one() -> None:
+def test_the_least_loaded_runner_is_chosen_then_the_faster_one() -> None:
     slots = ledger(runners=3, slots=2)
     slots.grant(lease(runner_id="r2"))
     slots.served("r0", 0.5)
@@ -174,19 +174,19 @@
     assert slots.choose(allowed=lambda id: id == "r2").id == "r2"
 
 
-def test_a_runner_has_the_fewer_of_configured_and_own_slots() -> None:
+def test_capacity_is_the_lower_of_configured_and_reported_slots() -> None:
     slots = ledger(slots=4)
-    said = RunnerWord(runner_id="r0", asked_at=0, running=frozenset(), slots=1)
-    slots.hear(said, now=0.1)
+    status = RunnerWord(runner_id="r0", asked_at=0, running=frozenset(), slots=1)
+    slots.hear(status, now=0.1)
     slots.grant(lease())
     with pytest.raises(NoFreeSlot):
         slots.grant(lease(2))
 
 
-def test_a_late_release_of_an_earlier_epoch_frees_no_other_slot() -> None:
-    """A frontend sends a release a second time, to the successor of the owner that took it.
+def test_a_late_release_of_an_earlier_epoch_frees_no_slot() -> None:
+    """A frontend repeats a release to the successor of the owner that granted the slot.
 
-    With ids that start anew with each epoch it would free the slot of another request.
+    If grant ids restarted with each epoch, it would free the slot of another request.
     """
     assert next(iter(grant_ids(4))) != next(iter(grant_ids(5)))
     slots = ledger()
--- a/tests/core/test_slots_machine.py
+++ b/tests/core/test_slots_machine.py
@@ -1,4 +1,4 @@
-"""Slots against a model of what runners truly run, under any order of events."""
+"""Model test of the slot ledger against simulated runners, with events in any order."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @define(kw_only=True, eq=False)
 class Truth:
-    """One grant as it truly is, at its frontend and its runner."""
+    """Actual state of one grant at its frontend and runner, unknown to the ledger."""
 
     lease: SlotLease
     state: State = State.UNSENT
--- a/tests/core/test_succession.py
+++ b/tests/core/test_succession.py
@@ -19,20 +19,20 @@
 @pytest.mark.parametrize(
     ("heard", "unheard", "stopped_at"),
     [
-        pytest.param({}, "", 5.0, id="nobody to hear"),
+        pytest.param({}, "", 5.0, id="no workers"),
         pytest.param({"a": 3, "b": 3}, "c", 5.0, id="majority"),
-        pytest.param({"a": 3}, "b", EXTENSION_S, id="half is none"),
-        pytest.param({"a": 0, "b": 0}, "c", EXTENSION_S, id="new workers count for nothing"),
-        pytest.param({"a": 3, "b": 2}, "c", EXTENSION_S, id="counted by one still earlier"),
-        pytest.param({"a": 0, "b": 0}, "", 5.0, id="all are new"),
+        pytest.param({"a": 3}, "b", EXTENSION_S, id="half is no majority"),
+        pytest.param({"a": 0, "b": 0}, "c", EXTENSION_S, id="new workers are not counted"),
+        pytest.param({"a": 3, "b": 2}, "c", EXTENSION_S, id="counted by an earlier owner"),
+        pytest.param({"a": 0, "b": 0}, "", 5.0, id="all workers are new"),
     ],
 )
-def test_when_unheard_workers_are_settled(
+def test_time_at_which_unadopted_workers_are_settled(
     heard: dict[str, int], unheard: str, stopped_at: float
 ) -> None:
-    """The owner before is cut off together with some workers, and goes on with them.
+    """The previous owner continues with some workers on its side of a network partition.
 
-    Settled too early, an assay that runs on such a worker is started elsewhere as well.
+    If these were settled too early, a task that runs on one of them would be started twice.
     """
     state = takeover()
     for worker, epoch in heard.items():
@@ -43,10 +43,12 @@
 
 @settings(derandomize=True, max_examples=400)
 @given(data=st.data())
-def test_the_owner_before_and_its_successor_never_both_have_a_majority(data: st.DataObject) -> None:
-    """Hosts come and go, so that two owners count by different lists.
+def test_the_previous_owner_and_its_successor_never_both_have_a_majority(
+    data: st.DataObject,
+) -> None:
+    """Two owners may have different lists of workers.
 
-    With a majority each by its own list, both would act: one task, two hosts.
+    If each had a majority of its own list, both would act and run a task on two hosts.
     """
     old = data.draw(st.sets(st.sampled_from(NAMES), min_size=1))
     answering = data.draw(st.sets(st.sampled_from(sorted(old))))
--- a/tests/core/test_worker_ledger_machine.py
+++ b/tests/core/test_worker_ledger_machine.py
@@ -1,4 +1,4 @@
-"""One owner of a rack against real workers, with every message lost, late or out of order."""
+"""Model test of the worker ledger; messages to workers may be lost, delayed or reordered."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @define(kw_only=True, eq=False)
 class Wire:
-    """What has been sent to one worker and not arrived, and what its owner knows of it."""
+    """Undelivered requests to one worker, and the owner's state of the connection."""
 
     answered: int = 0
     adopted: bool = False
@@ -40,7 +40,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Messages may arrive in any order and at any time, their replies or not at all."""
+    """Messages may arrive at any time and in any order; replies may be lost."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -146,11 +146,11 @@
         else:
             self.ledger.keep(attempt, waited_s=9.0, now=self.clock.now)
 
-    # ------------------------------------------------------------ common courses
+    # ------------------------------------------------------------ common sequences
 
     @rule(worker=st.sampled_from(WORKERS))
     def adopt_at_once(self, worker: str) -> None:
-        """The owner gives up on what is open and asks the worker what it holds."""
+        """Abandon the open requests and adopt the worker."""
         self.give_up_waiting(worker)
         self.wires[worker].adopted = False
         self.renew(worker)
@@ -191,7 +191,7 @@
 
     @rule(worker=st.sampled_from(WORKERS))
     def give_up_waiting(self, worker: str) -> None:
-        """The owner's timeout; what was sent may arrive all the same, much later."""
+        """Time out the open requests, which may still arrive later."""
         wire = self.wires[worker]
         if any(isinstance(req, t.StartRequest) for req in wire.sent):
             self.lost(worker, True)
@@ -255,7 +255,7 @@
             name, number, size = task
             self.waiting.append((name, number + 1, size))
 
-    # ------------------------------------------------------------ what must hold
+    # ------------------------------------------------------------ invariants
 
     @invariant()
     def no_task_runs_twice_at_once(self) -> None:
