--- a/rhubarbferry/core/budget.py
+++ b/rhubarbferry/core/budget.py
@@ -38,7 +38,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Take:
+class TakeResult:
     """The bucket after a token was taken, and the wait before the token may be used."""
 
     bucket: Bucket
@@ -51,14 +51,14 @@
     return Bucket(tokens=min(rate.burst, bucket.tokens + gained), at=now)
 
 
-def take(bucket: Bucket, rate: Rate, now: float) -> Take:
+def take(bucket: Bucket, rate: Rate, now: float) -> TakeResult:
     """Take one token, in advance if the bucket is empty.
 
     The wait is 0 when a token was available.
     """
     full = refill(bucket, rate, now)
     left = Bucket(tokens=full.tokens - 1, at=now)
-    return Take(bucket=left, wait_s=max(0.0, -left.tokens / rate.per_s))
+    return TakeResult(bucket=left, wait_s=max(0.0, -left.tokens / rate.per_s))
 
 
 def sharers(role: Role, members: Iterable[Member]) -> float:
--- a/rhubarbferry/core/fairshare.py
+++ b/rhubarbferry/core/fairshare.py
@@ -61,9 +61,9 @@
 
     def set_account(self, account: str, *, weight: float, quota: Size) -> None:
         """Set an account's weight and quota; a quota dimension of 0 is unlimited."""
-        standing = self._usage_of(account)
-        standing.weight = weight
-        standing.quota = quota
+        usage = self._usage_of(account)
+        usage.weight = weight
+        usage.quota = quota
 
     def set_total(self, total: Size) -> None:
         """Set the total capacity of the cell, of which shares are fractions."""
@@ -79,31 +79,31 @@
             if previous is not None:
                 change = change - previous.used.get(account, ZERO_SIZE)
             self._decay(account, digest.taken_at)
-            standing = self._usage_of(account)
-            standing.now = standing.now + change
+            usage = self._usage_of(account)
+            usage.now = usage.now + change
 
     def claim(self, account: str, size: Size) -> None:
         """Add a claim that no digest includes yet."""
-        standing = self._usage_of(account)
-        standing.claimed = standing.claimed + size
+        usage = self._usage_of(account)
+        usage.claimed = usage.claimed + size
 
     def unclaim(self, account: str, size: Size) -> None:
         """Remove a claim that was refused or that a digest now includes."""
-        standing = self._usage_of(account)
-        standing.claimed = standing.claimed - size
+        usage = self._usage_of(account)
+        usage.claimed = usage.claimed - size
 
     def standing(self, account: str, now: float) -> float:
         """Return the account's weighted dominant share; the lowest is scheduled first."""
         self._decay(account, now)
-        entry = self._usage_of(account)
-        current = self._dominant(entry.now + entry.claimed)
-        return (current + PAST_USAGE_WEIGHT * self._dominant_mean(entry.past_mean)) / entry.weight
+        usage = self._usage_of(account)
+        current = self._dominant(usage.now + usage.claimed)
+        return (current + PAST_USAGE_WEIGHT * self._dominant_mean(usage.past_mean)) / usage.weight
 
     def within_quota(self, account: str, size: Size) -> bool:
         """Return whether the account may use ``size`` more without exceeding its quota."""
-        entry = self._usage_of(account)
-        after = entry.now + entry.claimed + size
-        quota = entry.quota
+        usage = self._usage_of(account)
+        after = usage.now + usage.claimed + size
+        quota = usage.quota
         return (
             (not quota.millicores or after.millicores <= quota.millicores)
             and (not quota.memory_bytes or after.memory_bytes <= quota.memory_bytes)
@@ -112,8 +112,8 @@
 
     def used(self, account: str) -> Size:
         """Return the account's usage, including claims that no digest includes yet."""
-        entry = self._usage_of(account)
-        return entry.now + entry.claimed
+        usage = self._usage_of(account)
+        return usage.now + usage.claimed
 
     def age(self, partition: str, now: float) -> float:
         """Return the age of a partition's digest in seconds, infinite without a digest."""
@@ -121,24 +121,24 @@
         return math.inf if digest is None else now - digest.taken_at
 
     def _usage_of(self, account: str) -> _AccountUsage:
-        standing = self._accounts.get(account)
-        if standing is None:
-            standing = self._accounts[account] = _AccountUsage()
-        return standing
+        usage = self._accounts.get(account)
+        if usage is None:
+            usage = self._accounts[account] = _AccountUsage()
+        return usage
 
     def _decay(self, account: str, now: float) -> None:
-        entry = self._usage_of(account)
-        if now <= entry.updated_at:
+        usage = self._usage_of(account)
+        if now <= usage.updated_at:
             return
         # An account without a previous update has no past usage: its mean starts at zero.
-        kept = math.exp(-self._rate * (now - entry.updated_at)) if entry.updated_at else 1.0
-        held = entry.now + entry.claimed
+        decay_factor = math.exp(-self._rate * (now - usage.updated_at)) if usage.updated_at else 1.0
+        held = usage.now + usage.claimed
         current = (held.millicores, held.memory_bytes, held.accelerators)
-        entry.past_mean = tuple(  # type: ignore[assignment]
-            value + (old - value) * kept
-            for value, old in zip(current, entry.past_mean, strict=True)
+        usage.past_mean = tuple(  # type: ignore[assignment]
+            value + (old - value) * decay_factor
+            for value, old in zip(current, usage.past_mean, strict=True)
         )
-        entry.updated_at = now
+        usage.updated_at = now
 
     def _dominant(self, size: Size) -> float:
         return self._dominant_mean((size.millicores, size.memory_bytes, size.accelerators))
--- a/rhubarbferry/core/gangs.py
+++ b/rhubarbferry/core/gangs.py
@@ -6,8 +6,8 @@
 
 LONG_HOLD_MIN_AGE_S = 5.0
 LONG_HOLD_FACTOR = 5.0
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 2.0
+MIN_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
 
 
 def how_many(size: Size, *, free: Size, largest: Size) -> int:
@@ -18,13 +18,13 @@
     if not size.fits(largest):
         return 0
     counts = [
-        room // need
-        for need, room in (
+        available // required
+        for required, available in (
             (size.millicores, free.millicores),
             (size.memory_bytes, free.memory_bytes),
             (size.accelerators, free.accelerators),
         )
-        if need > 0
+        if required > 0
     ]
     return max(0, min(counts, default=0))
 
@@ -32,9 +32,10 @@
 def hold(*, age_s: float, reserve_s: float) -> float:
     """Return how long a gang's reservations are held, in seconds.
 
-    A recently accepted gang must find room for all of its tasks within ``reserve_s``. A gang that
-    has waited holds its reservations longer and collects capacity as it becomes free, because in
-    a full cell there is never enough free capacity for all tasks at the same moment.
+    A young gang holds them for ``reserve_s``: it either finds capacity for all of its tasks at
+    once or releases what it has reserved. A gang that has waited holds reservations longer and
+    collects capacity as it becomes free, because in a full cell there is never enough free
+    capacity for all tasks at the same moment.
     """
     return reserve_s if age_s < LONG_HOLD_MIN_AGE_S else reserve_s * LONG_HOLD_FACTOR
 
@@ -45,5 +46,5 @@
     :param chance: random number in [0, 1); jitter that keeps gangs of two homes from retrying in
         step.
     """
-    longest = max(FIRST_PAUSE_S, LONGEST_PAUSE_S / (1.0 + age_s / LONG_HOLD_MIN_AGE_S))
-    return FIRST_PAUSE_S + chance * longest
+    jitter_range_s = max(MIN_BACKOFF_S, MAX_BACKOFF_S / (1.0 + age_s / LONG_HOLD_MIN_AGE_S))
+    return MIN_BACKOFF_S + chance * jitter_range_s
--- a/rhubarbferry/core/job_queue.py
+++ b/rhubarbferry/core/job_queue.py
@@ -13,7 +13,7 @@
 from rhubarbferry.core.fairshare import FairShare
 from rhubarbferry.core.jobs import Job, JobKind
 
-LOOK_AHEAD = 64
+MAX_SCANNED_JOBS = 64
 MAX_SPREAD_WAIT_S = 1.0
 CAPACITY_REQUEST_INTERVAL_S = 0.5
 PARTITION_SWITCH_DELAY_S = 5.0
@@ -150,8 +150,8 @@
         too_large: dict[str, Job],
     ) -> Job | None:
         """Return the first job with a task that fits; collect those that are too large."""
-        for seen, job in enumerate(jobs):
-            if seen >= LOOK_AHEAD:
+        for position, job in enumerate(jobs):
+            if position >= MAX_SCANNED_JOBS:
                 return None
             if not self._is_eligible(job, room, now):
                 continue
--- a/rhubarbferry/core/jobs.py
+++ b/rhubarbferry/core/jobs.py
@@ -10,8 +10,8 @@
 from rhubarbferry.core.cell import Size
 from rhubarbferry.core.worker_ledger import End
 
-FIRST_PAUSE_S = 0.2
-LONGEST_PAUSE_S = 30.0
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 30.0
 
 
 class JobKind(IntEnum):
@@ -424,8 +424,8 @@
     def _record_failure(self, index: int, now: float) -> None:
         failures = self._failures.get(index, 0) + 1
         self._failures[index] = failures
-        pause = min(FIRST_PAUSE_S * 2 ** (failures - 1), LONGEST_PAUSE_S)
-        self.paused_until = max(self.paused_until, now + pause)
+        backoff_s = min(INITIAL_BACKOFF_S * 2 ** (failures - 1), MAX_BACKOFF_S)
+        self.paused_until = max(self.paused_until, now + backoff_s)
         live = self.live.get(index)
         if live is not None and live.worker:
             self.avoid[index] = self.avoid.get(index, frozenset()) | {live.worker}
--- a/rhubarbferry/core/request_queue.py
+++ b/rhubarbferry/core/request_queue.py
@@ -241,12 +241,12 @@
         state = self._accounts[account]
         own = len(state.waiting[priority])
         shares = self._classes[priority].shares + (state.terms.share if own == 0 else 0.0)
-        by_share = own * shares / state.terms.share
-        ahead = min(by_share, len(self._classes[priority].arrived))
-        ahead += sum(len(c.arrived) for p, c in self._classes.items() if p < priority)
+        ahead_by_share = own * shares / state.terms.share
+        requests_ahead = min(ahead_by_share, len(self._classes[priority].arrived))
+        requests_ahead += sum(len(c.arrived) for p, c in self._classes.items() if p < priority)
         wait = 0.0
-        if ahead >= free:
-            wait = (ahead - free + 1) * self.times.mean_s / slots
+        if requests_ahead >= free:
+            wait = (requests_ahead - free + 1) * self.times.mean_s / slots
         limit = state.terms.max_concurrency
         if limit is not None and state.running + own >= limit:
             wait = max(wait, (state.running + own - limit + 1) * self.times.mean_s / limit)
--- a/rhubarbferry/core/worker_ledger.py
+++ b/rhubarbferry/core/worker_ledger.py
@@ -15,7 +15,7 @@
 from rhubarbferry.core.cell import Size
 from rhubarbferry.core.placement import Need, Placement, Spread
 
-KEEP_S = 3.0
+DEDICATED_WORKER_TTL_S = 3.0
 # Maximum number of tasks of one account that may be preempted on one worker at a time.
 MAX_PREEMPTED = 8
 
@@ -120,7 +120,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Kept:
+class DedicatedWorker:
     """A worker that accepts no other tasks until a task of one job fits.
 
     :param until: time at which the worker is released unless the task is claimed again.
@@ -147,7 +147,7 @@
         self._held: dict[str, Held] = {}
         self._used: dict[str, Size] = {}
         self.placement = Placement()
-        self._dedicated: Kept | None = None
+        self._dedicated: DedicatedWorker | None = None
 
     # ------------------------------------------------------------ workers
 
@@ -330,12 +330,12 @@
         worker = self._closest_fit(attempt) if dedicated is None else dedicated.worker
         if worker is None:
             return False
-        self._dedicated = Kept(
+        self._dedicated = DedicatedWorker(
             job_id=job_id,
             worker=worker,
             priority=attempt.priority,
             since=since,
-            until=now + KEEP_S,
+            until=now + DEDICATED_WORKER_TTL_S,
         )
         self._update_open(self._workers[worker])
         return True
@@ -360,7 +360,7 @@
             )
             if not usable or dedicated_to_other or entry.id in attempt.avoid:
                 continue
-            victims = self._victims(entry, attempt)
+            victims = self._find_victims(entry, attempt)
             if victims is not None and (best is None or len(victims) < best[0]):
                 best = (len(victims), entry.id, victims)
         if best is None:
@@ -368,58 +368,58 @@
         self._expire_dedicated(now)
         if self._dedicated is None or self._dedicated.job_id != attempt.job_id:
             self._release_dedicated()
-            self._dedicated = Kept(
+            self._dedicated = DedicatedWorker(
                 job_id=attempt.job_id,
                 worker=best[1],
                 priority=attempt.priority,
                 since=now,
-                until=now + KEEP_S,
+                until=now + DEDICATED_WORKER_TTL_S,
             )
             self._update_open(self._workers[best[1]])
         return best[2]
 
-    def _victims(self, entry: _Worker, attempt: Attempt) -> list[Held] | None:
+    def _find_victims(self, entry: _Worker, attempt: Attempt) -> list[Held] | None:
         """Return the tasks to preempt on a worker, or ``None`` if that frees too little."""
-        room = self.placement.free(entry.id)
+        free_size = self.placement.free(entry.id)
         stopping: Counter[str] = Counter()
         candidates = []
         for held in self.on_worker(entry.id):
             if held.state != HeldState.RUNNING:
                 continue
             if held.stopping:
-                room = room + held.attempt.size
+                free_size = free_size + held.attempt.size
                 stopping[held.attempt.account] += 1
             elif _is_preemptible_by(held.attempt, attempt):
                 candidates.append(held)
         candidates.sort(key=lambda held: (-held.attempt.priority, -held.since))
         victims: list[Held] = []
         for held in candidates:
-            if attempt.size.fits(room):
+            if attempt.size.fits(free_size):
                 break
             if stopping[held.attempt.account] >= MAX_PREEMPTED:
                 continue
             stopping[held.attempt.account] += 1
-            room = room + held.attempt.size
+            free_size = free_size + held.attempt.size
             victims.append(held)
-        return victims if attempt.size.fits(room) else None
+        return victims if attempt.size.fits(free_size) else None
 
     def _closest_fit(self, attempt: Attempt) -> str | None:
         """Return the open worker with sufficient capacity that lacks the least free capacity."""
         size = attempt.size
         best: str | None = None
-        least = float("inf")
+        smallest_shortage = float("inf")
         for entry in self._workers.values():
             usable = self.placement.is_open(entry.id) and entry.id not in attempt.avoid
             if not usable or not size.fits(entry.capacity):
                 continue
             free = self.placement.free(entry.id)
-            lack = max(
+            shortage = max(
                 (size.millicores - free.millicores) / max(1, entry.capacity.millicores),
                 (size.memory_bytes - free.memory_bytes) / max(1, entry.capacity.memory_bytes),
                 (size.accelerators - free.accelerators) / max(1, entry.capacity.accelerators),
             )
-            if lack < least:
-                best, least = entry.id, lack
+            if shortage < smallest_shortage:
+                best, smallest_shortage = entry.id, shortage
         return best
 
     def _dedicated_for(self, attempt: Attempt) -> str | None:
--- a/tests/core/test_keeping_workers.py
+++ b/tests/core/test_keeping_workers.py
@@ -5,7 +5,7 @@
 from rhubarbferry.core.job_queue import JobQueue, Room
 from rhubarbferry.core.jobs import Job, JobSpec
 from rhubarbferry.core.placement import Spread
-from rhubarbferry.core.worker_ledger import KEEP_S, Attempt, End, WorkerLedger
+from rhubarbferry.core.worker_ledger import DEDICATED_WORKER_TTL_S, Attempt, End, WorkerLedger
 
 WORKER = Size(millicores=8, memory_bytes=8)
 PACK = Spread.PACK
@@ -58,8 +58,8 @@
     placed = [rack.place(attempt("s", 1, number), spread=PACK, now=0.0) for number in range(4)]
     assert len({held.worker for held in placed if held is not None}) == 1
     assert placed[3] is None
-    rack.expire(KEEP_S)
-    assert rack.place(attempt("s", 1, 9), spread=PACK, now=KEEP_S) is not None
+    rack.expire(DEDICATED_WORKER_TTL_S)
+    assert rack.place(attempt("s", 1, 9), spread=PACK, now=DEDICATED_WORKER_TTL_S) is not None
 
 
 def test_a_job_requests_capacity_only_after_being_skipped_for_long() -> None:
