--- a/rhubarbferry/core/job_queue.py
+++ b/rhubarbferry/core/job_queue.py
@@ -57,8 +57,8 @@
     the job that was accepted first. A job whose tasks do not fit into a worker partition is
     skipped for that partition, so that smaller tasks can use its free capacity.
 
-    :param far_after_s: how long a job waits for capacity in its home's region before it may run
-        in another region.
+    :param far_after_s: how long a job waits in its home's region before it may run in
+        another region.
     :param patience_s: how long a large task waits before a worker is reserved for it.
     """
 
