--- a/rhubarbferry/core/job_queue.py
+++ b/rhubarbferry/core/job_queue.py
@@ -59,7 +59,7 @@
 
     :param far_after_s: how long a job waits in its home's region before it may run in
         another region.
-    :param patience_s: how long a large task waits before a worker is reserved for it.
+    :param patience_s: how long a large task waits before a worker is dedicated to it.
     """
 
     def __init__(self, *, far_after_s: float, patience_s: float) -> None:
--- a/rhubarbferry/core/jobs.py
+++ b/rhubarbferry/core/jobs.py
@@ -149,7 +149,7 @@
         self.waiting_since = since
         # Time since which smaller tasks of later jobs have been scheduled before this job's.
         self.passed_since: float | None = None
-        # The worker partition requested to reserve a worker for this job, and the time of the next
+        # The worker partition requested to dedicate a worker to this job, and the time of the next
         # request.
         self.capacity_partition = ""
         self.next_capacity_request_at = 0.0
@@ -158,7 +158,7 @@
         self.live: dict[int, LiveAttempt] = {}
         self.avoid: dict[int, frozenset[str]] = {}
         self._max_attempts = max_attempts
-        self._live_per_partition: Counter[str] = Counter()
+        self._live_attempts_per_partition: Counter[str] = Counter()
         self._states = bytearray(spec.tasks)
         self._waiting: deque[int] = deque(range(spec.tasks))
         self._attempts: dict[int, int] = {}
@@ -184,7 +184,7 @@
 
     def on_partition(self, partition: str) -> int:
         """Return the number of attempts that may be running on a worker partition."""
-        return self._live_per_partition[partition]
+        return self._live_attempts_per_partition[partition]
 
     def last_attempt(self, index: int) -> int:
         """Return the number of a task's last attempt, 0 if there was none."""
@@ -248,7 +248,7 @@
             partition=partition,
             epoch=epoch,
         )
-        self._add_live(index, live)
+        self._add_live_attempt(index, live)
         self._set_state(index, TaskState.CLAIMED)
         return index
 
@@ -329,7 +329,7 @@
         self._record_start(now)
         self.formed = True
         self._attempts[index] = max(attempt.attempt, self._attempts.get(index, 0))
-        self._add_live(index, attempt)
+        self._add_live_attempt(index, attempt)
         self._set_state(index, TaskState.RUNNING)
 
     def not_found(self, index: int) -> None:
@@ -431,25 +431,25 @@
             self.avoid[index] = self.avoid.get(index, frozenset()) | {live.worker}
 
     def _requeue(self, index: int) -> None:
-        self._drop_live(index)
+        self._remove_live_attempt(index)
         if self.cancelled:
             self._finalize(index, self._state_if_cancelled.get(index, TaskState.NOT_RUN))
             return
         self._set_state(index, TaskState.WAITING)
         self._waiting.append(index)
 
-    def _add_live(self, index: int, live: LiveAttempt) -> None:
-        self._drop_live(index)
+    def _add_live_attempt(self, index: int, live: LiveAttempt) -> None:
+        self._remove_live_attempt(index)
         self.live[index] = live
-        self._live_per_partition[live.partition] += 1
+        self._live_attempts_per_partition[live.partition] += 1
 
-    def _drop_live(self, index: int) -> None:
+    def _remove_live_attempt(self, index: int) -> None:
         live = self.live.pop(index, None)
         if live is not None:
-            self._live_per_partition[live.partition] -= 1
+            self._live_attempts_per_partition[live.partition] -= 1
 
     def _finalize(self, index: int, state: TaskState) -> None:
-        self._drop_live(index)
+        self._remove_live_attempt(index)
         self.avoid.pop(index, None)
         self._failures.pop(index, None)
         self._attempts.pop(index, None)
--- a/rhubarbferry/core/slots.py
+++ b/rhubarbferry/core/slots.py
@@ -91,7 +91,7 @@
 
     :param listed: whether the host list contains the runner.
     :param listed_leaving: whether the host list marks the runner as shutting down.
-    :param said_leaving: whether the runner reported that it is shutting down.
+    :param reported_leaving: whether the runner reported that it is shutting down.
     :param said_slots: number of slots reported by the runner, ``None`` before its first report.
     :param blocked_until: time until which all slots count as taken, unless a report lifts the
         block earlier.
@@ -104,7 +104,7 @@
     slots: int
     listed: bool = True
     listed_leaving: bool = False
-    said_leaving: bool = False
+    reported_leaving: bool = False
     said_slots: int | None = None
     blocked_until: float | None = None
     word_from: float = 0.0
@@ -114,7 +114,7 @@
     @property
     def leaving(self) -> bool:
         """Whether the runner receives no new requests."""
-        return not self.listed or self.listed_leaving or self.said_leaving
+        return not self.listed or self.listed_leaving or self.reported_leaving
 
     @property
     def capacity(self) -> int:
@@ -164,7 +164,7 @@
             self.runners[id] = runner
         if runner.address != address:
             runner.address = address
-            runner.said_leaving = False
+            runner.reported_leaving = False
             runner.said_slots = None
         runner.slots = slots
         runner.listed = True
@@ -296,7 +296,7 @@
         runner = self.runners.get(report.runner_id)
         if runner is None:
             return ()
-        runner.said_leaving = report.leaving
+        runner.reported_leaving = report.leaving
         runner.said_slots = report.slots
         if runner.blocked_until is not None and report.asked_at >= runner.word_from:
             self._lease_unknown_requests(runner, report, now)
--- a/rhubarbferry/core/worker_ledger.py
+++ b/rhubarbferry/core/worker_ledger.py
@@ -123,7 +123,7 @@
 class DedicatedWorker:
     """A worker that accepts no other tasks until a task of one job fits.
 
-    :param until: time at which the worker is released unless the task is claimed again.
+    :param until: time at which the worker is released unless the dedication is renewed.
     """
 
     job_id: str
@@ -313,7 +313,7 @@
         return held
 
     def keep(self, attempt: Attempt, *, waited_s: float, now: float) -> bool:
-        """Reserve a worker for a task that has waited long; return whether one is reserved.
+        """Dedicate a worker to a task that has waited long; return whether one is dedicated.
 
         In a full rack, small tasks take all capacity that becomes free, and a large task would
         starve. One worker at a time accepts no other tasks until the large task fits; the other
@@ -341,7 +341,7 @@
         return True
 
     def preempt(self, attempt: Attempt, *, now: float) -> list[Held]:
-        """Choose tasks to checkpoint so that an urgent task fits, and reserve their worker for it.
+        """Choose tasks to checkpoint so that an urgent task fits, and dedicate their worker to it.
 
         Only preemptible tasks of a less urgent class are chosen, on the worker where the fewest
         must be preempted. The most recently started tasks of the least urgent class are chosen
@@ -423,7 +423,7 @@
         return best
 
     def _dedicated_for(self, attempt: Attempt) -> str | None:
-        """Release and return the worker reserved for this task, if the task fits there now."""
+        """Release and return the worker dedicated to this task, if the task fits there now."""
         dedicated = self._dedicated
         if dedicated is None or dedicated.job_id != attempt.job_id:
             return None
