--- a/rhubarbferry/core/feasibility.py
+++ b/rhubarbferry/core/feasibility.py
@@ -10,7 +10,7 @@
 from rhubarbferry.core.fairshare import FairShare
 from rhubarbferry.core.jobs import Job, JobKind, JobPhase, JobSpec
 
-MAX_PAYLOAD = 16 * 1024
+MAX_PAYLOAD_CHARS = 16 * 1024
 
 DIMENSIONS = (
     ("processors", lambda size: size.millicores),
@@ -63,8 +63,8 @@
         return "a task needs processors or memory"
     if spec.run_ms < 0:
         return "negative run time"
-    if len(spec.payload or "") > MAX_PAYLOAD:
-        return f"the payload is over {MAX_PAYLOAD} characters; pass a reference to it"
+    if len(spec.payload or "") > MAX_PAYLOAD_CHARS:
+        return f"the payload is over {MAX_PAYLOAD_CHARS} characters; pass a reference to it"
     if spec.region and spec.region not in cell.regions:
         return f"no region {spec.region!r}; there are {', '.join(cell.regions)}"
     return None
--- a/rhubarbferry/core/worker_ledger.py
+++ b/rhubarbferry/core/worker_ledger.py
@@ -17,7 +17,7 @@
 
 DEDICATED_WORKER_TTL_S = 3.0
 # Maximum number of tasks of one account that may be preempted on one worker at a time.
-MAX_PREEMPTED = 8
+MAX_PREEMPTED_PER_ACCOUNT = 8
 
 
 class End(IntEnum):
@@ -345,7 +345,7 @@
 
         Only preemptible tasks of a less urgent class are chosen, on the worker where the fewest
         must be preempted. The most recently started tasks of the least urgent class are chosen
-        first, and at most ``MAX_PREEMPTED`` per account at a time. Tasks that are already being
+        first, and at most ``MAX_PREEMPTED_PER_ACCOUNT`` per account at a time. Tasks that are already being
         stopped count as ended, so that a repeated call stops no further tasks.
 
         :returns: the tasks to checkpoint; empty if preemption cannot free enough capacity.
@@ -396,7 +396,7 @@
         for held in candidates:
             if attempt.size.fits(free_size):
                 break
-            if stopping[held.attempt.account] >= MAX_PREEMPTED:
+            if stopping[held.attempt.account] >= MAX_PREEMPTED_PER_ACCOUNT:
                 continue
             stopping[held.attempt.account] += 1
             free_size = free_size + held.attempt.size
