--- a/rhubarbferry/core/worker_ledger.py
+++ b/rhubarbferry/core/worker_ledger.py
@@ -345,8 +345,8 @@
 
         Only preemptible tasks of a less urgent class are chosen, on the worker where the fewest
         must be preempted. The most recently started tasks of the least urgent class are chosen
-        first, and at most ``MAX_PREEMPTED_PER_ACCOUNT`` per account at a time. Tasks that are already being
-        stopped count as ended, so that a repeated call stops no further tasks.
+        first, and at most ``MAX_PREEMPTED_PER_ACCOUNT`` per account at a time. Tasks that are
+        already being stopped count as ended, so that a repeated call stops no further tasks.
 
         :returns: the tasks to checkpoint; empty if preemption cannot free enough capacity.
         """
