--- a/rhubarbferry/core/fairshare.py
+++ b/rhubarbferry/core/fairshare.py
@@ -1,12 +1,13 @@
-"""Weighted dominant share of the client accounts, with usage that decays over time.
+"""Weighted dominant resource fairness of client accounts, with decaying usage.
 
-An account's standing is its share of the dimension it uses most, of what it holds now plus a
-decayed mean of what it held, over its weight. Work of the account with the lowest standing goes
-first. An idle share is lent to whoever has work: nobody waits while there is room.
+An account's standing is its dominant share (the largest fraction of the cell's total that it
+uses in any dimension), computed from its current usage and a decayed mean of past usage, divided
+by its weight. Work of the account with the lowest standing is scheduled first. Capacity that an
+account does not use is available to the others, so no work waits while there is free capacity.
 
-Usage comes in digests, one for each worker partition. A digest that is ``age`` old can miss what
-was started and ended since: the standing is then off by at most the starts in ``age``, and the
-homes count their own claims on top until a newer digest comes.
+Usage is reported in digests, one per worker partition. A digest of a given age does not include
+tasks that were started or ended since, so a standing is wrong by at most the tasks started within
+that age. Homes add their own claims until a newer digest arrives.
 """
 
 from __future__ import annotations
@@ -18,17 +19,18 @@
 
 from rhubarbferry.core.cell import Size
 
-ZERO = Size()
-# The past counts more than the present. With equal weights, an account whose tasks are large
-# stays one task's share behind for good, since that much past is outweighed by one task more.
-PAST_WEIGHT = 10.0
+ZERO_SIZE = Size()
+# Weight of past usage relative to current usage. With equal weights, an account with large tasks
+# permanently stays one task's share behind, because starting one more task outweighs that much
+# past usage.
+PAST_USAGE_WEIGHT = 10.0
 
 
 @frozen(kw_only=True, slots=True)
 class UsageDigest:
-    """Declared sizes held in one partition, per account.
+    """Declared sizes of the tasks in one partition, per account.
 
-    :param taken_at: monotonic time of the reader when it was asked for.
+    :param taken_at: the reader's monotonic time when it requested the digest.
     """
 
     taken_at: float
@@ -36,72 +38,72 @@
 
 
 @define(kw_only=True, slots=True)
-class _Standing:
+class _AccountUsage:
     weight: float = 1.0
-    quota: Size = ZERO
-    now: Size = ZERO
-    claimed: Size = ZERO
-    mean: tuple[float, float, float] = (0.0, 0.0, 0.0)
-    since: float = 0.0
+    quota: Size = ZERO_SIZE
+    now: Size = ZERO_SIZE
+    claimed: Size = ZERO_SIZE
+    past_mean: tuple[float, float, float] = (0.0, 0.0, 0.0)
+    updated_at: float = 0.0
 
 
 class FairShare:
-    """Standings of all accounts.
+    """Computes the standing of every account.
 
-    :param half_life_s: after which past usage counts half.
+    :param half_life_s: time after which the weight of past usage is halved.
     """
 
     def __init__(self, *, half_life_s: float) -> None:
         self._rate = math.log(2.0) / half_life_s
-        self._accounts: dict[str, _Standing] = {}
+        self._accounts: dict[str, _AccountUsage] = {}
         self._digests: dict[str, UsageDigest] = {}
         self._total = Size()
 
     def set_account(self, account: str, *, weight: float, quota: Size) -> None:
-        """Set an account's weight and quota; a zero dimension of a quota is no limit."""
-        standing = self._of(account)
-        standing.weight = weight
-        standing.quota = quota
+        """Set an account's weight and quota; a quota dimension of 0 is unlimited."""
+        usage = self._usage_of(account)
+        usage.weight = weight
+        usage.quota = quota
 
     def set_total(self, total: Size) -> None:
-        """Set the capacity of the cell that shares are counted of."""
+        """Set the total capacity of the cell, of which shares are fractions."""
         self._total = total
 
     def put_digest(self, partition: str, digest: UsageDigest) -> None:
-        """Replace what is known of one partition."""
-        before = self._digests.get(partition)
+        """Replace the usage digest of one partition."""
+        previous = self._digests.get(partition)
         self._digests[partition] = digest
-        accounts = set(digest.used) | set(before.used if before else ())
+        accounts = set(digest.used) | set(previous.used if previous else ())
         for account in accounts:
-            change = digest.used.get(account, ZERO)
-            if before is not None:
-                change = change - before.used.get(account, ZERO)
-            self._advance(account, digest.taken_at)
-            standing = self._of(account)
-            standing.now = standing.now + change
+            change = digest.used.get(account, ZERO_SIZE)
+            if previous is not None:
+                change = change - previous.used.get(account, ZERO_SIZE)
+            self._decay(account, digest.taken_at)
+            usage = self._usage_of(account)
+            usage.now = usage.now + change
 
     def claim(self, account: str, size: Size) -> None:
-        """Count a claim that no digest holds yet."""
-        standing = self._of(account)
-        standing.claimed = standing.claimed + size
+        """Add a claim that no digest includes yet."""
+        usage = self._usage_of(account)
+        usage.claimed = usage.claimed + size
 
     def unclaim(self, account: str, size: Size) -> None:
-        """Take back a claim: it was refused, or a digest holds it now."""
-        standing = self._of(account)
-        standing.claimed = standing.claimed - size
+        """Remove a claim that was refused or that a digest now includes."""
+        usage = self._usage_of(account)
+        usage.claimed = usage.claimed - size
 
     def standing(self, account: str, now: float) -> float:
-        """Return the account's weighted dominant share; the lowest goes first."""
-        self._advance(account, now)
-        entry = self._of(account)
-        current = self._dominant(entry.now + entry.claimed)
-        return (current + PAST_WEIGHT * self._dominant_mean(entry.mean)) / entry.weight
+        """Return the account's weighted dominant share; the lowest is scheduled first."""
+        self._decay(account, now)
+        usage = self._usage_of(account)
+        current = self._dominant(usage.now + usage.claimed)
+        return (current + PAST_USAGE_WEIGHT * self._dominant_mean(usage.past_mean)) / usage.weight
 
     def within_quota(self, account: str, size: Size) -> bool:
-        """Tell whether the account may have ``size`` more."""
-        entry = self._of(account)
-        after = entry.now + entry.claimed + size
-        quota = entry.quota
+        """Return whether the account may use ``size`` more without exceeding its quota."""
+        usage = self._usage_of(account)
+        after = usage.now + usage.claimed + size
+        quota = usage.quota
         return (
             (not quota.millicores or after.millicores <= quota.millicores)
             and (not quota.memory_bytes or after.memory_bytes <= quota.memory_bytes)
@@ -109,33 +111,34 @@
         )
 
     def used(self, account: str) -> Size:
-        """Return what the account holds, with claims on the way."""
-        entry = self._of(account)
-        return entry.now + entry.claimed
+        """Return the account's usage, including claims that no digest includes yet."""
+        usage = self._usage_of(account)
+        return usage.now + usage.claimed
 
     def age(self, partition: str, now: float) -> float:
-        """Return how old what is known of a partition is, in seconds."""
+        """Return the age of a partition's digest in seconds, infinite without a digest."""
         digest = self._digests.get(partition)
         return math.inf if digest is None else now - digest.taken_at
 
-    def _of(self, account: str) -> _Standing:
-        standing = self._accounts.get(account)
-        if standing is None:
-            standing = self._accounts[account] = _Standing()
-        return standing
+    def _usage_of(self, account: str) -> _AccountUsage:
+        usage = self._accounts.get(account)
+        if usage is None:
+            usage = self._accounts[account] = _AccountUsage()
+        return usage
 
-    def _advance(self, account: str, now: float) -> None:
-        entry = self._of(account)
-        if now <= entry.since:
+    def _decay(self, account: str, now: float) -> None:
+        usage = self._usage_of(account)
+        if now <= usage.updated_at:
             return
-        # Before the first sight there is no past: the mean starts at zero.
-        kept = math.exp(-self._rate * (now - entry.since)) if entry.since else 1.0
-        held = entry.now + entry.claimed
+        # An account without a previous update has no past usage: its mean starts at zero.
+        decay_factor = math.exp(-self._rate * (now - usage.updated_at)) if usage.updated_at else 1.0
+        held = usage.now + usage.claimed
         current = (held.millicores, held.memory_bytes, held.accelerators)
-        entry.mean = tuple(  # type: ignore[assignment]
-            value + (old - value) * kept for value, old in zip(current, entry.mean, strict=True)
+        usage.past_mean = tuple(  # type: ignore[assignment]
+            value + (old - value) * decay_factor
+            for value, old in zip(current, usage.past_mean, strict=True)
         )
-        entry.since = now
+        usage.updated_at = now
 
     def _dominant(self, size: Size) -> float:
         return self._dominant_mean((size.millicores, size.memory_bytes, size.accelerators))
--- a/rhubarbferry/core/gangs.py
+++ b/rhubarbferry/core/gangs.py
@@ -1,44 +1,50 @@
-"""How long a gang holds reservations, and how long it waits after a try that failed."""
+"""Reservation times and retry backoff of gangs."""
 
 from __future__ import annotations
 
 from rhubarbferry.core.cell import Size
 
-PATIENT_AFTER_S = 5.0
-PATIENCE = 5.0
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 2.0
+LONG_HOLD_MIN_AGE_S = 5.0
+LONG_HOLD_FACTOR = 5.0
+MIN_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
 
 
 def how_many(size: Size, *, free: Size, largest: Size) -> int:
-    """Return how many tasks a room may hold; the workers' free sizes can still say less."""
+    """Return an upper bound on the number of tasks that fit into a partition.
+
+    Free capacity that is spread over several workers can hold fewer tasks.
+    """
     if not size.fits(largest):
         return 0
     counts = [
-        room // need
-        for need, room in (
+        available // required
+        for required, available in (
             (size.millicores, free.millicores),
             (size.memory_bytes, free.memory_bytes),
             (size.accelerators, free.accelerators),
         )
-        if need > 0
+        if required > 0
     ]
     return max(0, min(counts, default=0))
 
 
 def hold(*, age_s: float, reserve_s: float) -> float:
-    """Return how long a gang's reservations hold.
+    """Return how long a gang's reservations are held, in seconds.
 
-    A young gang takes what is there at once or nothing. One that has waited gathers what
-    becomes free, since in a full cell enough room for all is never free at one moment.
+    A young gang holds them for ``reserve_s``: it either finds capacity for all of its tasks at
+    once or releases what it has reserved. A gang that has waited holds reservations longer and
+    collects capacity as it becomes free, because in a full cell there is never enough free
+    capacity for all tasks at the same moment.
     """
-    return reserve_s if age_s < PATIENT_AFTER_S else reserve_s * PATIENCE
+    return reserve_s if age_s < LONG_HOLD_MIN_AGE_S else reserve_s * LONG_HOLD_FACTOR
 
 
 def back_off(*, age_s: float, chance: float) -> float:
-    """Return the pause after a failed try: shorter the longer a gang has waited.
+    """Return the delay before the next placement attempt, which decreases with the gang's age.
 
-    :param chance: a random number in [0, 1), so that gangs of two homes don't keep step.
+    :param chance: random number in [0, 1); jitter that keeps gangs of two homes from retrying in
+        step.
     """
-    longest = max(FIRST_PAUSE_S, LONGEST_PAUSE_S / (1.0 + age_s / PATIENT_AFTER_S))
-    return FIRST_PAUSE_S + chance * longest
+    jitter_range_s = max(MIN_BACKOFF_S, MAX_BACKOFF_S / (1.0 + age_s / LONG_HOLD_MIN_AGE_S))
+    return MIN_BACKOFF_S + chance * jitter_range_s
--- a/rhubarbferry/core/jobs.py
+++ b/rhubarbferry/core/jobs.py
@@ -1,4 +1,4 @@
-"""State of one job: what each of its tasks has come to, and what it does next."""
+"""State of one job and its tasks, including retries and recovery from the log."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from rhubarbferry.core.cell import Size
 from rhubarbferry.core.worker_ledger import End
 
-FIRST_PAUSE_S = 0.2
-LONGEST_PAUSE_S = 30.0
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 30.0
 
 
 class JobKind(IntEnum):
-    """How a job's tasks are placed; values as in the messages."""
+    """How a job's tasks are placed; the values are those of the RPC messages."""
 
     BATCH = 0
     GANG = 1
@@ -23,7 +23,7 @@
 
 
 class JobPhase(IntEnum):
-    """How far a job has come; values as in the messages."""
+    """Phase of a job; the values are those of the RPC messages."""
 
     WAITING = 0
     RUNNING = 1
@@ -35,10 +35,10 @@
 
 
 class TaskState(IntEnum):
-    """What one task has come to.
+    """State of one task.
 
-    ``UNSURE``: an earlier owner of the job may have started it, and the workers have not all
-    been heard yet.
+    ``UNSURE``: an earlier owner of the job may have started the task, and not all workers have
+    reported their tasks yet.
     """
 
     WAITING = 0
@@ -56,7 +56,7 @@
 
 @frozen(kw_only=True, slots=True)
 class JobSpec:
-    """What was asked for; fields as in the message of the same name."""
+    """Specification of a job; the fields are those of the RPC message of the same name."""
 
     account: str
     kind: JobKind = JobKind.BATCH
@@ -74,10 +74,10 @@
 
 @define(kw_only=True, slots=True)
 class LiveAttempt:
-    """An attempt that may run.
+    """An attempt that may be running.
 
-    :param partition: the worker partition it was claimed from.
-    :param epoch: the epoch of that partition's owner at the time.
+    :param partition: the worker partition that the attempt was claimed for.
+    :param epoch: the epoch of the partition's owner when it was claimed.
     """
 
     task_id: str
@@ -89,7 +89,7 @@
 
 @define(kw_only=True, slots=True)
 class Counts:
-    """How many tasks of a job are in which state."""
+    """Number of tasks of a job per state."""
 
     waiting: int = 0
     running: int = 0
@@ -99,7 +99,7 @@
     not_run: int = 0
 
     def add(self, state: TaskState, change: int) -> None:
-        """Count ``change`` tasks more in a state."""
+        """Add ``change`` to the number of tasks in a state."""
         match state:
             case TaskState.WAITING:
                 self.waiting += change
@@ -118,13 +118,13 @@
 class Job:
     """One job and its tasks.
 
-    An attempt of a task begins only from ``WAITING``, and a task comes back to ``WAITING`` only
-    when its last attempt is known to have ended or never to have begun. A task that is not
-    idempotent does not come back once an attempt may have run.
+    An attempt of a task starts only from ``WAITING``, and a task returns to ``WAITING`` only when
+    its last attempt is known to have ended or never to have started. A task that is not idempotent
+    does not return to ``WAITING`` once an attempt may have run.
 
-    :param accepted_at: wall time, for the record.
-    :param since: monotonic time at which this process learned of it.
-    :param max_attempts: failures of one idempotent task after which it is given up.
+    :param accepted_at: wall-clock time of acceptance; informational.
+    :param since: monotonic time at which this process received the job.
+    :param max_attempts: number of failures after which an idempotent task fails for good.
     """
 
     def __init__(
@@ -141,37 +141,38 @@
         self.accepted_at = accepted_at
         self.since = since
         self.cancelled = False
-        # Whether the tasks of a gang have once run all together; they are then replaced singly.
+        # Whether all tasks of a gang have run together; failed ones are then replaced individually.
         self.formed = False
         self.finished: JobPhase | None = None
         self.reason = ""
         self.paused_until = 0.0
         self.waiting_since = since
-        # Since when smaller tasks, due later, have gone before this job's.
+        # Time since which smaller tasks of later jobs have been scheduled before this job's.
         self.passed_since: float | None = None
-        # The worker partition that is to keep a worker for this job, and when to ask again.
-        self.insists_on = ""
-        self.insists_at = 0.0
+        # The worker partition requested to dedicate a worker to this job, and the time of the next
+        # request.
+        self.capacity_partition = ""
+        self.next_capacity_request_at = 0.0
         self.first_start: float | None = None
         self.counts = Counts(waiting=spec.tasks)
         self.live: dict[int, LiveAttempt] = {}
         self.avoid: dict[int, frozenset[str]] = {}
         self._max_attempts = max_attempts
-        self._placed: Counter[str] = Counter()
+        self._live_attempts_per_partition: Counter[str] = Counter()
         self._states = bytearray(spec.tasks)
         self._waiting: deque[int] = deque(range(spec.tasks))
         self._attempts: dict[int, int] = {}
         self._failures: dict[int, int] = {}
-        # What cancelling makes of tasks that wait again after an attempt that ran.
-        self._ran: dict[int, TaskState] = {}
-        # Attempts that the record says may have begun, per task; filled by replay only.
+        # State that cancellation gives to tasks that wait again after an attempt that ran.
+        self._state_if_cancelled: dict[int, TaskState] = {}
+        # Attempts per task that may have started according to the log; set only by replay.
         self._dispatched: dict[int, set[int]] = {}
         self._ever_started = False
 
-    # ------------------------------------------------------------ looks
+    # ------------------------------------------------------------ queries
 
     def state(self, index: int) -> TaskState:
-        """Return what a task has come to."""
+        """Return the state of a task."""
         state = TaskState(self._states[index])
         if state is TaskState.WAITING and self.cancelled:
             return TaskState.NOT_RUN
@@ -182,23 +183,23 @@
         return [index for index in range(self.spec.tasks) if self.state(index) is state]
 
     def on_partition(self, partition: str) -> int:
-        """Return how many attempts may run on a worker partition."""
-        return self._placed[partition]
+        """Return the number of attempts that may be running on a worker partition."""
+        return self._live_attempts_per_partition[partition]
 
     def last_attempt(self, index: int) -> int:
-        """Return the number of a task's last attempt, 0 when there was none."""
+        """Return the number of a task's last attempt, 0 if there was none."""
         return self._attempts.get(index, 0)
 
     def waiting(self) -> int:
-        """Return how many tasks wait to be placed."""
+        """Return the number of tasks that wait to be placed."""
         return self.counts.waiting
 
     def open(self) -> bool:
-        """Tell whether some task is not final."""
+        """Return whether any task is not in a final state."""
         return self.finished is None and self.counts.waiting + self.counts.running > 0
 
     def phase(self) -> JobPhase:
-        """Return how far the job has come."""
+        """Return the phase of the job."""
         if self.finished is not None:
             return self.finished
         counts = self.counts
@@ -215,100 +216,100 @@
         return JobPhase.DONE
 
     def may_have_run(self) -> bool:
-        """Tell whether an attempt of some task was started, or may have been."""
+        """Return whether an attempt of any task was or may have been started."""
         return self._ever_started
 
     def may_run(self) -> list[int]:
-        """Return the tasks of which an attempt may run, or has run and was not final.
+        """Return the tasks of which an attempt may be running, or has run without being final.
 
-        A later owner of the job must not call these "not run" without asking the workers.
+        A later owner of the job must not report these as "not run" without querying the workers.
         """
         open_states = (TaskState.CLAIMED, TaskState.RUNNING, TaskState.UNSURE)
         return [
             index
             for index in range(self.spec.tasks)
             if (state := self.state(index)) in open_states
-            or (state is TaskState.WAITING and index in self._ran)
+            or (state is TaskState.WAITING and index in self._state_if_cancelled)
         ]
 
     # ------------------------------------------------------------ events
 
     def claim(self, *, partition: str, epoch: int, home_epoch: int) -> int:
-        """Take the next waiting task for an attempt; return its index."""
+        """Start an attempt of the next waiting task and return the task's index."""
         index = self._waiting.popleft()
         while self.state(index) is not TaskState.WAITING:
             index = self._waiting.popleft()
         attempt = self._attempts.get(index, 0) + 1
         self._attempts[index] = attempt
         live = LiveAttempt(
-            # The home's epoch makes the id unique: a later home counts attempts anew.
+            # The home's epoch makes the id unique: a later home restarts the attempt numbers.
             task_id=f"{self.id}/{index}/{home_epoch}.{attempt}",
             attempt=attempt,
             partition=partition,
             epoch=epoch,
         )
-        self._put_live(index, live)
-        self._move(index, TaskState.CLAIMED)
+        self._add_live_attempt(index, live)
+        self._set_state(index, TaskState.CLAIMED)
         return index
 
     def started(self, index: int, *, worker: str, now: float) -> None:
-        """Note that an attempt runs."""
+        """Record that an attempt is running."""
         if self.state(index) is not TaskState.CLAIMED:
             return
         self.live[index].worker = worker
         self.passed_since = None
-        self.insists_on = ""
-        self._note_start(now)
-        self._move(index, TaskState.RUNNING)
+        self.capacity_partition = ""
+        self._record_start(now)
+        self._set_state(index, TaskState.RUNNING)
 
     def never_started(self, index: int) -> None:
-        """Note that the last attempt has not run and never will."""
+        """Record that the last attempt did not run and never will."""
         if self.state(index) in (TaskState.CLAIMED, TaskState.RUNNING, TaskState.UNSURE):
-            self._wait_again(index)
+            self._requeue(index)
 
     def ended(self, index: int, end: End, *, now: float) -> None:
-        """Note how an attempt ended, and let the task wait again or be final."""
+        """Record how an attempt ended; the task then waits again or becomes final."""
         state = self.state(index)
         if state in FINAL or state is TaskState.WAITING:
             return
         if state is TaskState.UNSURE and not self.is_final(index, end):
-            # The end may be that of an attempt before the last one, which can still run.
+            # The end may belong to an earlier attempt while the last one may still be running.
             return
         if end is not End.NOT_STARTED:
-            self._note_start(now)
+            self._record_start(now)
         if end is End.FAILED:
-            self._note_failure(index, now)
-        after = self._after(index, end)
-        if after is TaskState.WAITING:
+            self._record_failure(index, now)
+        next_state = self._state_after(index, end)
+        if next_state is TaskState.WAITING:
             self.waiting_since = now
-        self._end(index, end, after)
+        self._apply_end(index, end, next_state)
 
     def is_final(self, index: int, end: End) -> bool:
-        """Tell whether this end of an attempt makes the task final."""
+        """Return whether this end of an attempt makes the task final."""
         failures = self._failures.get(index, 0) + (end is End.FAILED)
-        return self._after(index, end, failures=failures) is not TaskState.WAITING
+        return self._state_after(index, end, failures=failures) is not TaskState.WAITING
 
     def cancel(self) -> None:
-        """Let no task start any more; those that wait and never ran are not run."""
+        """Prevent further starts; waiting tasks that never ran become ``NOT_RUN``."""
         if self.cancelled:
             return
-        for index, state in self._ran.items():
+        for index, state in self._state_if_cancelled.items():
             if self.state(index) is TaskState.WAITING:
-                self._settle(index, state)
+                self._finalize(index, state)
         self.cancelled = True
         self.counts.not_run += self.counts.waiting
         self.counts.waiting = 0
         self._waiting.clear()
 
     def give_up(self, reason: str) -> None:
-        """Let no task start any more, for a reason that is not the caller's."""
+        """Cancel the job for a reason other than a caller's request."""
         self.reason = reason
         self.cancel()
 
     # ------------------------------------------------------------ recovery
 
     def unsure(self, index: int, attempt: int = 0) -> None:
-        """Note that an earlier owner may have started an attempt of a task."""
+        """Record that an earlier owner may have started an attempt of a task."""
         if self._states[index] not in (TaskState.WAITING, TaskState.UNSURE):
             return
         self._dispatched.setdefault(index, set()).add(attempt)
@@ -316,35 +317,35 @@
         if self._states[index] == TaskState.UNSURE:
             return
         if self.cancelled:
-            # The dispatch was on its way to the record when the job was cancelled.
+            # The dispatch was being recorded when the job was cancelled.
             self.counts.not_run -= 1
             self.counts.waiting += 1
-        self._move(index, TaskState.UNSURE)
+        self._set_state(index, TaskState.UNSURE)
 
     def found(self, index: int, attempt: LiveAttempt, *, now: float) -> None:
-        """Note that an attempt was found running."""
+        """Record that a worker reported a running attempt."""
         if self.state(index) is not TaskState.UNSURE:
             return
-        self._note_start(now)
+        self._record_start(now)
         self.formed = True
         self._attempts[index] = max(attempt.attempt, self._attempts.get(index, 0))
-        self._put_live(index, attempt)
-        self._move(index, TaskState.RUNNING)
+        self._add_live_attempt(index, attempt)
+        self._set_state(index, TaskState.RUNNING)
 
     def not_found(self, index: int) -> None:
-        """Settle a task of which no worker holds an attempt and none can run any more."""
+        """Resolve a task of which no worker holds an attempt and no attempt can still run."""
         if self.state(index) is not TaskState.UNSURE:
             return
         self._ever_started = True
-        self._ran[index] = TaskState.UNKNOWN
+        self._state_if_cancelled[index] = TaskState.UNKNOWN
         if self.spec.idempotent:
-            self._wait_again(index)
+            self._requeue(index)
         else:
-            # It was dispatched and nobody can say whether it ran: it must never run again.
-            self._settle(index, TaskState.UNKNOWN)
+            # It was dispatched and may have run, so it must never run again.
+            self._finalize(index, TaskState.UNKNOWN)
 
     def restore(self, index: int, end: End, *, attempt: int) -> None:
-        """Apply a recorded end."""
+        """Apply a recorded end of an attempt."""
         if self.state(index) in FINAL:
             return
         if end is End.NOT_STARTED:
@@ -353,13 +354,13 @@
         if self.state(index) is TaskState.WAITING:
             self.unsure(index, attempt)
         self._ever_started = True
-        self._end(index, end, self._after(index, end, failures=self._max_attempts))
+        self._apply_end(index, end, self._state_after(index, end, failures=self._max_attempts))
 
     def _restore_not_started(self, index: int, attempt: int) -> None:
         """Apply the record that an attempt was never started.
 
-        Ends of attempts that are followed by another one are not on record. So an earlier
-        dispatch that was not taken back may have run, and the task is not "not run" then.
+        The end of an attempt that is followed by another attempt is not recorded. An earlier
+        dispatch that was not revoked may therefore have run, so the task cannot be "not run".
         """
         dispatched = self._dispatched.get(index, set())
         dispatched.discard(attempt)
@@ -367,20 +368,20 @@
             return
         if dispatched:
             self._ever_started = True
-            self._ran[index] = TaskState.UNKNOWN
-        self._wait_again(index)
+            self._state_if_cancelled[index] = TaskState.UNKNOWN
+        self._requeue(index)
 
     def restore_finished(self, phase: JobPhase, counts: Counts | None) -> None:
-        """Apply the record of a job that is over."""
+        """Apply the record of a finished job."""
         self.finished = phase
         self._waiting.clear()
         self.live.clear()
         if counts is not None:
             self.counts = counts
 
-    # ------------------------------------------------------------ inside
+    # ------------------------------------------------------------ internal
 
-    def _after(self, index: int, end: End, *, failures: int | None = None) -> TaskState:
+    def _state_after(self, index: int, end: End, *, failures: int | None = None) -> TaskState:
         spec = self.spec
         if failures is None:
             failures = self._failures.get(index, 0)
@@ -400,62 +401,62 @@
             return TaskState.FAILED
         return TaskState.WAITING
 
-    def _end(self, index: int, end: End, after: TaskState) -> None:
+    def _apply_end(self, index: int, end: End, next_state: TaskState) -> None:
         match end:
             case End.NOT_STARTED:
                 pass
             case End.LEASE_LAPSED:
-                self._ran[index] = TaskState.UNKNOWN
+                self._state_if_cancelled[index] = TaskState.UNKNOWN
             case End.DONE:
-                self._ran[index] = TaskState.DONE
+                self._state_if_cancelled[index] = TaskState.DONE
             case _:
-                self._ran[index] = TaskState.FAILED
-        if after is TaskState.WAITING:
-            self._wait_again(index)
+                self._state_if_cancelled[index] = TaskState.FAILED
+        if next_state is TaskState.WAITING:
+            self._requeue(index)
         else:
-            self._settle(index, after)
+            self._finalize(index, next_state)
 
-    def _note_start(self, now: float) -> None:
+    def _record_start(self, now: float) -> None:
         self._ever_started = True
         if self.first_start is None:
             self.first_start = now
 
-    def _note_failure(self, index: int, now: float) -> None:
+    def _record_failure(self, index: int, now: float) -> None:
         failures = self._failures.get(index, 0) + 1
         self._failures[index] = failures
-        pause = min(FIRST_PAUSE_S * 2 ** (failures - 1), LONGEST_PAUSE_S)
-        self.paused_until = max(self.paused_until, now + pause)
+        backoff_s = min(INITIAL_BACKOFF_S * 2 ** (failures - 1), MAX_BACKOFF_S)
+        self.paused_until = max(self.paused_until, now + backoff_s)
         live = self.live.get(index)
         if live is not None and live.worker:
             self.avoid[index] = self.avoid.get(index, frozenset()) | {live.worker}
 
-    def _wait_again(self, index: int) -> None:
-        self._drop_live(index)
+    def _requeue(self, index: int) -> None:
+        self._remove_live_attempt(index)
         if self.cancelled:
-            self._settle(index, self._ran.get(index, TaskState.NOT_RUN))
+            self._finalize(index, self._state_if_cancelled.get(index, TaskState.NOT_RUN))
             return
-        self._move(index, TaskState.WAITING)
+        self._set_state(index, TaskState.WAITING)
         self._waiting.append(index)
 
-    def _put_live(self, index: int, live: LiveAttempt) -> None:
-        self._drop_live(index)
+    def _add_live_attempt(self, index: int, live: LiveAttempt) -> None:
+        self._remove_live_attempt(index)
         self.live[index] = live
-        self._placed[live.partition] += 1
+        self._live_attempts_per_partition[live.partition] += 1
 
-    def _drop_live(self, index: int) -> None:
+    def _remove_live_attempt(self, index: int) -> None:
         live = self.live.pop(index, None)
         if live is not None:
-            self._placed[live.partition] -= 1
+            self._live_attempts_per_partition[live.partition] -= 1
 
-    def _settle(self, index: int, state: TaskState) -> None:
-        self._drop_live(index)
+    def _finalize(self, index: int, state: TaskState) -> None:
+        self._remove_live_attempt(index)
         self.avoid.pop(index, None)
         self._failures.pop(index, None)
         self._attempts.pop(index, None)
         self._dispatched.pop(index, None)
-        self._move(index, state)
+        self._set_state(index, state)
 
-    def _move(self, index: int, state: TaskState) -> None:
+    def _set_state(self, index: int, state: TaskState) -> None:
         self.counts.add(TaskState(self._states[index]), -1)
         self._states[index] = state
         self.counts.add(state, 1)
--- a/rhubarbferry/core/request_queue.py
+++ b/rhubarbferry/core/request_queue.py
@@ -1,12 +1,12 @@
-"""Queue of requests that wait for a slot: priority, then fair share, then deadline.
+"""Queue of requests that wait for a slot, by priority, then fair share, then deadline.
 
-Order. The most urgent class goes first. Within a class the account goes first that has used the
-least slot time for its share (start-time fair queueing), and within an account the request whose
-deadline comes first. So that no class starves, each ``aged_every``-th grant goes to the request
-of a less urgent class that has waited longest, if it has waited ``aging_s``.
+Order: the most urgent priority class is first. Within a class, the account with the least slot
+time relative to its share is first (start-time fair queueing), and within an account the request
+with the earliest deadline. To prevent starvation, every ``aged_every``-th grant goes to the
+request of a less urgent class that has waited longest, if it has waited at least ``aging_s``.
 
-Refusal. A request that can't start in time is refused when it arrives, with the time after which
-to come back: under overload the slots then go to requests that can still be finished in time.
+Refusal: a request that cannot start in time is refused on arrival, with a time after which to
+retry. Under overload the slots are then used for requests that can still finish in time.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 from rhubarbferry.core.limits import TokenBucket
 from rhubarbferry.core.refusals import RefusalReason
 
-LEAST_RETRY_S = 0.1
-MOST_RETRY_S = 60.0
-SCAN_LIMIT = 16
-TIME_WEIGHT = 0.05
-DEVIATIONS = 4.0
-MOST_RESERVE = 0.75
+MIN_RETRY_AFTER_S = 0.1
+MAX_RETRY_AFTER_S = 60.0
+MAX_SCANNED_REQUESTS = 16
+SERVICE_TIME_WEIGHT = 0.05
+RESERVE_DEVIATIONS = 4.0
+MAX_RESERVE_FRACTION = 0.75
 
 
 @frozen(kw_only=True, slots=True)
 class Refusal:
-    """A final answer: the request did not run; another try makes sense after a while."""
+    """Final reply to a request that did not run; it may be retried after ``retry_after_s``."""
 
     reason: RefusalReason
     retry_after_s: float
@@ -41,11 +41,11 @@
 
 @frozen(kw_only=True, slots=True)
 class QueueRules:
-    """Bounds of the queue.
+    """Limits of the queue.
 
-    :param max_waiting: requests waiting in all.
-    :param aging_s: wait after which a less urgent request may go out of turn.
-    :param aged_every: at most one of so many grants goes out of turn.
+    :param max_waiting: maximum total number of waiting requests.
+    :param aging_s: wait after which a request of a less urgent class may be granted out of order.
+    :param aged_every: at most one in this many grants is made out of order.
     """
 
     max_waiting: int = 5000
@@ -55,7 +55,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Terms:
-    """What one account is owed and allowed in this partition; ``None`` is no limit."""
+    """Share and limits of one account in this partition; ``None`` means no limit."""
 
     share: float = 1.0
     max_concurrency: int | None = None
@@ -65,10 +65,12 @@
 
 @define(kw_only=True, eq=False, slots=True)
 class Waiting:
-    """One request that wants a slot.
+    """One request that waits for a slot.
 
-    :param deadline: on the clock of ``now``.
-    :param excluded: runners that it must not go to.
+    :param deadline: deadline on the same clock as ``now``.
+    :param excluded: ids of runners that must not serve the request.
+    :param latest_start: time after which the request is dropped; set by the queue.
+    :param seq: arrival number; set by the queue.
     """
 
     request_id: str
@@ -84,39 +86,42 @@
 
 @frozen(kw_only=True, slots=True)
 class Admitted:
-    """The request waits; ``displaced`` had to go for it and needs its final answer."""
+    """The request was queued; ``displaced`` was removed for it and needs a final reply."""
 
     displaced: Waiting | None = None
 
 
 @define(kw_only=True, eq=False)
 class ServiceTimes:
-    """Running mean and mean deviation of the time that a request holds a slot."""
+    """Exponentially weighted mean and mean deviation of the time a request holds a slot."""
 
     mean_s: float = 0.0
     deviation_s: float = 0.0
     seen: int = 0
 
     def add(self, seconds: float) -> None:
-        """Take in one more."""
+        """Add one slot holding time."""
         self.seen += 1
-        weight = max(TIME_WEIGHT, 1.0 / self.seen)
+        weight = max(SERVICE_TIME_WEIGHT, 1.0 / self.seen)
         self.deviation_s += weight * (abs(seconds - self.mean_s) - self.deviation_s)
         self.mean_s += weight * (seconds - self.mean_s)
 
     def reserve_s(self, timeout_s: float) -> float:
-        """Return the time before its deadline by which a request must start.
+        """Return how long before its deadline a request must start.
 
-        Started later it would probably be cut off, and its slot held for nothing. Under
-        overload every request starts as late as it may, so the mean alone is not enough.
+        A request started later would probably exceed its deadline and waste its slot. The mean
+        alone is not sufficient, because under overload every request starts as late as allowed.
         """
-        likely_s = self.mean_s + DEVIATIONS * self.deviation_s
-        return min(likely_s, MOST_RESERVE * timeout_s)
+        likely_s = self.mean_s + RESERVE_DEVIATIONS * self.deviation_s
+        return min(likely_s, MAX_RESERVE_FRACTION * timeout_s)
 
 
 @define(kw_only=True, eq=False)
 class _Account:
-    """:param used: slot time used for its share: its virtual time."""
+    """An account and its waiting requests.
+
+    :param used: slot time divided by share, which is the account's virtual time.
+    """
 
     name: str
     terms: Terms
@@ -132,12 +137,16 @@
         return limit is not None and self.running >= limit
 
     def depth(self) -> int:
-        return sum(len(line) for line in self.waiting.values())
+        return sum(len(requests) for requests in self.waiting.values())
 
 
 @define(kw_only=True, eq=False)
 class _Class:
-    """:param ready: ``(used, account)`` of those with a request that may start now."""
+    """Waiting requests of one priority class.
+
+    :param ready: ``(used, account)`` of the accounts with a request that may start now.
+    :param shares: sum of the shares of the accounts with waiting requests.
+    """
 
     ready: SortedList = Factory(SortedList)
     arrived: OrderedDict[int, Waiting] = Factory(OrderedDict)
@@ -146,7 +155,7 @@
 
 @define(kw_only=True, eq=False)
 class RequestQueue:
-    """Waiting requests of one runner partition; each operation is O(log n)."""
+    """Waiting requests of one runner partition; every operation is O(log n)."""
 
     rules: QueueRules = Factory(QueueRules)
     times: ServiceTimes = Factory(ServiceTimes)
@@ -155,16 +164,16 @@
         factory=lambda: {cls: _Class() for cls in PriorityClass}, init=False
     )
     _by_id: dict[str, Waiting] = field(factory=dict, init=False)
-    _starts: SortedList = field(factory=SortedList, init=False)
+    _by_latest_start: SortedList = field(factory=SortedList, init=False)
     _seq: itertools.count = field(factory=itertools.count, init=False)
     _virtual_now: float = field(default=0.0, init=False)
-    _since_aged: int = field(default=0, init=False)
+    _grants_since_aged: int = field(default=0, init=False)
 
     def __len__(self) -> int:
         return len(self._by_id)
 
     def configure(self, terms: Mapping[str, Terms]) -> None:
-        """Take the terms of all accounts; those that are gone serve what they have waiting."""
+        """Set the terms of all accounts; a removed account first serves its waiting requests."""
         for name, new in terms.items():
             account = self._accounts.get(name)
             if account is None:
@@ -173,30 +182,30 @@
                     name=name, terms=new, bucket=bucket, used=self._virtual_now
                 )
                 continue
-            with_change = self._unready(account)
+            priorities = self._remove_from_order(account)
             account.terms = new
             account.bucket.rate_per_s = new.rate_per_s
-            self._ready(account, with_change)
+            self._add_to_order(account, priorities)
         for name in [n for n, a in self._accounts.items() if n not in terms and not a.depth()]:
             if self._accounts[name].running == 0:
                 del self._accounts[name]
 
-    # ------------------------------------------------------------ in
+    # ------------------------------------------------------------ arrival
 
     def offer(
         self, waiting: Waiting, *, now: float, slots: int, free: int
     ) -> Result[Admitted, Refusal]:
-        """Let a request wait, or refuse it for good.
+        """Queue a request or refuse it.
 
-        :param slots: of all runners that take requests.
-        :param free: how many of them are free now.
+        :param slots: total number of slots of the runners that accept requests.
+        :param free: number of slots that are free now.
         :returns: ``Success(Admitted)`` or ``Failure(Refusal)``.
         """
         account = self._accounts.get(waiting.account)
         if account is None:
-            return _refused(RefusalReason.UNKNOWN_ACCOUNT, MOST_RETRY_S)
+            return _refused(RefusalReason.UNKNOWN_ACCOUNT, MAX_RETRY_AFTER_S)
         if account.terms.max_concurrency == 0:
-            return _refused(RefusalReason.NO_SHARE_OF_LIMIT, MOST_RETRY_S)
+            return _refused(RefusalReason.NO_SHARE_OF_LIMIT, MAX_RETRY_AFTER_S)
         expected = self.expected_wait(waiting.account, waiting.priority, slots=slots, free=free)
         if account.depth() >= account.terms.max_waiting:
             return _refused(RefusalReason.ACCOUNT_QUEUE_FULL, expected)
@@ -206,7 +215,7 @@
             return _refused(RefusalReason.TOO_LATE, late)
         displaced = None
         if len(self) >= self.rules.max_waiting:
-            displaced = self._displaced_by(waiting.priority)
+            displaced = self._find_displaceable(waiting.priority)
             if displaced is None:
                 return _refused(RefusalReason.QUEUE_FULL, expected)
         pause = account.bucket.take(now=now)
@@ -220,37 +229,37 @@
         return Success(Admitted(displaced=displaced))
 
     def knows(self, account: str) -> bool:
-        """Tell whether requests of an account may wait here."""
+        """Return whether an account is configured in this queue."""
         return account in self._accounts
 
     def expected_wait(
         self, account: str, priority: PriorityClass, *, slots: int, free: int
     ) -> float:
-        """Estimate the seconds until a request that comes now would start."""
+        """Estimate the wait, in seconds, of a request that arrives now."""
         if self.times.seen == 0 or slots == 0:
             return 0.0
-        mine = self._accounts[account]
-        own = len(mine.waiting[priority])
-        shares = self._classes[priority].shares + (mine.terms.share if own == 0 else 0.0)
-        by_share = own * shares / mine.terms.share
-        ahead = min(by_share, len(self._classes[priority].arrived))
-        ahead += sum(len(c.arrived) for p, c in self._classes.items() if p < priority)
+        state = self._accounts[account]
+        own = len(state.waiting[priority])
+        shares = self._classes[priority].shares + (state.terms.share if own == 0 else 0.0)
+        ahead_by_share = own * shares / state.terms.share
+        requests_ahead = min(ahead_by_share, len(self._classes[priority].arrived))
+        requests_ahead += sum(len(c.arrived) for p, c in self._classes.items() if p < priority)
         wait = 0.0
-        if ahead >= free:
-            wait = (ahead - free + 1) * self.times.mean_s / slots
-        limit = mine.terms.max_concurrency
-        if limit is not None and mine.running + own >= limit:
-            wait = max(wait, (mine.running + own - limit + 1) * self.times.mean_s / limit)
+        if requests_ahead >= free:
+            wait = (requests_ahead - free + 1) * self.times.mean_s / slots
+        limit = state.terms.max_concurrency
+        if limit is not None and state.running + own >= limit:
+            wait = max(wait, (state.running + own - limit + 1) * self.times.mean_s / limit)
         return wait
 
-    # ------------------------------------------------------------ out
+    # ------------------------------------------------------------ dispatch
 
     def candidates(self, *, now: float) -> Iterator[Waiting]:
-        """Yield the requests that may start next, the first in turn first; a bounded number."""
-        aged = self._aged(now)
+        """Yield a bounded number of requests that may start next, in order."""
+        aged = self._aged_candidate(now)
         if aged is not None:
             yield aged
-        left = SCAN_LIMIT
+        left = MAX_SCANNED_REQUESTS
         for priority, cls in self._classes.items():
             for _, name in cls.ready:
                 for _, _, waiting in self._accounts[name].waiting[priority][:left]:
@@ -262,13 +271,13 @@
                         return
 
     def start(self, waiting: Waiting) -> float:
-        """Take a request out to start it.
+        """Remove a request from the queue to start it.
 
-        :returns: the slot time charged for now; give it back to :meth:`finish`.
+        :returns: the estimated slot time charged to the account; pass it to :meth:`finish`.
         """
         account = self._accounts[waiting.account]
         urgent = next(p for p, cls in self._classes.items() if cls.ready)
-        self._since_aged = 0 if waiting.priority > urgent else self._since_aged + 1
+        self._grants_since_aged = 0 if waiting.priority > urgent else self._grants_since_aged + 1
         self._remove(waiting)
         self._virtual_now = max(self._virtual_now, account.used)
         charged = self.times.mean_s
@@ -276,57 +285,57 @@
         return charged
 
     def resume(self, account: str) -> None:
-        """Count a request that was started by an earlier owner."""
-        known = self._accounts.get(account)
-        if known is not None:
-            self._charge(known, seconds=0.0, running=1)
+        """Count a running request that was started by an earlier owner."""
+        state = self._accounts.get(account)
+        if state is not None:
+            self._charge(state, seconds=0.0, running=1)
 
     def finish(self, account: str, *, charged_s: float, used_s: float) -> None:
-        """Note that a started request has given its slot back after ``used_s``."""
-        known = self._accounts.get(account)
-        if known is not None:
-            self._charge(known, seconds=used_s - charged_s, running=-1)
+        """Record that a started request has released its slot after ``used_s`` seconds."""
+        state = self._accounts.get(account)
+        if state is not None:
+            self._charge(state, seconds=used_s - charged_s, running=-1)
 
     def abandon(self, request_id: str) -> Waiting | None:
-        """Take out a request whose caller has gone."""
+        """Remove a request whose caller has disconnected."""
         waiting = self._by_id.get(request_id)
         if waiting is not None:
             self._remove(waiting)
         return waiting
 
     def expire(self, *, now: float) -> tuple[Waiting, ...]:
-        """Take out the requests that could no more be finished before their deadline."""
+        """Remove the requests that can no longer finish before their deadline."""
         late = []
-        while self._starts and self._starts[0][0] < now:
-            waiting = self._starts[0][2]
+        while self._by_latest_start and self._by_latest_start[0][0] < now:
+            waiting = self._by_latest_start[0][2]
             self._remove(waiting)
             late.append(waiting)
         return tuple(late)
 
     def next_expiry(self) -> float | None:
-        """Return when :meth:`expire` is due next."""
-        return self._starts[0][0] if self._starts else None
+        """Return the time at which :meth:`expire` must be called next."""
+        return self._by_latest_start[0][0] if self._by_latest_start else None
 
     def find(self, request_id: str) -> Waiting | None:
-        """Return a waiting request."""
+        """Return the waiting request with an id."""
         return self._by_id.get(request_id)
 
     def running(self, account: str) -> int:
-        """Return how many requests of an account hold slots."""
-        known = self._accounts.get(account)
-        return 0 if known is None else known.running
+        """Return the number of an account's requests that hold slots."""
+        state = self._accounts.get(account)
+        return 0 if state is None else state.running
 
-    # ------------------------------------------------------------ inner
+    # ------------------------------------------------------------ internal
 
-    def _aged(self, now: float) -> Waiting | None:
-        if self._since_aged + 1 < self.rules.aged_every:
+    def _aged_candidate(self, now: float) -> Waiting | None:
+        if self._grants_since_aged + 1 < self.rules.aged_every:
             return None
         first = next((p for p, cls in self._classes.items() if cls.arrived), None)
         oldest: Waiting | None = None
         for priority, cls in self._classes.items():
             if first is None or priority == first:
                 continue
-            for waiting in itertools.islice(cls.arrived.values(), SCAN_LIMIT):
+            for waiting in itertools.islice(cls.arrived.values(), MAX_SCANNED_REQUESTS):
                 if self._accounts[waiting.account].at_limit():
                     continue
                 if oldest is None or waiting.enqueued_at < oldest.enqueued_at:
@@ -336,7 +345,7 @@
             return None
         return oldest
 
-    def _displaced_by(self, priority: PriorityClass) -> Waiting | None:
+    def _find_displaceable(self, priority: PriorityClass) -> Waiting | None:
         """Return the newest request of the least urgent class below ``priority``."""
         for other in reversed(PriorityClass):
             if other > priority and self._classes[other].arrived:
@@ -345,51 +354,51 @@
 
     def _add(self, account: _Account, waiting: Waiting) -> None:
         if account.depth() == 0:
-            # An account that was idle gets no credit for that time: with it, it would hold
-            # all slots for as long as it was away.
+            # An idle account receives no credit for that time. With credit, it would occupy all
+            # slots for as long as it was idle.
             account.used = max(account.used, self._virtual_now)
         cls = self._classes[waiting.priority]
-        line = account.waiting[waiting.priority]
-        if not line:
+        requests = account.waiting[waiting.priority]
+        if not requests:
             cls.shares += account.terms.share
-        line.add((waiting.deadline, waiting.seq, waiting))
-        if len(line) == 1 and not account.at_limit():
+        requests.add((waiting.deadline, waiting.seq, waiting))
+        if len(requests) == 1 and not account.at_limit():
             cls.ready.add((account.used, account.name))
         cls.arrived[waiting.seq] = waiting
-        self._starts.add((waiting.latest_start, waiting.seq, waiting))
+        self._by_latest_start.add((waiting.latest_start, waiting.seq, waiting))
         self._by_id[waiting.request_id] = waiting
 
     def _remove(self, waiting: Waiting) -> None:
         account = self._accounts[waiting.account]
         cls = self._classes[waiting.priority]
-        line = account.waiting[waiting.priority]
-        line.remove((waiting.deadline, waiting.seq, waiting))
-        if not line:
+        requests = account.waiting[waiting.priority]
+        requests.remove((waiting.deadline, waiting.seq, waiting))
+        if not requests:
             cls.shares -= account.terms.share
             if not account.at_limit():
                 cls.ready.remove((account.used, account.name))
         del cls.arrived[waiting.seq]
-        self._starts.remove((waiting.latest_start, waiting.seq, waiting))
+        self._by_latest_start.remove((waiting.latest_start, waiting.seq, waiting))
         del self._by_id[waiting.request_id]
 
     def _charge(self, account: _Account, *, seconds: float, running: int) -> None:
-        lines = self._unready(account)
+        priorities = self._remove_from_order(account)
         account.used += seconds / account.terms.share
         account.running = max(0, account.running + running)
-        self._ready(account, lines)
+        self._add_to_order(account, priorities)
 
-    def _unready(self, account: _Account) -> tuple[PriorityClass, ...]:
-        """Take an account out of the orders, so that what they sort by may change."""
-        lines = tuple(p for p, line in account.waiting.items() if line)
-        for priority in lines:
+    def _remove_from_order(self, account: _Account) -> tuple[PriorityClass, ...]:
+        """Remove an account from the sorted collections so that its sort key may change."""
+        priorities = tuple(p for p, requests in account.waiting.items() if requests)
+        for priority in priorities:
             cls = self._classes[priority]
             cls.shares -= account.terms.share
             if not account.at_limit():
                 cls.ready.remove((account.used, account.name))
-        return lines
+        return priorities
 
-    def _ready(self, account: _Account, lines: tuple[PriorityClass, ...]) -> None:
-        for priority in lines:
+    def _add_to_order(self, account: _Account, priorities: tuple[PriorityClass, ...]) -> None:
+        for priority in priorities:
             cls = self._classes[priority]
             cls.shares += account.terms.share
             if not account.at_limit():
@@ -397,5 +406,5 @@
 
 
 def _refused(reason: RefusalReason, retry_after_s: float) -> Result[Admitted, Refusal]:
-    bounded = min(MOST_RETRY_S, max(LEAST_RETRY_S, retry_after_s))
+    bounded = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
     return Failure(Refusal(reason=reason, retry_after_s=bounded))
