--- a/rhubarbferry/scheduler/__init__.py
+++ b/rhubarbferry/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon that owns partitions and decides for them."""
+"""The scheduler process: owns partitions and makes their scheduling decisions."""
--- a/rhubarbferry/scheduler/adoption.py
+++ b/rhubarbferry/scheduler/adoption.py
@@ -1,4 +1,4 @@
-"""Raise the epoch at the guards of a runner partition and learn what grants they hold."""
+"""Fence earlier owners at the guards of a runner partition and collect their open grants."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class Adoption:
-    """Ask every guard (frontend of the region) once for its open grants.
+    """Send the new epoch to every guard (frontend of the region) and collect its open grants.
 
-    A guard that has acknowledged an epoch refuses grants of lower ones. So once a majority has,
-    the earlier owner can hold no majority of promises, and acts no more.
+    A guard that has acknowledged an epoch refuses grants of lower epochs. Once a majority has
+    acknowledged, an earlier owner can no longer hold a majority of promises, so it stops acting.
 
-    :param take: called with the open grants of each guard, as it is heard.
+    :param take: callback that receives the open grants of each guard when the guard replies.
     """
 
     def __init__(self, *, tenure: Tenure, ctx: Context, take: TakeGrants) -> None:
@@ -36,47 +36,49 @@
         self._heard: set[str] = set()
 
     def holders(self) -> tuple[Guard, ...]:
-        """Return who may hold grants: the guard set and the frontends too new to be in it."""
+        """Return all processes that may hold grants: the guard set and newer frontends."""
         found = {guard.id: guard for guard in self._ctx.ownership.guards(self._region)}
         for member in self._ctx.ownership.members(Role.FRONTEND, self._region):
             found.setdefault(member.id, Guard(id=member.id, address=member.address))
         return tuple(found.values())
 
     def all_heard(self) -> bool:
-        """Tell whether all who may hold grants have told them."""
+        """Return whether every process that may hold grants has reported them."""
         return all(holder.id in self._heard for holder in self.holders())
 
     def majority_heard(self) -> bool:
-        """Tell whether more than half of the guard set has acknowledged the epoch."""
+        """Return whether more than half of the guard set has acknowledged the epoch."""
         guards = self._ctx.ownership.guards(self._region)
         heard = sum(1 for guard in guards if guard.id in self._heard)
         return not guards or 2 * heard > len(guards)
 
     async def until_majority(self, *, give_up_s: float) -> None:
-        """Return once a majority has acknowledged.
+        """Wait until a majority of the guard set has acknowledged the epoch.
 
-        When that many guards are really dead no majority can be had, and the service would
-        stop for good. After ``give_up_s`` no earlier owner may act any more and no request of
-        it can still run, so it is safe to go on without.
+        If half of the guards or more have failed, no majority can be reached and the service
+        would stay unavailable. After ``give_up_s`` seconds no earlier owner may act and none of
+        its requests can still be running, so proceeding without a majority is safe.
         """
         clock = self._ctx.clock
         give_up_at = clock.monotonic() + give_up_s
         await self.ask_unheard()
         while not self.majority_heard():
             if clock.monotonic() >= give_up_at:
-                logger.warning("{}: decides without its guards", self._tenure.partition)
+                logger.warning(
+                    "{}: proceeding without a majority of guards", self._tenure.partition
+                )
                 return
             await clock.sleep(RETRY_S)
             await self.ask_unheard()
 
     async def follow(self) -> None:
-        """Go on with guards that are new or were not heard, until cancelled."""
+        """Retry guards that are new or have not acknowledged, until cancelled."""
         while True:
             await self._ctx.clock.sleep(FOLLOW_S)
             await self.ask_unheard()
 
     async def ask_unheard(self) -> None:
-        """Ask everyone who has not answered yet, once."""
+        """Send one adoption request to each guard that has not acknowledged yet."""
         unheard = [holder for holder in self.holders() if holder.id not in self._heard]
         await asyncio.gather(*(self._ask(holder) for holder in unheard))
 
--- a/rhubarbferry/scheduler/claim_batcher.py
+++ b/rhubarbferry/scheduler/claim_batcher.py
@@ -1,4 +1,4 @@
-"""Gather the claims of all homes for a moment, then decide on them together."""
+"""Collect the claims of all homes for a short interval and decide on them as one batch."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 @frozen(kw_only=True, slots=True, eq=False)
 class Order:
-    """The claims of one request and where their results go."""
+    """One claim request and the future that receives its results."""
 
     req: t.ClaimRequest
     results: asyncio.Future[list[t.ClaimResult]]
 
 
 class HomeNumbers:
-    """The highest request number seen from each home.
+    """The highest request number received from each home.
 
-    A request can be held up on its way while its home has asked again and acted on that
-    answer. If it still counted when it arrives, a task would be started that the home has
-    placed elsewhere by then: it would run twice. So a lower number is refused.
+    A request can be delayed on the network while its home sends another one and acts on the
+    reply. If the delayed request were still accepted, it could start a task that the home has
+    since placed elsewhere, and the task would run twice. Lower numbers are therefore refused.
     """
 
     def __init__(self) -> None:
         self._seen: dict[str, tuple[int, int]] = {}
 
     def accept(self, home: str, home_epoch: int, number: int | None) -> bool:
-        """Note a request that arrived; tell whether it is in order."""
+        """Record the number of a received request; return whether it is not out of order."""
         key = (home_epoch, number or 0)
         if key < self._seen.get(home, (0, 0)):
             return False
@@ -41,15 +41,15 @@
         return True
 
     def is_latest(self, home: str, home_epoch: int, number: int | None) -> bool:
-        """Tell whether nothing later has arrived from that home."""
+        """Return whether no later request has been received from that home."""
         return (home_epoch, number or 0) == self._seen.get(home)
 
 
 class ClaimBatcher:
     """The queue of claims of one worker partition.
 
-    :param gather_s: how long the first claim waits for others.
-    :param decide: decides on all that were gathered and sets their results.
+    :param gather_s: seconds that the first claim of a batch waits for further ones.
+    :param decide: callback that decides on a whole batch and sets the results.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._orders: asyncio.Queue[Order] = asyncio.Queue(maxsize=MAX_WAITING)
 
     async def submit(self, req: t.ClaimRequest) -> list[t.ClaimResult] | None:
-        """Return the results of a request, or ``None`` when too many wait already."""
+        """Return the results of a request, or ``None`` if the queue is full."""
         fut: asyncio.Future[list[t.ClaimResult]] = asyncio.get_running_loop().create_future()
         try:
             self._orders.put_nowait(Order(req=req, results=fut))
@@ -74,11 +74,11 @@
         return await fut
 
     def depth(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return self._orders.qsize()
 
     async def run(self) -> None:
-        """Decide until cancelled."""
+        """Process batches until cancelled."""
         running: set[asyncio.Task[None]] = set()
         try:
             while True:
@@ -86,8 +86,8 @@
                 await self._clock.sleep(self._gather_s)
                 while not self._orders.empty():
                     batch.append(self._orders.get_nowait())
-                # The starts are waited for beside the next batch: a worker that does not
-                # answer must not hold up claims that go elsewhere.
+                # Batches run concurrently, so that a worker that does not respond does not delay
+                # claims for other workers.
                 task = asyncio.create_task(self._run(batch))
                 running.add(task)
                 task.add_done_callback(running.discard)
--- a/rhubarbferry/scheduler/context.py
+++ b/rhubarbferry/scheduler/context.py
@@ -1,4 +1,4 @@
-"""What a partition of the scheduler is given to work with."""
+"""The dependencies shared by the partitions of a scheduler process."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @frozen(kw_only=True)
 class Context:
-    """Ports and views shared by the partitions of one process.
+    """Ports and views used by all partitions of one process.
 
-    :param member_id: this process.
-    :param schedulers: calls to other schedulers.
-    :param guards: calls to frontends.
-    :param workers: calls to workers.
+    :param member_id: member id of this process.
+    :param schedulers: connection pool for calls to other schedulers.
+    :param guards: connection pool for calls to frontends in their role as guards.
+    :param workers: connection pool for calls to workers.
     """
 
     member_id: str
--- a/rhubarbferry/scheduler/daemon.py
+++ b/rhubarbferry/scheduler/daemon.py
@@ -1,4 +1,4 @@
-"""The scheduler process: ports, node, RPC server and partitions put together."""
+"""The scheduler daemon: connects ports, coordination node, RPC server and partitions."""
 
 from __future__ import annotations
 
@@ -35,20 +35,20 @@
 
 
 class PolledHostList(HostList, Protocol):
-    """A host list that is read in the background."""
+    """A host list that is refreshed in the background."""
 
     async def start(self) -> None:
-        """Read it once, then go on in the background."""
+        """Read the list once, then keep refreshing it in the background."""
         ...
 
     async def close(self) -> None:
-        """Stop reading."""
+        """Stop refreshing."""
         ...
 
 
 @frozen(kw_only=True)
 class Ports:
-    """The outside of a scheduler; tests bring their own."""
+    """The external dependencies of a scheduler process; tests substitute their own."""
 
     clock: Clock
     store: Store
@@ -59,7 +59,7 @@
 
 
 def system_ports(cfg: Settings) -> Ports:
-    """Return the ports to the platform that ``cfg`` names."""
+    """Return ports connected to the platform services configured in ``cfg``."""
     from rhubarbferry.adapters.cell_store import open_cell_store
     from rhubarbferry.adapters.hosts import HttpHostList
     from rhubarbferry.adapters.runners import HttpRunnerReports
@@ -76,7 +76,7 @@
 
 
 class SchedulerDaemon:
-    """One scheduler: start, run until told to stop, hand over."""
+    """A scheduler process: start, serve until stopped, hand partitions over."""
 
     def __init__(self, *, cfg: Settings, ports: Ports) -> None:
         self._cfg = cfg
@@ -96,7 +96,7 @@
         try:
             await self._start()
         except BaseException:
-            # The node may have won partitions already, and nobody would decide for them.
+            # The node may already own partitions, which would stay without a serving owner.
             await self._close()
             raise
         stopping = asyncio.create_task(self._stopping.wait())
@@ -108,8 +108,8 @@
             await asyncio.wait({stopping, *vital}, return_when=asyncio.FIRST_COMPLETED)
             failed = [task for task in vital if task.done()]
             if failed:
-                # Without one of these the process would hold its lease and decide nothing.
-                logger.error("stops: {!r}", failed[0].exception())
+                # If one of these tasks ends, the process would keep its lease without serving.
+                logger.error("stopping, a vital task has ended: {!r}", failed[0].exception())
                 return FAILED
             await self._drain()
             return 0
@@ -121,11 +121,11 @@
 
     @property
     def address(self) -> str:
-        """Return ``ip:port`` of the RPC server, empty before it listens."""
+        """Return ``ip:port`` of the RPC server, or an empty string before it listens."""
         return "" if self._server is None else self._server.address
 
     def stop(self) -> None:
-        """Ask for a planned stop; :meth:`run` then drains and returns."""
+        """Request a graceful stop; :meth:`run` then drains and returns."""
         self._stopping.set()
 
     # ------------------------------------------------------------ start
@@ -134,7 +134,7 @@
         from rhubarbferry.coordination.node import Node
 
         process = self._cfg.process
-        # The server listens first, since the member record carries its address.
+        # The server listens first, because the member record contains its address.
         self._server = Server(service=SCHEDULER, handlers=self._handlers())
         await self._server.start(process.listen_ip, process.rpc_port)
         await self._pages.start(process.listen_ip, process.http_port)
@@ -165,7 +165,7 @@
             "member": self._member_id(),
         }
         print(json.dumps(line), flush=True)
-        logger.info("scheduler {} serves {}", self._member_id(), self._server.address)
+        logger.info("scheduler {} serving on {}", self._member_id(), self._server.address)
 
     def _context(self) -> Context:
         schedulers, guards, workers = self._pools
@@ -209,7 +209,7 @@
         return self.status()
 
     def status(self) -> StatusReply:
-        """Return what this process says about itself."""
+        """Return the status of this process and of its partitions."""
         text = "" if self._node is None else self._node.config_text
         revision = 0 if self._node is None else self._node.cell.current().revision
         return StatusReply(
@@ -222,7 +222,7 @@
         )
 
     def _epoch_seen(self, partition: PartitionId) -> int:
-        # The server listens before there is a node, so calls may come before that.
+        # The server starts before the node, so calls may arrive while there is no node yet.
         owner = None if self._node is None else self._node.ownership.owner(partition)
         return 0 if owner is None else int(owner.epoch)
 
@@ -232,7 +232,7 @@
     # ------------------------------------------------------------ stop
 
     async def _drain(self) -> None:
-        """Hand over in order: no new work here, finish, then give the partitions away."""
+        """Hand over: refuse new work, finish work in progress, then release the partitions."""
         logger.info("draining")
         self._ready = False
         self._draining = True
@@ -265,7 +265,7 @@
 async def run(cfg: Settings) -> int:
     """Run a scheduler until SIGTERM or SIGINT; return the exit code.
 
-    Once it serves, one JSON line on standard output names its addresses.
+    When the process is ready, it prints one JSON line with its addresses to standard output.
     """
     daemon = SchedulerDaemon(cfg=cfg, ports=system_ports(cfg))
     loop = asyncio.get_running_loop()
--- a/rhubarbferry/scheduler/dispatch.py
+++ b/rhubarbferry/scheduler/dispatch.py
@@ -1,4 +1,4 @@
-"""Lead each call to the partition that it names, or say that its owner is elsewhere."""
+"""Route each RPC to the partition it names, or reply that this process is not its owner."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 
 class OwnedPartitions(Protocol):
-    """The partitions that this process owns."""
+    """Lookup of the partitions that this process owns."""
 
     def find(self, partition: PartitionId) -> Partition | None:
-        """Return the partition's object, or ``None`` when it is not owned here."""
+        """Return the partition object, or ``None`` if this process does not own it."""
         ...
 
 
@@ -54,7 +54,7 @@
         self._epoch_seen = epoch_seen
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return a handler for each method."""
+        """Return a handler for each RPC method."""
         return {method: self._handler(method) for method in NOT_OWNER}
 
     def _handler(self, method: str) -> Handler:
@@ -72,8 +72,8 @@
         if partition is None:
             return NOT_OWNER[method](self._epoch_seen(id))
         if req.epoch > partition.tenure.epoch:
-            # The caller knows of a later owner: this process has lost the partition and has
-            # not heard of it yet.
+            # The caller has seen a later owner: this process has lost the partition and has not
+            # been notified yet.
             return NOT_OWNER[method](req.epoch)
         handler = partition.handlers().get(method)
         if handler is None:
--- a/rhubarbferry/scheduler/event_outbox.py
+++ b/rhubarbferry/scheduler/event_outbox.py
@@ -1,4 +1,4 @@
-"""Tell the homes of tasks how they ended, until they have it on record."""
+"""Send task end events to the homes of the tasks until the homes have recorded them."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 class EventOutbox:
-    """Events of one worker partition on their way to the homes.
+    """The queue of task end events of one worker partition.
 
-    An event is sent until the home says that it is recorded; only then may the worker forget
-    the task, so an end can't get lost with any one process.
+    An event is resent until the home confirms that it is recorded. Only then may the worker
+    discard the task, so the failure of a single process can't lose the end of a task.
 
-    :param recorded: called with the task id, on the event loop.
+    :param recorded: callback that receives the id of each recorded task, on the event loop.
     """
 
     def __init__(self, *, tenure: Tenure, ctx: Context, recorded: Callable[[str], None]) -> None:
@@ -39,16 +39,16 @@
         self._wake = asyncio.Event()
 
     def put(self, home: str, event: t.TaskEvent) -> None:
-        """Send an event until it is recorded."""
+        """Queue an event, to be sent until it is recorded."""
         self._waiting.setdefault(home, {})[event.task_id] = event
         self._wake.set()
 
     def depth(self) -> int:
-        """Return how many events are not recorded yet."""
+        """Return the number of events that are not recorded yet."""
         return sum(len(events) for events in self._waiting.values())
 
     async def run(self) -> None:
-        """Send until cancelled; homes that don't answer don't hold up the others."""
+        """Send events until cancelled; an unresponsive home does not delay the others."""
         sending: dict[str, asyncio.Task[None]] = {}
         try:
             while True:
@@ -76,7 +76,7 @@
         self._waiting.pop(home, None)
 
     async def _send(self, home: str) -> bool:
-        """Send one batch; tell whether all of it is recorded."""
+        """Send one batch; return whether all of its events are recorded."""
         owner = self._ctx.ownership.owner(PartitionId.parse(home))
         if owner is None or not self._tenure.holds():
             return False
@@ -94,7 +94,7 @@
             )
         except RpcError as exc:
             EVENTS.labels("no_answer").inc(len(events))
-            logger.debug("home {} does not answer: {}", home, exc)
+            logger.debug("home {} did not reply to task events: {}", home, exc)
             return False
         for task_id in reply.recorded:
             EVENTS.labels("recorded").inc()
--- a/rhubarbferry/scheduler/gang_dispatch.py
+++ b/rhubarbferry/scheduler/gang_dispatch.py
@@ -1,4 +1,4 @@
-"""Place jobs whose tasks must all start at once: reserve everywhere, then commit."""
+"""Place gangs, whose tasks must all start together: reserve all slots, then commit."""
 
 from __future__ import annotations
 
@@ -26,46 +26,46 @@
 
 
 class GangHost(Protocol):
-    """What the dispatcher needs of the home."""
+    """The part of a home that the gang dispatcher uses."""
 
     def lanes(self) -> list[Lane]:
-        """Return the lanes that can be used, nearest first."""
+        """Return the usable lanes, those of the home's region first."""
         ...
 
     def waiting_gangs(self) -> list[Job]:
-        """Return gangs that wait to be placed, in the order they go."""
+        """Return the gangs to be placed, in scheduling order."""
         ...
 
     def gang_allowed(self, job: Job) -> bool:
-        """Tell whether the account's quota has room for the whole gang."""
+        """Return whether the whole gang fits into the account's quota."""
         ...
 
     def count_reserved(self, picked: Sequence[Picked]) -> None:
-        """Count claims that no digest holds yet."""
+        """Count claims towards account usage until a digest includes them."""
         ...
 
     async def record_dispatch(self, picked: Sequence[Picked]) -> bool:
-        """Put on record that attempts may begin."""
+        """Record that the attempts may start; return whether that succeeded."""
         ...
 
     def claimed(
         self, lane: Lane, picked: Sequence[Picked], results: Sequence[t.ClaimResult]
     ) -> None:
-        """Take the results of starts."""
+        """Apply the results of committed reservations."""
         ...
 
     def put_back(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
-        """Let tasks wait again that were not started."""
+        """Return tasks that were not started to the queue."""
         ...
 
     def stop_live(self, job: Job) -> None:
-        """Have all running tasks of a job stopped."""
+        """Request a stop of all running tasks of a job."""
         ...
 
 
 @define(kw_only=True, slots=True)
 class _Try:
-    """Reservations of one gang, per lane."""
+    """The reservations of one placement attempt of a gang, by lane."""
 
     job: Job
     reserved: dict[str, list[Picked]] = field(factory=dict)
@@ -79,12 +79,12 @@
 
 
 class GangDispatcher:
-    """Place the gangs of one home, one after the other.
+    """Place the gangs of one home, one at a time.
 
-    A gang is placed within one region. Reservations end by themselves, so a home that dies
-    half-way leaves nothing behind. Two homes whose gangs each hold a part of what both need
-    would wait for each other for ever; so a try ends after a bound, gives everything back, and
-    the next one comes after a pause that depends on chance.
+    A gang is placed within one region. Reservations expire, so a home that fails during a
+    placement leaves none behind. Two homes whose gangs each reserve part of the resources that
+    both need would deadlock; a placement attempt is therefore bounded in time, releases its
+    reservations on failure and is retried after a randomized backoff.
     """
 
     def __init__(self, *, tenure: Tenure, ctx: Context, host: GangHost, rng: Random) -> None:
@@ -96,7 +96,7 @@
         self._wake = asyncio.Event()
 
     def wake(self) -> None:
-        """Look for gangs now."""
+        """Start the next round immediately."""
         self._wake.set()
 
     async def run(self) -> None:
@@ -111,10 +111,10 @@
                 pass
 
     async def round(self) -> None:
-        """Stop what is left of gangs that did not start whole, then place those that wait."""
-        # In this order: a gang of which nothing runs any more must be forgotten as broken before
-        # it is placed again. Otherwise its new tasks would be stopped and, as the gang counts
-        # as formed, be replaced one by one, for ever.
+        """Stop the tasks of partially started gangs, then place the waiting gangs."""
+        # The order matters: a partially started gang must be removed from the list of broken
+        # gangs once none of its tasks runs, before it is placed again. Otherwise its new tasks
+        # would be stopped and, as the gang counts as formed, replaced one by one without end.
         self._break_up()
         for job in self._host.waiting_gangs():
             if job.id not in self._breaking:
@@ -144,7 +144,7 @@
             return False
         if not self._worth_trying(job, lanes, patient=hold_s > reserve_s):
             return False
-        # The reservations must outlive the commit, hence the half that is left over.
+        # The reservations must outlast the commit, so only half of their lifetime is used here.
         until = now + hold_s / 2
         while True:
             await self._reserve(trial, lanes, hold_s)
@@ -197,7 +197,7 @@
         results = await lane.claim(owner, picked, reserve_s=hold_s)
         given = {r.task_id for r in results or () if r.verdict == t.ClaimVerdict.RESERVED}
         kept = [item for item in picked if _task_id(item) in given]
-        # What was not reserved, or is not known to be, can't start without a commit.
+        # Tasks without a confirmed reservation can't start, since that requires a commit.
         missing = [item for item in picked if _task_id(item) not in given]
         self._host.put_back(missing, dispatched=False)
         trial.lanes[lane.name] = lane
@@ -228,7 +228,7 @@
     def _note_started(self, job: Job, *, whole: bool) -> None:
         job.formed = whole
         if not whole:
-            logger.warning("gang {} did not start whole, stopping what did", job.id)
+            logger.warning("gang {} started only in part, stopping the started tasks", job.id)
             self._breaking[job.id] = job
 
     async def _commit_on(self, lane: Lane, items: Sequence[Picked]) -> None:
@@ -243,7 +243,7 @@
                 self._host.claimed(lane, items, results)
 
     def _break_up(self) -> None:
-        """Stop what runs of gangs that did not start whole, until nothing does."""
+        """Stop the running tasks of partially started gangs until none is left."""
         for job_id, job in list(self._breaking.items()):
             if not job.counts.running or job.finished is not None:
                 del self._breaking[job_id]
--- a/rhubarbferry/scheduler/intents.py
+++ b/rhubarbferry/scheduler/intents.py
@@ -1,4 +1,4 @@
-"""Intents of non-idempotent requests, on record before anything is dispatched."""
+"""Intents of non-idempotent requests, recorded before the requests are dispatched."""
 
 from __future__ import annotations
 
@@ -59,17 +59,18 @@
 
 @frozen(kw_only=True, slots=True)
 class _Cancellation:
-    """An intent that may stand although its caller was told "not run"."""
+    """An intent that may be in the log although its caller received "not run"."""
 
     at: IntentKey
     request_id: str
 
 
 class IntentRegistry(KeyComponent):
-    """Answers ``begin_request`` and ``finish_request`` for the keys of one partition.
+    """Serves ``begin_request`` and ``finish_request`` for the keys of one partition.
 
-    A key with an append under way is *committing*: requests for it are told to come back, so
-    that no second intent can be written for it before the first is known to stand or not.
+    A key is *committing* while the append of its intent is in progress. Other requests with the
+    key wait for that append, and receive ``RUNNING`` if they time out first, so that no second
+    intent is written before the outcome of the first append is known.
     """
 
     def __init__(
@@ -82,32 +83,32 @@
         self._withdrawn: OrderedDict[str, None] = OrderedDict()
         self._finishes: dict[IntentKey, asyncio.Lock] = {}
 
-    # ------------------------------------------------------------ record
+    # ------------------------------------------------------------ state
 
     def replay(self, entry: LogEntry) -> None:
-        """Apply an entry read from the log; entries of jobs are passed over."""
+        """Apply a log entry; ignore entries about jobs."""
         if entry.intent_begun is not None:
             self._apply_begun(entry.intent_begun)
         elif entry.intent_finished is not None:
             self._apply_finished(entry.intent_finished)
 
     def snapshot(self) -> Iterable[LogEntry]:
-        """Return entries that rebuild the present state."""
+        """Return log entries that rebuild the current state."""
         for intent in self.book:
             yield LogEntry(intent_begun=_begun_record(intent))
             if intent.outcome is not None and not intent.lapsed:
                 yield LogEntry(intent_finished=_finished_record(intent))
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return the methods ``begin_request`` and ``finish_request``."""
+        """Return the handlers of ``begin_request`` and ``finish_request``."""
         return {"begin_request": self.begin, "finish_request": self.finish}
 
     def depth(self) -> int:
-        """Return the intents whose append is under way."""
+        """Return the number of intents whose append is in progress."""
         return len(self._committing)
 
     async def serve(self) -> None:
-        """Forget what is old, note dead frontends and write owed cancellations."""
+        """Expire old intents, track live frontends and write pending cancellations."""
         while True:
             self.book.lapse(now_ms=self._now_ms())
             self.book.expire(now_ms=self._now_ms())
@@ -117,14 +118,14 @@
             await self.ctx.clock.sleep(UPKEEP_S)
 
     async def drain(self) -> None:
-        """Return once the appends under way have ended."""
+        """Wait for the appends in progress."""
         for committing in list(self._committing.values()):
             await committing.wait()
 
     # ------------------------------------------------------------ begin
 
     async def begin(self, req: IntentRequest) -> IntentReply:
-        """Commit an intent, or say what stands for the key."""
+        """Commit an intent, or return the state recorded for its key."""
         reply = await self._begin(req)
         metrics.INTENTS.labels(reply.verdict.name.lower()).inc()
         return reply
@@ -133,11 +134,11 @@
         if not self._is_owner(req.epoch):
             return self._reply(IntentVerdict.NOT_OWNER)
         if not self.tenure.holds():
-            # In an outage of the store nobody takes over, so "not owner" would send the caller
-            # round until its deadline. Nothing ran, and that is said at once.
+            # During a store outage no process can take over, so "not owner" would make the
+            # caller retry until its deadline. The request did not run; refuse it immediately.
             return self._refused("the owner's lease can't be renewed", STORE_RETRY_MS)
         at = IntentKey(account=req.account, key=req.key)
-        # "Not run" would be untrue of the key as soon as the first request with it is on record.
+        # "Not run" would be wrong for the key once the first request with it is recorded.
         if not await self._recorded_within(at, req.remaining_ms / 1000):
             return self._reply(IntentVerdict.RUNNING)
         if at in self._cancelling:
@@ -159,7 +160,7 @@
                 return await self._commit(at, req)
 
     async def _recorded_within(self, at: IntentKey, seconds: float) -> bool:
-        """Wait until no append of the key is under way; tell whether that came in time."""
+        """Wait until no append of the key is in progress; return ``False`` on timeout."""
         try:
             async with asyncio.timeout(seconds):
                 while (committing := self._committing.get(at)) is not None:
@@ -182,8 +183,8 @@
             expires_at_ms=self._now_ms() + req.remaining_ms + EXPIRY_MARGIN_MS,
         )
         self._committing[at] = asyncio.Event()
-        # A task of its own: when the connection of the caller breaks, its handler is cancelled,
-        # and the append would be left half-way with nobody to note how it ended.
+        # The append runs in its own task: if the caller disconnects, its handler is cancelled,
+        # and the outcome of an append cancelled with it would not be recorded.
         task = asyncio.create_task(self._append_begun(at, begun))
         return await asyncio.shield(task)
 
@@ -193,8 +194,9 @@
         except LogFenced:
             return self._fenced()
         except LogUnclear:
-            # It may stand. Its caller is told "not run", which stays true: nobody dispatches
-            # without COMMITTED. The key stays closed until the cancellation is on record.
+            # The intent may be in the log. The caller receives "not run", which stays true because
+            # nothing is dispatched without COMMITTED. The key stays blocked until the
+            # cancellation is recorded.
             self._apply_begun(begun)
             self._cancelling[at] = _Cancellation(at=at, request_id=begun.request_id)
             return self._refused("the store did not answer", STORE_RETRY_MS)
@@ -211,7 +213,7 @@
     # ------------------------------------------------------------ finish
 
     async def finish(self, req: FinishRequest) -> FinishReply:
-        """Put an outcome on record."""
+        """Record the outcome of a request."""
         if not self._is_owner(req.epoch) or not self.tenure.holds():
             return self._finish_reply(recorded=False)
         at = IntentKey(account=req.account, key=req.key)
@@ -253,8 +255,8 @@
             self._fenced()
             return self._finish_reply(recorded=False)
         except LogUnclear:
-            # It may stand, and if it does it stands before all that is appended from now on.
-            # Its frontend sends it again.
+            # The outcome may be in the log, in which case it precedes all later appends. The
+            # frontend sends it again.
             self._apply_finished(finished)
             return self._finish_reply(recorded=False)
         except LogError:
@@ -263,16 +265,16 @@
         return self._finish_reply(recorded=True)
 
     def _withdraw(self, request_id: str) -> None:
-        """Refuse a request whose ``begin`` is overtaken by its own "not run".
+        """Refuse a later ``begin`` of a request that has already been reported as "not run".
 
-        The two may come on different connections. A late ``begin`` would commit an intent that
-        nobody holds, and the key would be closed for nothing until it expires.
+        The two messages may arrive on different connections. A late ``begin`` would commit an
+        intent that no request uses, and block the key until the intent expires.
         """
         self._withdrawn[request_id] = None
         while len(self._withdrawn) > MAX_WITHDRAWN:
             self._withdrawn.popitem(last=False)
 
-    # ------------------------------------------------------------ owed cancellations
+    # ------------------------------------------------------------ pending cancellations
 
     async def _write_cancellations(self) -> None:
         owed = list(self._cancelling.values())
@@ -302,7 +304,7 @@
             self.book.cancelled(item.at, item.request_id)
             del self._cancelling[item.at]
 
-    # ------------------------------------------------------------ inner
+    # ------------------------------------------------------------ internals
 
     def _is_owner(self, epoch: int) -> bool:
         return self.ready and epoch <= self.tenure.epoch
@@ -340,7 +342,7 @@
 
     def _fenced(self) -> IntentReply:
         if self.ready:
-            logger.info("{}: a later owner has sealed the log", self.tenure.partition)
+            logger.info("{}: the log was sealed by a later owner", self.tenure.partition)
         self.ready = False
         return self._reply(IntentVerdict.NOT_OWNER)
 
--- a/rhubarbferry/scheduler/job_home.py
+++ b/rhubarbferry/scheduler/job_home.py
@@ -1,4 +1,4 @@
-"""The home of jobs: accepts them, keeps them on record, and has their tasks placed."""
+"""The home of jobs: accepts jobs, records their state and has their tasks placed."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 FAR_AFTER_S = 0.3
 SYNC_S = 0.2
 RETRY_AFTER_MS = 1000
-# Ends are recorded together: each worker tells its own, and one write each is too many.
+# Task ends are written in batches: one write per worker report would be too many.
 ENDS_GATHER_S = 0.1
 KEPT_FINISHED = 10_000
 MAX_ENTRIES = 1000
@@ -50,8 +50,9 @@
 class JobHome(KeyComponent):
     """Jobs of one key partition.
 
-    Nothing is said before it is on record: a job is accepted once its acceptance is, a task may
-    be claimed once its dispatch is, and a worker may forget a task once its end is.
+    Each step is recorded in the log before it takes effect: a job is accepted after its
+    acceptance is recorded, a task is claimed after its dispatch is recorded, and a worker may
+    discard a task after its end is recorded.
     """
 
     def __init__(self, *, tenure: Tenure, ctx: Context, log: EntryLog) -> None:
@@ -80,7 +81,7 @@
     # ------------------------------------------------------------ records
 
     def replay(self, entry: t.LogEntry) -> None:
-        """Apply a record about jobs."""
+        """Apply a log entry; ignore entries that are not about jobs."""
         if entry.job_accepted is not None:
             self._replay_accepted(entry.job_accepted)
             return
@@ -123,16 +124,16 @@
         )
 
     def snapshot(self) -> Iterable[t.LogEntry]:
-        """Return entries that rebuild all jobs."""
+        """Return log entries that rebuild all jobs."""
         at, now = self.ctx.clock.wall(), self.ctx.clock.monotonic()
         for job in list(self._jobs.values()):
             if job.id in self._committing:
-                # Its own record is on the way; should that fail, the caller is told so.
+                # The append of its acceptance is in progress and reports its own outcome.
                 continue
             yield from records.rebuild(job, at=at, now=now)
 
     async def recover(self) -> None:
-        """Queue what was never dispatched; the rest waits until the workers are heard."""
+        """Queue tasks never dispatched; the others wait for reports of the workers."""
         for job in self._open.values():
             if job.indexes(TaskState.UNSURE):
                 self._unsure.add(job.id)
@@ -141,28 +142,28 @@
         self.ready = True
 
     async def serve(self) -> None:
-        """Have tasks placed until cancelled."""
-        # Lanes belong to the group: a fault in one ends the home, which then starts afresh.
-        # Noticed by nobody, it would leave what was claimed there waiting for ever.
+        """Place tasks until cancelled."""
+        # Lanes run in the task group: an error in one ends the home, which is then recovered
+        # again. An unnoticed error would leave the tasks claimed through the lane waiting forever.
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follow_partitions(group))
             group.create_task(self._gangs.run())
 
     async def drain(self) -> None:
-        """Claim nothing more, and let the claims in progress be answered."""
+        """Wait for the replies to claims in progress and write deferred entries."""
         for lane in self._lanes.values():
             async with lane.lock:
                 pass
         await self._flush_later()
 
     def depth(self) -> int:
-        """Return how many tasks wait."""
+        """Return the number of waiting tasks."""
         return self._queue.depth()
 
     # ------------------------------------------------------------ handlers
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return the methods that frontends and worker partitions call."""
+        """Return the handlers called by frontends and worker partitions."""
         return {
             "submit_job": self.submit_job,
             "get_job": self.get_job,
@@ -172,7 +173,7 @@
         }
 
     async def submit_job(self, req: t.SubmitRequest) -> t.SubmitReply:
-        """Accept a job once it is on record, or refuse it with the reason."""
+        """Accept a job after recording it, or refuse it with a reason."""
         if self._lapsed(req.epoch):
             return self._unavailable(req, "the owner's lease can't be renewed")
         if not self._owns(req.epoch):
@@ -216,8 +217,8 @@
             self._remove(job)
             return self._submitted(req, t.SubmitVerdict.NOT_OWNER)
         except LogUnclear:
-            # The acceptance may stand. It is kept, so that the job runs in either case, but
-            # the caller must not be told more than is known.
+            # The acceptance may be in the log. The job is kept, so that it runs in either case,
+            # but the reply must not claim that it was accepted.
             self._queue.put(job)
             self._wake()
             return self._not_known(req)
@@ -248,7 +249,7 @@
         return self._submitted(req, t.SubmitVerdict.DUPLICATE, job_id=first)
 
     async def get_job(self, req: t.JobRequest) -> t.JobReply:
-        """Return a job and, in words, what holds its tasks."""
+        """Return a job and a text that explains why its tasks wait."""
         if self._lapsed(req.epoch):
             return self._job_unavailable()
         if not self._owns(req.epoch):
@@ -261,7 +262,7 @@
         return self._job_reply(job)
 
     async def cancel_job(self, req: t.JobRequest) -> t.JobReply:
-        """Cancel a job: what has not started is not run, what has is stopped."""
+        """Cancel a job: waiting tasks are not run, running tasks are stopped."""
         if self._lapsed(req.epoch):
             return self._job_unavailable()
         if not self._owns(req.epoch):
@@ -300,14 +301,14 @@
         return t.JobListReply(verdict=t.JobVerdict.FOUND, epoch=epoch, jobs=jobs)
 
     async def task_events(self, req: t.TaskEventsRequest) -> t.TaskEventsReply:
-        """Record how attempts ended; what is recorded the worker may forget."""
+        """Record the ends of attempts; reply which ones the sender may discard."""
         if not self._owns(req.epoch):
             return t.TaskEventsReply(owner=False, epoch=self.tenure.epoch, recorded=[])
         if not self.ready:
             return t.TaskEventsReply(owner=True, epoch=self.tenure.epoch, recorded=[])
         lane = self._lanes.get(req.sender)
         if lane is not None:
-            # The room is free now, whether or not the ends are on record.
+            # The capacity is free now, whether or not the ends get recorded.
             lane.freed()
         self._gangs.wake()
         if not await self._gather_ends(req.events):
@@ -319,7 +320,7 @@
         )
 
     async def _gather_ends(self, events: Sequence[t.TaskEvent]) -> bool:
-        """Record ends with those that come soon after; tell whether they are on record."""
+        """Record ends in one batch with later ones; return whether they are recorded."""
         self._ends.extend(events)
         if self._ends_task is None:
             self._ends_task = asyncio.create_task(self._record_ends())
@@ -328,13 +329,13 @@
     async def _record_ends(self) -> bool:
         await self.ctx.clock.sleep(ENDS_GATHER_S)
         events, self._ends = self._ends, []
-        # Those that come from here on are for the next write.
+        # Events that arrive from now on belong to the next batch.
         self._ends_task = None
         entries = [entry for event in events if (entry := self._entry_of(event)) is not None]
         return await self._append_ends(entries, events)
 
     async def _append_ends(self, entries: list[t.LogEntry], events: Sequence[t.TaskEvent]) -> bool:
-        """Record ends and apply them; tell whether they are on record for sure."""
+        """Record and apply ends; return whether they are known to be recorded."""
         try:
             if entries or self._unclear:
                 await self._append(entries or [records.nothing()])
@@ -350,16 +351,16 @@
         for event in events:
             self._apply(event)
 
-    # ------------------------------------------------------------ for lanes and gangs
+    # ------------------------------------------------------------ used by lanes and gangs
 
     def lanes(self) -> list[Lane]:
-        """Return the lanes whose partition is known, the home's region first."""
+        """Return the lanes synchronized with an owner, those of the home's region first."""
         region = self.tenure.partition.region
         lanes = [lane for lane in self._lanes.values() if lane.owner() is not None]
         return sorted(lanes, key=lambda lane: (lane.partition.region != region, lane.name))
 
     def waiting_gangs(self) -> list[Job]:
-        """Return gangs that wait to be placed whole, in the order they go."""
+        """Return the gangs to be placed, in scheduling order."""
         now = self.ctx.clock.monotonic()
         gangs = [
             job
@@ -372,7 +373,7 @@
         return sorted(gangs, key=lambda job: (job.spec.priority, job.since))
 
     def gang_allowed(self, job: Job) -> bool:
-        """Tell whether the account's quota has room for the whole gang."""
+        """Return whether the whole gang fits into the account's quota."""
         size, tasks = job.spec.size, job.waiting()
         whole = Size(
             millicores=tasks * size.millicores,
@@ -383,17 +384,17 @@
         return self._share.within_quota(job.spec.account, whole)
 
     def count_reserved(self, picked: Sequence[Picked]) -> None:
-        """Count claims that no digest holds yet."""
+        """Count claims towards account usage until a digest includes them."""
         for item in picked:
             self._share.claim(item.job.spec.account, item.job.spec.size)
 
     def stop_live(self, job: Job) -> None:
-        """Have all running tasks of a job stopped."""
+        """Request a stop of all running tasks of a job."""
         for index in list(job.live):
             self._stop(job, index)
 
     def pick(self, lane: Lane) -> list[Picked]:
-        """Claim waiting tasks for a lane's room, in the order they are due."""
+        """Mark waiting tasks as claimed for a lane's free capacity, in scheduling order."""
         if lane.room is None or self._fenced or not self.ready:
             return []
         self._sync_shares()
@@ -408,7 +409,7 @@
         )
 
     def _set_neighbours(self, lane: Lane) -> None:
-        """Tell a room which racks share its failure domain, for services to be spread."""
+        """Set which racks share the lane's failure domain, so that services are spread."""
         domains = {
             other.name: other.digest.failure_domain
             for other in self._lanes.values()
@@ -420,10 +421,10 @@
         lane.room.domains = max(1, len(set(domains.values())))
 
     async def record_dispatch(self, picked: Sequence[Picked]) -> bool:
-        """Put on record that these attempts may begin.
+        """Record that the attempts may start; return whether that succeeded.
 
-        Were a claim sent first, a successor that reads the record could not know that a task
-        which is not idempotent may have run, and would run it again.
+        If the claim were sent first, a successor that reads the log could not see that a
+        non-idempotent task may have run, and would run it again.
         """
         by_job: dict[str, tuple[Job, list[int]]] = {}
         for item in picked:
@@ -434,12 +435,12 @@
         try:
             await self._append(entries)
         except LogError as exc:
-            logger.debug("{}: dispatch not recorded: {}", self.tenure.partition, exc)
+            logger.debug("{}: could not record a dispatch: {}", self.tenure.partition, exc)
             return False
         return True
 
     def put_back(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
-        """Let tasks wait again whose claims can't start anything."""
+        """Return tasks to the queue whose claims can no longer start them."""
         for item in picked:
             self._share.unclaim(item.job.spec.account, item.job.spec.size)
             if dispatched:
@@ -449,17 +450,17 @@
                 self._requeue(item.job)
 
     def wanted(self, picked: Sequence[Picked]) -> list[Picked]:
-        """Return the tasks whose jobs were not cancelled meanwhile; put the others back."""
+        """Return the tasks of jobs that were not cancelled meanwhile; put back the others."""
         self.put_back([item for item in picked if item.job.cancelled], dispatched=True)
         return [item for item in picked if not item.job.cancelled]
 
     def claimed(
         self, lane: Lane, picked: Sequence[Picked], results: Sequence[t.ClaimResult]
     ) -> None:
-        """Take the results of claims."""
+        """Apply the results of claims."""
         by_id = {result.task_id: result for result in results}
         for item in picked:
-            # The digest that came with the results has the claims that were started.
+            # The digest received with the results already includes the started claims.
             self._share.unclaim(item.job.spec.account, item.job.spec.size)
             live = item.job.live.get(item.index)
             result = None if live is None else by_id.get(live.task_id)
@@ -470,7 +471,7 @@
         job, now = item.job, self.ctx.clock.monotonic()
         match result.verdict:
             case t.ClaimVerdict.STARTED:
-                # A home that has taken over may not know when, but that it was started before.
+                # After a takeover the first start time may be lost, although the job ran before.
                 first = job.first_start is None and not job.may_have_run()
                 job.started(item.index, worker=result.worker_id or "", now=now)
                 if first and job.first_start is not None:
@@ -481,7 +482,7 @@
                 if job.cancelled:
                     self._stop(job, item.index)
             case t.ClaimVerdict.HELD | t.ClaimVerdict.UNKNOWN:
-                # It may run. Its end, or the word that it never started, comes as an event.
+                # The task may run. An event will report its end, or that it was never started.
                 if job.cancelled:
                     self._stop(job, item.index)
             case _:
@@ -491,7 +492,7 @@
                 self._not_started(job, item.index)
 
     def reconciled(self, lane: Lane, reply: t.HeldTasksReply) -> None:
-        """Take the list of what a partition holds for this home."""
+        """Apply the list of tasks that a partition holds for this home."""
         now = self.ctx.clock.monotonic()
         held = {task.task_id for task in reply.tasks}
         for job in list(self._open.values()):
@@ -520,25 +521,25 @@
             if live.partition != lane.name or live.task_id in held:
                 continue
             if job.state(index) is TaskState.CLAIMED and live.epoch == lane.epoch:
-                # The owner that was asked has not started it, and won't do so any more.
+                # The owner that received the claim has not started the task and no longer can.
                 self._not_started(job, index)
             elif reply.over or self._is_over(live.worker, reply):
-                # An earlier owner may have started it; it has ended in any case.
+                # An earlier owner may have started the task, but the attempt has certainly ended.
                 self._end(job, index, End.LEASE_LAPSED, now)
 
     @staticmethod
     def _is_over(worker: str, reply: t.HeldTasksReply) -> bool:
-        """Tell whether an attempt that is not held has ended.
+        """Return whether an attempt that is missing from the held tasks has ended.
 
-        A worker that the new owner has never asked may run it on: the platform may have taken it
-        off the list while it still held its tasks.
+        A worker that the new owner has never contacted may still run it: the platform may have
+        removed the worker from the host list while it was running tasks.
         """
         if worker:
             return worker in (reply.heard or ())
         return bool(reply.complete)
 
     def partition_gone(self, lane: Lane) -> None:
-        """Settle what was on a partition that has ceased to be."""
+        """Settle the tasks of a partition that no longer exists."""
         self._share.put_digest(lane.name, UsageDigest(taken_at=self.ctx.clock.monotonic(), used={}))
         nothing = t.HeldTasksReply(
             owner=True, epoch=lane.epoch + 1, complete=True, tasks=[], over=True
@@ -548,7 +549,7 @@
                 self._reconcile_job(job, lane, set(), nothing)
 
     def heard_digest(self, lane: Lane, digest: t.PartitionDigest, asked_at: float) -> None:
-        """Take what a partition says it holds and has free."""
+        """Apply the usage and the capacity reported by a partition."""
         used = {entry.account: size_of(entry.used) for entry in digest.usage}
         self._share.put_digest(lane.name, UsageDigest(taken_at=asked_at, used=used))
         total = sum((extent.total for extent in self._extents()), Size())
@@ -572,7 +573,7 @@
         group.create_task(lane.run())
 
     def _settle_unsure(self) -> None:
-        """Settle tasks of which no worker holds an attempt, once all have been heard."""
+        """Settle tasks that no worker holds, after all worker partitions have reported."""
         if not self._unsure or not self._all_heard():
             return
         for job_id in list(self._unsure):
@@ -616,12 +617,14 @@
             try:
                 await self._append([])
             except LogError as exc:
-                logger.debug("{}: records wait: {}", self.tenure.partition, exc)
+                logger.debug(
+                    "{}: deferred entries not recorded yet: {}", self.tenure.partition, exc
+                )
 
-    # ------------------------------------------------------------ inside
+    # ------------------------------------------------------------ internals
 
     async def _append(self, entries: list[t.LogEntry]) -> None:
-        """Put entries on record, with those that were not worth a write of their own."""
+        """Append entries, together with deferred entries that need no write of their own."""
         later, self._later = self._later, []
         try:
             await self._append_in_order(later + entries)
@@ -629,8 +632,8 @@
             self._fenced = True
             raise
         except LogUnclear:
-            # What the log does not say for sure, nobody may be told. The next append that
-            # stands also settles those before it.
+            # The entries may or may not be in the log, so they must not be reported as recorded.
+            # The next successful append also confirms the appends before it.
             self._unclear = True
             raise
         except LogError:
@@ -639,12 +642,13 @@
         self._unclear = False
 
     async def _append_in_order(self, entries: list[t.LogEntry]) -> None:
-        """Append in pieces that fit into one record; the log keeps the order of the calls.
+        """Append in chunks that fit into one record; the log keeps the order of the calls.
 
-        A compaction counts an append as applied once its caller has gone on. One piece is
-        awaited right here, so that the caller applies it in the same step. Pieces awaited
-        through tasks are on record some steps earlier: a snapshot made in between would drop
-        them, and a successor would run ended tasks again. So none is made meanwhile.
+        Compaction assumes that an append has been applied to the state when the event loop
+        continues after it. A single chunk is awaited directly, so the caller applies it in the
+        same step. Several chunks are awaited through tasks and are recorded some steps before
+        the caller applies them: a snapshot made in between would drop them, and a successor would
+        run ended tasks again. Snapshots are therefore suspended meanwhile.
         """
         if len(entries) <= MAX_ENTRIES:
             await self.log.append(entries)
@@ -660,17 +664,17 @@
         self._in_pieces -= 1
 
     def settled(self) -> bool:
-        """Tell whether all that is on record has been applied."""
+        """Return whether all recorded entries have been applied to the state."""
         return not self._in_pieces
 
     def _owns(self, epoch: int) -> bool:
         return epoch == self.tenure.epoch and not self._fenced and self.tenure.holds()
 
     def _lapsed(self, epoch: int) -> bool:
-        """Tell whether the lease has lapsed while no later owner is known.
+        """Return whether the lease has expired while no later owner is known.
 
-        In an outage of the store nobody takes over. "Not owner" would send the caller round
-        until its deadline, where it can be told at once that nothing was done.
+        During a store outage no process can take over. "Not owner" would make the caller retry
+        until its deadline, although an immediate refusal is possible.
         """
         ours = self.ready and epoch == self.tenure.epoch and not self._fenced
         return ours and not self.tenure.holds()
@@ -743,7 +747,7 @@
         return job, int(parts[1])
 
     def _concerns(self, event: t.TaskEvent) -> tuple[Job, int] | None:
-        """Return the task that an event is about, unless it is about an earlier attempt."""
+        """Return the task of an event, or ``None`` if the event is outdated or unknown."""
         where = self._locate(event.task_id)
         if where is None:
             return None
@@ -754,7 +758,7 @@
         return where if job.state(index) is TaskState.UNSURE else None
 
     def _entry_of(self, event: t.TaskEvent) -> t.LogEntry | None:
-        """Return the record of an event, when a successor needs it."""
+        """Return the log entry for an event, or ``None`` if a successor does not need it."""
         where = self._concerns(event)
         if where is None:
             return None
@@ -795,7 +799,7 @@
         return [_extent(lane) for lane in self._lanes.values() if lane.digest is not None]
 
     def _all_extents(self) -> list[Extent] | None:
-        """Return what all worker partitions have, or ``None`` while one has not told."""
+        """Return the capacity of all worker partitions, or ``None`` while any is unknown."""
         partitions = self.ctx.ownership.partitions(PartitionKind.WORKER)
         lanes = [self._lanes.get(str(partition)) for partition in partitions]
         known = [lane for lane in lanes if lane is not None and lane.all_heard and lane.digest]
--- a/rhubarbferry/scheduler/job_lane.py
+++ b/rhubarbferry/scheduler/job_lane.py
@@ -1,4 +1,4 @@
-"""Requests of one home to one worker partition, one at a time and numbered."""
+"""Requests from one home to one worker partition, sent one at a time and numbered."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 DIGEST_S = 0.5
 BUSY_DIGEST_S = 0.1
 ASK_AGAIN_S = 0.5
-# All listed workers are heard; only what ran on one that has left the list is still open.
+# Used when all listed workers have reported and only tasks of delisted workers are unsettled.
 ASK_AGAIN_LATE_S = 3.0
 
 LANE_CALLS = Counter(
@@ -35,50 +35,50 @@
 
 
 class LaneHost(Protocol):
-    """What a lane needs of its home."""
+    """The part of a home that a lane uses."""
 
     def depth(self) -> int:
-        """Return how many tasks wait."""
+        """Return the number of waiting tasks."""
         ...
 
     def pick(self, lane: Lane) -> list[Picked]:
-        """Claim tasks for a lane's room."""
+        """Select and mark tasks to be claimed in the free capacity of a lane."""
         ...
 
     async def record_dispatch(self, picked: Sequence[Picked]) -> bool:
-        """Put on record that attempts may begin; ``False`` when they must not."""
+        """Record that the attempts may start; return ``False`` if they must not."""
         ...
 
     def claimed(
         self, lane: Lane, picked: Sequence[Picked], results: Sequence[t.ClaimResult]
     ) -> None:
-        """Take the results of claims."""
+        """Apply the results of claims."""
         ...
 
     def wanted(self, picked: Sequence[Picked]) -> list[Picked]:
-        """Return what is still to be claimed."""
+        """Return the tasks that still are to be claimed."""
         ...
 
     def put_back(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
-        """Let tasks wait again whose claims were never sent."""
+        """Return tasks whose claims were never sent to the queue."""
         ...
 
     def reconciled(self, lane: Lane, reply: t.HeldTasksReply) -> None:
-        """Take the list of what a partition holds for the home."""
+        """Apply the list of tasks that a partition holds for the home."""
         ...
 
     def heard_digest(self, lane: Lane, digest: t.PartitionDigest, asked_at: float) -> None:
-        """Take a partition's digest."""
+        """Apply the digest of a partition."""
         ...
 
     def partition_gone(self, lane: Lane) -> None:
-        """Settle what was on a partition that has ceased to be, leases and all."""
+        """Settle the tasks of a removed partition, whose leases have expired."""
         ...
 
 
 @define(kw_only=True, slots=True)
 class _Held:
-    """What the lane knows of its partition's present owner."""
+    """The state of the lane towards the current owner of its partition."""
 
     epoch: int = 0
     synced: bool = False
@@ -88,11 +88,12 @@
 
 
 class Lane:
-    """One worker partition as a home deals with it.
+    """The client side of one worker partition in a home.
 
-    After a claim whose reply was lost, and whenever the partition has a new owner, the lane asks
-    for the list of what is held before it claims anything else. Requests carry rising numbers,
-    and the partition refuses lower ones, so what that list does not have can't start later.
+    After a claim whose reply was lost, and whenever the partition has a new owner, the lane
+    requests the list of held tasks before it claims anything else. Requests carry increasing
+    numbers and the partition refuses lower ones, so a task missing from the list can't be
+    started later by a delayed request.
 
     :param partition: the worker partition.
     """
@@ -111,7 +112,7 @@
         self._ctx = ctx
         self._host = host
         self._owner = _Held()
-        # A home that starts afresh under the same epoch must not begin with lower numbers.
+        # A home that is restarted under the same epoch must continue with higher numbers.
         self._number = int(ctx.clock.monotonic() * 1_000_000)
         self._stops: dict[str, bool] = {}
         self._wake = asyncio.Event()
@@ -120,35 +121,35 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch of the partition's owner that the lane deals with."""
+        """The epoch of the partition's owner as last seen by the lane."""
         return self._owner.epoch
 
     @property
     def synced(self) -> bool:
-        """Whether the home knows what this partition holds for it."""
+        """Whether the home has the current list of tasks held by this partition."""
         return self._owner.synced
 
     @property
     def all_heard(self) -> bool:
-        """Whether the partition's owner knows all its workers, and so how large they are."""
+        """Whether all workers have reported their tasks and capacity to the owner."""
         return self._owner.all_heard
 
     def wake(self) -> None:
-        """Look for work now."""
+        """Run the next step immediately."""
         self._wake.set()
 
     def freed(self) -> None:
-        """Note that tasks have ended there, so there is more room than was last said."""
+        """Mark the last digest as outdated, since ended tasks have freed capacity."""
         self._stale = True
         self._wake.set()
 
     def stop(self, task_id: str, *, checkpoint: bool = False) -> None:
-        """Have a task stopped."""
+        """Queue a stop request for a task."""
         self._stops[task_id] = checkpoint
         self._wake.set()
 
     async def run(self) -> None:
-        """Claim, stop and ask until cancelled."""
+        """Send claims, stops and queries until cancelled."""
         while True:
             self._wake.clear()
             async with self.lock:
@@ -196,9 +197,10 @@
     # ------------------------------------------------------------ calls
 
     async def call(self, owner: Owner, method: str, req: Any) -> Any | None:
-        """Call the owner; ``None`` when there is no answer that counts.
+        """Call the owner; return ``None`` if there is no valid reply.
 
-        Hold :attr:`lock`. After ``None`` the lane asks what is held before it does more.
+        The caller must hold :attr:`lock`. After ``None`` the lane requests the list of held tasks
+        before it sends anything else.
         """
         try:
             reply = await self._ctx.schedulers.call(
@@ -214,7 +216,7 @@
             return None
         except RpcError as exc:
             LANE_CALLS.labels(method, "unclear").inc()
-            logger.debug("{}: {} without answer: {}", self.name, method, exc)
+            logger.debug("{}: no reply to {}: {}", self.name, method, exc)
             self._unclear()
             return None
         if not reply.owner:
@@ -225,21 +227,21 @@
         return reply
 
     def owner(self) -> Owner | None:
-        """Return the owner that this lane is in step with, if any."""
+        """Return the owner if the lane is synchronized with it."""
         owner = self._ctx.ownership.owner(self.partition)
         if owner is None or not self._owner.synced or owner.epoch != self._owner.epoch:
             return None
         return owner
 
     def next_number(self) -> int:
-        """Return the number of the next request."""
+        """Return a new request number."""
         self._number += 1
         return self._number
 
     async def claim(
         self, owner: Owner, picked: Sequence[Picked], *, reserve_s: float = 0.0
     ) -> list[t.ClaimResult] | None:
-        """Claim tasks; ``None`` when it is not known what became of the claims."""
+        """Claim tasks; return ``None`` if the outcome of the claims is unknown."""
         req = t.ClaimRequest(
             partition=self.name,
             epoch=owner.epoch,
@@ -259,7 +261,7 @@
     async def settle(
         self, owner: Owner, task_ids: Sequence[str], *, commit: bool
     ) -> list[t.ClaimResult] | None:
-        """Commit or give back reservations; ``None`` when the result is not known."""
+        """Commit or release reservations; return ``None`` if the outcome is unknown."""
         req = t.ReservationRequest(
             partition=self.name,
             epoch=owner.epoch,
@@ -301,7 +303,7 @@
         if reply is None:
             return False
         self._owner.synced = True
-        # What left the list just before a takeover is not among the unheard.
+        # Workers delisted just before a takeover are not counted as unreported by the owner.
         complete = bool(reply.complete and reply.over)
         self._owner.complete = complete
         self._owner.all_heard = reply.complete
@@ -344,7 +346,7 @@
         self.digest_at = asked_at
         before = self.room
         free, largest = size_of(digest.free), size_of(digest.largest_free)
-        # What found no room is tried again only when something has become free.
+        # Sizes that did not fit are tried again only after the free capacity has changed.
         keep = before is not None and before.largest == largest and before.free == free
         self.room = Room(
             partition=self.name,
@@ -361,9 +363,9 @@
         self._owner.synced = False
 
     def _check_gone(self, owner: Owner | None) -> None:
-        """Settle what was on a partition that is no longer in the table.
+        """Settle the tasks of a partition that was removed from the ownership table.
 
-        Its workers had no owner from the moment it left, so their leases run out.
+        Its workers have had no owner since then, so their task leases expire.
         """
         view = self._ctx.ownership
         known = view.partitions(self.partition.kind)
@@ -401,5 +403,5 @@
 
 
 def _passed_ms(job: Job, now: float) -> int | None:
-    """Return for how long smaller tasks have gone before this job's."""
+    """Return for how many milliseconds smaller tasks have been placed ahead of this job's."""
     return None if job.passed_since is None else int(1000 * max(0.0, now - job.passed_since))
--- a/rhubarbferry/scheduler/job_records.py
+++ b/rhubarbferry/scheduler/job_records.py
@@ -1,4 +1,4 @@
-"""Read and write the messages and records about jobs in terms of the decision core."""
+"""Convert between job messages or log records and the types of the decision core."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def spec_of(spec: t.JobSpec) -> JobSpec:
-    """Return what a message asks for."""
+    """Return the job specification of a message."""
     return JobSpec(
         account=spec.account,
         kind=JobKind(int(spec.kind)),
@@ -31,7 +31,7 @@
 
 
 def message_of(spec: JobSpec) -> t.JobSpec:
-    """Return a specification as messages and records carry it."""
+    """Return the message form of a job specification."""
     return t.JobSpec(
         account=spec.account,
         kind=int(spec.kind),
@@ -49,7 +49,7 @@
 
 
 def record_of(job: Job, *, now: float) -> t.JobRecord:
-    """Return a job as callers are told of it."""
+    """Return the description of a job that is sent to callers."""
     counts = job.counts
     return t.JobRecord(
         job_id=job.id,
@@ -67,13 +67,13 @@
 
 
 def waited_ms(job: Job, *, now: float) -> int:
-    """Return how long a job waited for its first start, so far if there was none."""
+    """Return how long a job has waited, or had waited when its first task started."""
     started = now if job.first_start is None else job.first_start
     return int(max(0.0, started - job.since) * 1000)
 
 
 def accepted(job: Job) -> t.LogEntry:
-    """Return the record of a job's acceptance."""
+    """Return the log entry for the acceptance of a job."""
     return t.LogEntry(
         job_accepted=t.JobAccepted(
             job_id=job.id,
@@ -84,10 +84,10 @@
 
 
 def finished(job: Job, *, at: float, now: float) -> t.LogEntry:
-    """Return the record of a job that is over.
+    """Return the log entry for a finished job.
 
-    :param at: wall time.
-    :param now: monotonic time.
+    :param at: wall clock time, in seconds.
+    :param now: monotonic time, in seconds.
     """
     counts = job.counts
     return t.LogEntry(
@@ -105,14 +105,14 @@
 
 
 def task_finished(job: Job, index: int, attempt: int, end: End) -> t.LogEntry:
-    """Return the record of a task's end."""
+    """Return the log entry for the end of a task attempt."""
     return t.LogEntry(
         task_finished=t.TaskFinished(job_id=job.id, index=index, attempt=attempt, end=int(end))
     )
 
 
 def dispatched(job: Job, indexes: Iterable[int]) -> list[t.LogEntry]:
-    """Return the records that the last attempts of these tasks may begin."""
+    """Return log entries stating that the latest attempts of tasks may start."""
     by_attempt: dict[int, list[int]] = {}
     for index in indexes:
         by_attempt.setdefault(job.last_attempt(index), []).append(index)
@@ -123,12 +123,12 @@
 
 
 def cancelled(job_id: str) -> t.LogEntry:
-    """Return the record of a cancellation."""
+    """Return the log entry for the cancellation of a job."""
     return t.LogEntry(job_cancelled=t.JobCancelled(job_id=job_id))
 
 
 def counts_of(record: t.JobFinished) -> Counts | None:
-    """Return the counts of a finished job, when the record has them."""
+    """Return the task counts of a finished job, if the record contains them."""
     if record.done is None:
         return None
     return Counts(
@@ -140,7 +140,7 @@
 
 
 def rebuild(job: Job, *, at: float, now: float) -> Iterator[t.LogEntry]:
-    """Yield the entries that rebuild a job."""
+    """Yield log entries that rebuild a job."""
     yield accepted(job)
     if job.finished is not None:
         yield finished(job, at=at, now=now)
@@ -154,5 +154,5 @@
 
 
 def nothing() -> t.LogEntry:
-    """Return a record that changes nothing; its append settles those before it."""
+    """Return an entry without effect; a successful append confirms the entries before it."""
     return t.LogEntry(job_cancelled=t.JobCancelled(job_id=""))
--- a/rhubarbferry/scheduler/key_component.py
+++ b/rhubarbferry/scheduler/key_component.py
@@ -1,4 +1,4 @@
-"""The base of the two kinds of state that a key partition keeps on its log."""
+"""Base class of the two kinds of state that a key partition keeps in its log."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class KeyComponent(ABC):
-    """State rebuilt from the log of a key partition: intents of requests, or jobs.
+    """State rebuilt from the log of a key partition: request intents or jobs.
 
     :param log: the partition's log, shared by its components.
     """
@@ -26,14 +26,14 @@
 
     @abstractmethod
     def replay(self, entry: LogEntry) -> None:
-        """Apply an entry read from the log; entries of the other component are passed over."""
+        """Apply a log entry; ignore entries of other components."""
 
     @abstractmethod
     def snapshot(self) -> Iterable[LogEntry]:
-        """Return entries that rebuild the present state."""
+        """Return log entries that rebuild the current state."""
 
     def settled(self) -> bool:
-        """Tell whether a snapshot made now holds all that is on record."""
+        """Return whether a snapshot made now would include all recorded entries."""
         return True
 
     @abstractmethod
@@ -41,14 +41,14 @@
         """Return the RPC methods that this component serves."""
 
     async def recover(self) -> None:
-        """Learn what the log does not tell; called after all entries were replayed."""
+        """Complete the recovery after all log entries have been replayed."""
 
     async def serve(self) -> None:
-        """Run the background work until cancelled."""
+        """Run background tasks until cancelled."""
 
     async def drain(self) -> None:
-        """Finish what is being recorded; nothing new comes in, as ``ready`` is false."""
+        """Wait for appends in progress; ``ready`` is false, so no new ones are started."""
 
     def depth(self) -> int:
-        """Return how much work waits here."""
+        """Return the number of pending work items."""
         return 0
--- a/rhubarbferry/scheduler/key_partition.py
+++ b/rhubarbferry/scheduler/key_partition.py
@@ -1,4 +1,4 @@
-"""The owner of one slice of keys: intents of requests and jobs, kept on one log."""
+"""The owner of one range of keys: request intents and jobs, kept in one log."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
 
 
 def worth_compacting(*, kept: int, fewest_segments: int) -> int:
-    """Return how many segments must stand before the next snapshot is made.
+    """Return the number of log segments at which the next snapshot is made.
 
-    A snapshot writes all that is kept. Made every so many segments, whatever is kept, it would
-    cost more for each entry the more keys are kept; in proportion to what is kept, an entry
-    costs the same however many there are.
+    A snapshot rewrites all retained entries. With a fixed number of segments between snapshots
+    the cost per entry would grow with the number of retained entries. A number in proportion to
+    the retained entries keeps the cost per entry constant.
 
-    :param kept: entries in the last snapshot.
+    :param kept: number of entries in the last snapshot.
+    :param fewest_segments: minimum number of segments between snapshots.
     """
     return max(fewest_segments, kept // ENTRIES_PER_SEGMENT)
 
@@ -38,11 +39,11 @@
 
 
 class KeyPartition(Partition):
-    """State rebuilt from the partition's log, and kept by it.
+    """A partition whose state is recorded in, and rebuilt from, its log.
 
     :param log: the partition's log, not opened yet.
-    :param components: makers of the kinds of state that share it.
-    :param compact_segments: fewest segments that are worth a snapshot.
+    :param components: factories of the components that share the log.
+    :param compact_segments: minimum number of segments before a snapshot is made.
     """
 
     def __init__(
@@ -61,14 +62,14 @@
         self._worth_compacting = compact_segments
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return the methods of all components."""
+        """Return the RPC handlers of all components."""
         merged: dict[str, Handler] = {}
         for component in self.components:
             merged.update(component.handlers())
         return merged
 
     def depth(self) -> int:
-        """Return what waits in all components."""
+        """Return the number of pending work items of all components."""
         return sum(component.depth() for component in self.components)
 
     async def recover(self) -> None:
@@ -78,13 +79,13 @@
             for component in self.components:
                 component.replay(entry)
             if index % REPLAY_SLICE == 0:
-                # A long log must not hold up the heartbeats and the lease of the process.
+                # Replaying a long log must not delay heartbeats and lease renewals of the process.
                 await asyncio.sleep(0)
         for component in self.components:
             await component.recover()
 
     async def serve(self) -> None:
-        """Answer for the keys, until cancelled."""
+        """Serve requests for the keys until cancelled."""
         for component in self.components:
             component.ready = True
         self.phase = Phase.SERVING
@@ -94,16 +95,18 @@
             tasks.create_task(self._compact_forever())
 
     async def drain(self) -> None:
-        """Take nothing new, and let what is being recorded end."""
+        """Refuse new requests and wait for appends in progress."""
         self._stop(Phase.DRAINING)
         try:
             async with asyncio.timeout(DRAIN_S):
                 await asyncio.gather(*(component.drain() for component in self.components))
         except TimeoutError:
-            logger.warning("{}: appends did not end in {} s", self.tenure.partition, DRAIN_S)
+            logger.warning(
+                "{}: appends still in progress after {} s", self.tenure.partition, DRAIN_S
+            )
 
     async def close(self) -> None:
-        """Answer and write nothing any more."""
+        """Stop replying and writing."""
         self._stop(Phase.STOPPED)
         await self.log.close()
 
@@ -129,7 +132,7 @@
         except LogFenced:
             self._stop(Phase.STOPPED)
         except LogError as exc:
-            logger.debug("{}: not compacted now: {}", self.tenure.partition, exc)
+            logger.debug("{}: log compaction failed: {}", self.tenure.partition, exc)
 
     def _snapshot(self) -> list[LogEntry]:
         return [entry for component in self.components for entry in component.snapshot()]
--- a/rhubarbferry/scheduler/lifecycle.py
+++ b/rhubarbferry/scheduler/lifecycle.py
@@ -1,4 +1,4 @@
-"""Partitions of this process: made when won, recovered, served, thrown away when lost."""
+"""Lifecycle of the partitions of this process: created when won, discarded when lost."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 @define(kw_only=True, eq=False)
 class _Held:
-    """One tenure with its present object, ``None`` while it can't be made.
+    """A tenure and its partition object, which is ``None`` while it can't be created.
 
-    :ivar trouble: why it does not serve.
+    :ivar trouble: reason why the partition is not served, empty if there is none.
     """
 
     tenure: Tenure
@@ -38,9 +38,9 @@
 
 
 class Lifecycle:
-    """One task for each partition owned, so that the trouble of one stops no other.
+    """Run one task per owned partition, so that a failure affects only its own partition.
 
-    :param make: makes the object of a partition for a tenure.
+    :param make: factory that creates the partition object for a tenure.
     """
 
     def __init__(self, *, make: MakePartition) -> None:
@@ -48,12 +48,12 @@
         self._held: dict[PartitionId, _Held] = {}
 
     def find(self, partition: PartitionId) -> Partition | None:
-        """Return the object of a partition owned here."""
+        """Return the object of a partition, or ``None`` if it is not owned or not created."""
         held = self._held.get(partition)
         return None if held is None else held.partition
 
     async def won(self, tenure: Tenure) -> None:
-        """Begin a tenure; an earlier one of the same partition ends first."""
+        """Begin a tenure, after ending an earlier tenure of the same partition."""
         await self.lost(tenure.partition, below=tenure.epoch)
         if tenure.partition in self._held:
             return
@@ -73,7 +73,7 @@
         await self._end(held)
 
     async def drain(self, partition: PartitionId) -> None:
-        """Bring a partition to a state that can be handed over."""
+        """Drain a partition before its hand-over."""
         held = self._held.get(partition)
         if held is not None and held.partition is not None:
             await held.partition.drain()
@@ -84,14 +84,14 @@
         await asyncio.gather(*(self._end(one) for one in held))
 
     def owned(self) -> tuple[PartitionId, ...]:
-        """Return the partitions owned here."""
+        """Return the partitions owned by this process."""
         return tuple(self._held)
 
     def status(self) -> list[PartitionStatus]:
-        """Return one line for each partition owned."""
+        """Return the status of each owned partition."""
         return [_status(id, held) for id, held in sorted(self._held.items())]
 
-    # ------------------------------------------------------------ inner
+    # ------------------------------------------------------------ internals
 
     async def _end(self, held: _Held) -> None:
         if held.task is not None:
@@ -103,7 +103,7 @@
         if partition is None:
             return
         try:
-            # Bounded, since the events of all partitions wait for it.
+            # Bounded in time, because ownership events of all partitions wait for it.
             async with asyncio.timeout(CLOSE_S):
                 await partition.close()
         except Exception as exc:
@@ -126,8 +126,8 @@
                 await held.partition.serve()
                 return
             except LogCorrupt as exc:
-                # Another try reads the same bytes. The state can't be known, so the partition
-                # stays closed until an operator has mended the record that the message names.
+                # A retry would read the same bytes. The state can't be rebuilt, so the partition
+                # stays stopped until an operator repairs the record named in the message.
                 metrics.RECOVERIES.labels(kind, CORRUPT).inc()
                 logger.error("{}: stopped: {}", held.tenure.partition, exc)
                 held.trouble = f"{CORRUPT}: {exc}"
@@ -135,18 +135,20 @@
                 return
             except Exception as exc:
                 metrics.RECOVERIES.labels(kind, "failed").inc()
-                logger.opt(exception=exc).warning("{}: starts afresh", held.tenure.partition)
+                logger.opt(exception=exc).warning(
+                    "{}: failed, restarting with a new partition object", held.tenure.partition
+                )
             await self._close(held.partition)
             await asyncio.sleep(pause)
             pause = min(2 * pause, LAST_RETRY_S)
             self._try_to_make(held)
 
     def _try_to_make(self, held: _Held) -> None:
-        """Make the object of a tenure; on a failure leave it to a later try.
+        """Create the partition object of a tenure; on failure, leave it to a later retry.
 
-        The code of a partition is loaded and run here for the first time. Were its error let
-        out, it would end the process, and the next owner of the partition after it, until no
-        scheduler is left for any partition.
+        The code of the partition kind is imported and run here for the first time. If an error
+        propagated, it would end the process, then the next owner of the partition, and so on
+        until no scheduler is left for any partition.
         """
         try:
             held.partition = self._make(held.tenure)
@@ -154,7 +156,9 @@
             held.partition = None
             held.trouble = f"{NOT_MADE}: {type(exc).__name__}: {exc}"
             metrics.RECOVERIES.labels(held.tenure.partition.kind.value, NOT_MADE).inc()
-            logger.opt(exception=exc).error("{}: can't be made", held.tenure.partition)
+            logger.opt(exception=exc).error(
+                "{}: partition object could not be created", held.tenure.partition
+            )
         else:
             held.trouble = ""
 
--- a/rhubarbferry/scheduler/messages.py
+++ b/rhubarbferry/scheduler/messages.py
@@ -1,4 +1,4 @@
-"""Read and write the messages about tasks in terms of the decision core."""
+"""Convert between task messages and the types of the decision core."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def size_of(resources: t.Resources) -> Size:
-    """Return the size that a message carries."""
+    """Return the size given in a message."""
     return Size(
         millicores=resources.millicores,
         memory_bytes=resources.memory_bytes,
@@ -17,7 +17,7 @@
 
 
 def resources_of(size: Size) -> t.Resources:
-    """Return a size as a message carries it."""
+    """Return the message form of a size."""
     return t.Resources(
         millicores=size.millicores,
         memory_bytes=size.memory_bytes,
@@ -26,7 +26,7 @@
 
 
 def attempt_of_claim(claim: t.Claim, home: str) -> Attempt:
-    """Return the attempt that a home claims room for."""
+    """Return the attempt for which a home claims resources."""
     return Attempt(
         task_id=claim.task_id,
         attempt=claim.attempt,
@@ -45,7 +45,7 @@
 
 
 def reported(told: t.WorkerHeldTask) -> Reported:
-    """Return what a worker said of one attempt."""
+    """Return a worker's report about one attempt."""
     task = told.task
     attempt = Attempt(
         task_id=task.task_id,
@@ -66,7 +66,7 @@
 
 
 def worker_task(attempt: Attempt) -> t.WorkerTask:
-    """Return an attempt as a worker is told to start it."""
+    """Return the message that starts an attempt on a worker."""
     return t.WorkerTask(
         task_id=attempt.task_id,
         attempt=attempt.attempt,
@@ -84,7 +84,7 @@
 
 
 def task_event(held: Held) -> t.TaskEvent:
-    """Return the end of an attempt as its home is told of it."""
+    """Return the event that reports the end of an attempt to its home."""
     assert held.end is not None
     return t.TaskEvent(
         task_id=held.attempt.task_id,
@@ -97,7 +97,7 @@
 
 
 def held_task(held: Held) -> t.HeldTask:
-    """Return an attempt as a recovering home is told of it."""
+    """Return the description of a held attempt that is sent to its home."""
     return t.HeldTask(
         task_id=held.attempt.task_id,
         attempt=held.attempt.attempt,
--- a/rhubarbferry/scheduler/partition.py
+++ b/rhubarbferry/scheduler/partition.py
@@ -1,4 +1,4 @@
-"""The base of the partitions that a scheduler owns."""
+"""Base class of the partitions that a scheduler owns."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Phase(StrEnum):
-    """How far a partition has come."""
+    """The lifecycle phase of a partition."""
 
     RECOVERING = "recovering"
     SERVING = "serving"
@@ -21,12 +21,14 @@
 
 
 class Partition(ABC):
-    """One partition under one tenure: recover, then decide until the tenure ends.
+    """One partition during one tenure: recover, then serve until the tenure ends.
 
-    The daemon makes one for each partition won and throws it away with the tenure. A tenure
-    won again gets a new object, so nothing of an old one can act under a new epoch.
+    The daemon creates an object for each tenure and discards it when the tenure ends. A
+    partition that is won again gets a new object, so no state of an earlier tenure is used
+    under a new epoch.
 
-    :param tenure: the right to decide; ``tenure.holds()`` is asked right before each act.
+    :param tenure: the right to act as owner; ``tenure.holds()`` is checked right before each
+        action.
     """
 
     def __init__(self, *, tenure: Tenure, ctx: Context) -> None:
@@ -38,27 +40,27 @@
     def handlers(self) -> Mapping[str, Handler]:
         """Return the RPC methods that this partition serves.
 
-        A handler must answer for itself while the phase is not ``SERVING``: with "not owner"
-        or a refusal that says when to come back.
+        Handlers may be called in any phase. While the phase is not ``SERVING`` they must reply
+        "not owner" or refuse with a retry delay.
         """
 
     @abstractmethod
     async def recover(self) -> None:
-        """Rebuild the state: read the records, adopt those who carry out the decisions.
+        """Rebuild the state from records and from the processes that carry out decisions.
 
-        Return only when it is safe to decide. May be cancelled at any await.
+        Return only when it is safe to make new decisions. May be cancelled at any await.
         """
 
     @abstractmethod
     async def serve(self) -> None:
-        """Run the background work until cancelled; called after :meth:`recover`."""
+        """Run background tasks until cancelled; called after :meth:`recover`."""
 
     async def drain(self) -> None:
-        """Finish what must not be cut off before a planned hand-over; bounded in time."""
+        """Finish work that must not be interrupted by a hand-over; bounded in time."""
 
     async def close(self) -> None:
-        """Drop all state; the tenure has ended and nothing may be sent any more."""
+        """Release all resources; the tenure has ended, so nothing may be sent any more."""
 
     def depth(self) -> int:
-        """Return how many requests or tasks wait here."""
+        """Return the number of waiting requests or tasks."""
         return 0
--- a/rhubarbferry/scheduler/registry.py
+++ b/rhubarbferry/scheduler/registry.py
@@ -1,4 +1,4 @@
-"""Make the object of a partition by its kind."""
+"""Create partition objects by partition kind."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class Registry:
-    """Makers of the three kinds of partitions; each kind's code is loaded when first owned.
+    """Factory of the three kinds of partitions; imports the code of a kind on first use.
 
-    :param reports: how runners are asked for their state.
+    :param reports: port that queries runners for their state.
     """
 
     def __init__(self, *, ctx: Context, reports: RunnerReports) -> None:
@@ -23,7 +23,7 @@
         self._reports = reports
 
     def make(self, tenure: Tenure) -> Partition:
-        """Return a new object for a tenure."""
+        """Return a new partition object for a tenure."""
         match tenure.partition.kind:
             case PartitionKind.RUNNER:
                 return self._runner(tenure)
--- a/rhubarbferry/scheduler/runner_list.py
+++ b/rhubarbferry/scheduler/runner_list.py
@@ -1,4 +1,4 @@
-"""The runners of one partition, by the platform's list of hosts and the configuration."""
+"""The runners of one partition, from the platform's host list and the configuration."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class RunnerList:
-    """Keep the runners of a ledger as the platform lists them.
+    """Synchronize the runners of a ledger with the platform's host list.
 
-    :ivar word_from: when a runner that was not heard before must be asked, at the earliest, for
-        its word to count.
+    :ivar word_from: earliest time, on the monotonic clock, at which a probe must be sent for the
+        first report of a runner to be accepted.
     """
 
     def __init__(
@@ -27,11 +27,11 @@
         self.word_from = ctx.clock.monotonic()
 
     def outdated(self) -> bool:
-        """Tell whether the configured slots have changed since the last :meth:`sync`."""
+        """Return whether the configured slots have changed since the last :meth:`sync`."""
         return self._configured_slots() != self._slots
 
     def sync(self) -> None:
-        """Take in runners that have come, changed or gone."""
+        """Add, update and remove runners according to the host list."""
         slots = self._slots = self._configured_slots()
         listed = {host.id: host for host in self._ctx.hosts.hosts() if self._is_mine(host)}
         for host in listed.values():
@@ -50,9 +50,9 @@
         return 0 if service is None else service.slots
 
     def _block(self, runner: Runner) -> None:
-        """Count a runner that has not been heard as full.
+        """Treat a runner that has not reported yet as fully occupied.
 
-        An earlier owner may have used it, with its requests known to nobody who answered.
+        An earlier owner may have granted its slots to requests that no responding guard reported.
         """
         if runner.blocked_until is not None:
             return
--- a/rhubarbferry/scheduler/runner_partition.py
+++ b/rhubarbferry/scheduler/runner_partition.py
@@ -1,4 +1,4 @@
-"""The owner of one service's runners in one region: gives their slots to requests."""
+"""The owner of one service's runners in one region: grants their slots to requests."""
 
 from __future__ import annotations
 
@@ -60,9 +60,9 @@
 
 
 class RunnerPartition(Partition):
-    """Grants of slots under one tenure.
+    """Grants slots of runners to requests during one tenure.
 
-    All state changes in handlers and ticks between two awaits, so each sees a whole ledger.
+    Handlers and ticks change the state only between two awaits, so each sees a consistent ledger.
     """
 
     def __init__(self, *, tenure: Tenure, ctx: Context, reports: RunnerReports) -> None:
@@ -108,7 +108,7 @@
         metrics.SLOTS_BUSY.labels(self._name).set(0)
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return the methods ``grant``, ``release``, ``abandon`` and ``waits``."""
+        """Return the handlers of ``grant``, ``release``, ``abandon`` and ``waits``."""
         return {
             "grant": self.grant,
             "release": self.release,
@@ -117,16 +117,16 @@
         }
 
     def depth(self) -> int:
-        """Return the requests that wait for a slot."""
+        """Return the number of requests that wait for a slot."""
         return len(self.queue)
 
-    # ------------------------------------------------------------ life
+    # ------------------------------------------------------------ lifecycle
 
     async def recover(self) -> None:
-        """Learn what earlier owners gave away; what is not heard of counts as taken."""
+        """Collect the grants of earlier owners; treat unreported slots as taken."""
         own, req = self.ctx.cfg.ownership, self.ctx.cfg.requests
-        # Guards that can't be reached from here may still promise to an earlier owner that is
-        # cut off together with them. Only the longest extension ends that for certain.
+        # Guards that are unreachable from here may still give promises to an earlier owner on
+        # their side of a network partition. Only the maximum extension of a tenure bounds that.
         await self._adoption.until_majority(
             give_up_s=own.longest_extension_s
             + own.promise_s
@@ -135,8 +135,8 @@
         )
         self._listed.word_from = self._clock.monotonic()
         if not self._adoption.all_heard():
-            # A guard not heard of may still use a grant. A runner asked before that would say
-            # "not running" of a request that reaches it a moment later.
+            # A guard that has not replied may still use a grant. A runner probed before that would
+            # report "not running" for a request that reaches it a moment later.
             self._listed.word_from += req.grant_usable_s + SETTLE_S
         self._sync_terms()
         self._sync_runners()
@@ -144,7 +144,7 @@
             await self._probes.ask(self.ledger.to_ask())
 
     async def serve(self) -> None:
-        """Give slots to those who wait, until cancelled."""
+        """Grant slots to waiting requests until cancelled."""
         self.phase = Phase.SERVING
         self._pump()
         async with asyncio.TaskGroup() as tasks:
@@ -154,9 +154,9 @@
             tasks.create_task(self._adoption.follow())
 
     async def drain(self) -> None:
-        """Stop granting; send those who wait to the successor; let unclear ends settle.
+        """Stop granting, redirect waiting requests and wait for grants with an unknown end.
 
-        Open grants stay with their frontends, which tell the successor of them.
+        Open grants stay with their frontends, which report them to the successor.
         """
         self.phase = Phase.DRAINING
         self._answer_all_not_owner()
@@ -166,7 +166,7 @@
             await self._clock.sleep(SETTLE_S / 2)
 
     async def close(self) -> None:
-        """Answer those who wait that this process is the owner no more."""
+        """Reply to waiting requests that this process is no longer the owner."""
         self.phase = Phase.STOPPED
         self._answer_all_not_owner()
         metrics.WAITING.remove(self._name)
@@ -175,7 +175,7 @@
     # ------------------------------------------------------------ handlers
 
     async def grant(self, req: GrantRequest) -> GrantReply:
-        """Answer with a slot as soon as one is free for this request, or with a refusal."""
+        """Reply with a slot as soon as one is free for the request, or with a refusal."""
         if not self._answers_grants(req.epoch):
             return self._not_owner()
         known = self._granted_before(req)
@@ -231,10 +231,10 @@
                 self._abandon(waiting.request_id)
 
     def _reply_lost(self, waiting: Waiting, fut: asyncio.Future[GrantReply]) -> None:
-        """Watch a slot whose grant may not have reached its frontend.
+        """Mark a grant whose reply may not have reached the frontend as having an unknown end.
 
-        The connection broke with the answer on its way. Were nothing done, the slot would stay
-        taken until the request's deadline; were it freed, it could be in use.
+        The connection broke while the reply was in transit. Without this, the slot would stay
+        taken until the request's deadline; it can't be freed, because it may be in use.
         """
         if not fut.done() or fut.cancelled():
             return
@@ -243,7 +243,7 @@
             self.ledger.release(grant_id, SlotEnd.UNKNOWN, now=self._clock.monotonic())
 
     async def release(self, req: ReleaseRequest) -> ReleaseReply:
-        """Take slots back; not accepted ones are to be sent to the owner again."""
+        """Release slots; the frontend resends releases that were not accepted."""
         serving = self.phase in (Phase.SERVING, Phase.DRAINING)
         if not serving or req.epoch > self.tenure.epoch:
             return ReleaseReply(epoch=self.tenure.epoch, accepted=False)
@@ -254,10 +254,10 @@
         return ReleaseReply(epoch=self.tenure.epoch, accepted=True)
 
     async def abandon(self, req: AbandonRequest) -> AbandonReply:
-        """Forget a request whose caller has gone.
+        """Discard a request whose caller has disconnected.
 
-        A slot that it holds here may be the one of an earlier attempt whose release is still
-        on its way, so it is not freed on this word; the runner is asked.
+        A slot held by the request may belong to an earlier attempt whose release is still in
+        transit. It is therefore not freed on this message; its runner is probed instead.
         """
         if req.epoch > self.tenure.epoch:
             return AbandonReply(accepted=False)
@@ -269,7 +269,7 @@
         return AbandonReply(accepted=True)
 
     async def waits(self, req: WaitsRequest) -> WaitsReply:
-        """Say how long further requests would wait; only an owner that grants can say."""
+        """Reply with expected waiting times; only a serving owner can estimate them."""
         epoch = self.tenure.epoch
         if self.phase is not Phase.SERVING or req.epoch > epoch or not self.may_act():
             return WaitsReply(owner=False, epoch=epoch, waits_ms=[])
@@ -281,8 +281,8 @@
 
     def _expected_wait_ms(self, account: str, priority: PriorityClass) -> int:
         slots, free = self.ledger.capacity(), self.ledger.free()
-        # Nothing has been measured yet: an empty partition answers at once, of a full one
-        # nobody can tell.
+        # Before the first measured service time, the wait is known to be zero while slots are free
+        # and unknown otherwise.
         guess = self.queue.times.seen == 0 and free == 0
         if slots == 0 or guess or not self.queue.knows(account):
             return WAIT_NOT_KNOWN_MS
@@ -298,7 +298,7 @@
     # ------------------------------------------------------------ granting
 
     def may_act(self) -> bool:
-        """Tell whether a decision may leave this process now."""
+        """Return whether this process may send decisions now."""
         return self.tenure.holds()
 
     def _answers_grants(self, epoch: int) -> bool:
@@ -309,13 +309,13 @@
         return self.phase is Phase.SERVING and self.may_act()
 
     def _pump(self) -> None:
-        """Give free slots to those whose turn it is."""
+        """Grant free slots to waiting requests in queue order."""
         if self.phase is not Phase.SERVING:
             return
         now = self._clock.monotonic()
         while (picked := self._pick(now)) is not None:
-            # Looked at right before the grant goes out: a process that was paused past its
-            # lease must not act on what it decided before.
+            # Checked right before the grant is sent: a process that was paused beyond its lease
+            # must not act on earlier decisions.
             if not self.may_act():
                 return
             self._grant(*picked, now)
@@ -363,10 +363,11 @@
         priority: PriorityClass,
         waited_s: float = 0.0,
     ) -> GrantReply:
-        """Return the grant.
+        """Return the reply that grants a slot.
 
-        :param waited_s: from the arrival of the request that this answers. The frontend counts
-            the use from before it asked, and would drop each slot that it waited long for.
+        :param waited_s: seconds since the arrival of the request. The frontend measures the usable
+            time from before it sent the request; without this value it would discard each slot
+            after a long wait.
         """
         return GrantReply(
             verdict=GrantVerdict.GRANTED,
@@ -380,7 +381,7 @@
         )
 
     def _granted_before(self, req: GrantRequest) -> GrantReply | None:
-        """Repeat the answer to a request that asks again since it got none."""
+        """Return the same grant again to a request that is retried after a lost reply."""
         now = self._clock.monotonic()
         for lease in self._leases_of(req.request_id, req.frontend_id):
             excluded = req.excluded_runners or ()
@@ -390,7 +391,7 @@
             return self._granted(lease, runner, now, priority=PriorityClass(req.priority))
         return None
 
-    # ------------------------------------------------------------ answers
+    # ------------------------------------------------------------ replies
 
     def _answer(self, request_id: str, reply: GrantReply) -> None:
         fut = self._answers.pop(request_id, None)
--- a/rhubarbferry/scheduler/runner_probes.py
+++ b/rhubarbferry/scheduler/runner_probes.py
@@ -1,4 +1,4 @@
-"""Ask the runners of a partition for their state and hand their words on."""
+"""Probe the runners of a partition for their state and pass on their reports."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class RunnerProbes:
-    """Questions to runners, a bounded number at once and one at a time to each.
+    """Probe runners concurrently, with a global limit and one probe per runner at a time.
 
-    :param ledger: tells whose word would free slots.
-    :param hear: called with each answer.
-    :param probe_s: seconds between two rounds when nothing is pressing.
+    :param ledger: provides the runners and those whose report could free slots.
+    :param hear: callback that receives each report.
+    :param probe_s: seconds between two rounds when no report is needed urgently.
     """
 
     def __init__(
@@ -41,14 +41,14 @@
         self._room = asyncio.Semaphore(AT_ONCE)
 
     def soon(self) -> None:
-        """Begin the next round now."""
+        """Start the next round immediately."""
         self._soon.set()
 
     async def run(self, word_from: Callable[[], float]) -> None:
-        """Ask in rounds until cancelled.
+        """Probe in rounds until cancelled.
 
-        :param word_from: returns the time before which the word of a runner that was not heard
-            yet does not count.
+        :param word_from: returns the earliest time, on the monotonic clock, at which a probe must
+            be sent for the first report of a runner to be accepted.
         """
         turn = 0
         while True:
@@ -70,7 +70,7 @@
             pass
 
     async def ask(self, runners: Iterable[Runner]) -> None:
-        """Ask each runner once; those that give no answer are left as they are."""
+        """Probe each runner once; keep the state of runners that do not respond."""
         idle = [runner for runner in runners if runner.id not in self._asking]
         await asyncio.gather(*(self._ask(runner.id, runner.address) for runner in idle))
 
@@ -78,7 +78,7 @@
         self._asking.add(runner_id)
         try:
             async with self._room:
-                # Taken before the question: an answer can be older than its arrival.
+                # Taken before the probe is sent, as the report may describe any moment since then.
                 asked_at = self._clock.monotonic()
                 report = await self._reports.report(runner_id=runner_id, address=address)
         except RunnerUnreachable:
--- a/rhubarbferry/scheduler/slot_ends.py
+++ b/rhubarbferry/scheduler/slot_ends.py
@@ -1,4 +1,4 @@
-"""Ends of grants in a runner partition: slots free again, accounts settled, runners judged."""
+"""The end of grants in a runner partition: free slots, settle charges, rate runners."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Charge:
-    """What an account was charged for a slot when it got it."""
+    """The estimated use that an account was charged when a slot was granted."""
 
     account: str
     seconds: float
@@ -35,10 +35,10 @@
 
 
 class SlotEnds:
-    """What each account is charged for its slots, until they are free again.
+    """Handle the end of grants and keep the charge of each grant until then.
 
-    :param name: of the partition, for log lines.
-    :param grant_usable_s: how long a grant that was not used yet may still be.
+    :param name: name of the partition, for log messages.
+    :param grant_usable_s: seconds during which an unused grant may still be used.
     """
 
     def __init__(
@@ -60,18 +60,18 @@
         self._charges: dict[int, Charge] = {}
 
     def charge(self, lease: SlotLease, seconds: float) -> None:
-        """Note what an account was charged for a slot that it gets now."""
+        """Record the charge for a grant that is made now."""
         charge = Charge(account=lease.account, seconds=seconds, since=lease.granted_at)
         self._charges[lease.grant_id] = charge
 
     def release(self, item: Release) -> bool:
-        """Take a slot back; tell whether its runner should be asked about it."""
+        """Release a slot; return whether its runner should be probed about it."""
         now = self._clock.monotonic()
         end = ENDS[item.end]
         metrics.RELEASES.labels(end.value).inc()
         grant_id = item.grant_id
         if grant_id not in self._ledger.leases:
-            # A slot held on the runner's word since its frontend was not heard of until now.
+            # The grant was known only from the runner's report, without its frontend.
             stranger = self._ledger.find(runner_id=item.runner_id, request_id=item.request_id)
             if stranger is None or stranger.frontend_id:
                 return False
@@ -85,14 +85,15 @@
         return end in RUNNER_FAILURES
 
     def adopt(self, guard: Guard, grants: Sequence[OpenGrant]) -> None:
-        """Take over the open grants of earlier owners that a guard holds."""
+        """Take over open grants of earlier owners that a guard has reported."""
         now = self._clock.monotonic()
         for grant in grants:
             if grant.grant_id in self._ledger.leases:
                 continue
             usable_s = 0.0 if grant.sent else self._grant_usable_s
-            # The guard also lists requests whose end it doesn't know and has told an earlier
-            # owner of. No release comes for them again, so the runner's word has to end them.
+            # The list includes requests whose end the guard does not know and which it has already
+            # released to an earlier owner as such. They are not released again, so the runner's
+            # report must end them.
             lease = SlotLease(
                 grant_id=grant.grant_id,
                 request_id=grant.request_id,
@@ -110,13 +111,13 @@
             metrics.ADOPTED_GRANTS.inc()
 
     def hear(self, word: RunnerWord) -> None:
-        """Free what a runner says it does not run any more."""
+        """Free the slots of requests that, by a runner's report, no longer run."""
         freed = self._ledger.hear(word, now=self._clock.monotonic())
         metrics.SLOTS_FREED.labels("runner").inc(len(freed))
         self._settle(freed)
 
     def expire(self, now: float) -> None:
-        """Free the slots whose requests must have ended."""
+        """Free the slots of requests that must have ended by their deadline."""
         expired = self._ledger.expire(now=now)
         metrics.SLOTS_FREED.labels("deadline").inc(len(expired))
         self._settle(expired)
@@ -133,10 +134,12 @@
             item.runner_id, item.request_id, now=now, hosts=len(self._ledger.runners)
         ):
             metrics.EJECTIONS.inc()
-            logger.warning("{}: runner {} fails requests, ejected", self._name, item.runner_id)
+            logger.warning(
+                "{}: runner {} ejected because its requests fail", self._name, item.runner_id
+            )
 
     def _settle(self, leases: Iterable[SlotLease]) -> None:
-        """Settle the accounts of slots that are free now."""
+        """Replace the charges of freed slots by their actual use."""
         now = self._clock.monotonic()
         for lease in leases:
             self._ejector.neither(lease.runner_id, lease.request_id)
--- a/rhubarbferry/scheduler/terms.py
+++ b/rhubarbferry/scheduler/terms.py
@@ -1,4 +1,4 @@
-"""What each client account is owed and allowed in one runner partition."""
+"""The shares and limits of client accounts in one runner partition."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TermsBook:
-    """Terms of all accounts, with the limits split over the runner partitions of the cell."""
+    """Terms of all accounts, with limits divided among the runner partitions of the cell."""
 
     def __init__(self, *, partition: PartitionId) -> None:
         self._partition = partition
@@ -22,7 +22,7 @@
         self._rate: dict[str, DelayedLimit] = {}
 
     def terms(self, cell: Cell, view: OwnershipView, *, now: float) -> Mapping[str, Terms]:
-        """Return the terms now in force, by account."""
+        """Return the terms in force at time ``now``, by account."""
         part = self._part(view)
         return {
             name: self._terms(account, part, now=now) for name, account in cell.accounts.items()
--- a/rhubarbferry/scheduler/web.py
+++ b/rhubarbferry/scheduler/web.py
@@ -1,6 +1,6 @@
 """``/metrics``, ``/healthz`` and ``/readyz`` of the scheduler, without an HTTP framework.
 
-A framework would take more memory than the whole budget of the daemon leaves for it.
+A framework would exceed the memory budget of the daemon.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 
 class OperatorPages:
-    """Answer GET requests of operators' tools, one for each connection.
+    """Serve GET requests of monitoring tools, one request per connection.
 
-    :param ready: tells whether the process takes new work.
+    :param ready: returns whether the process accepts new work.
     """
 
     def __init__(self, *, ready: Callable[[], bool]) -> None:
@@ -27,7 +27,7 @@
         self.address = ""
 
     async def start(self, host: str, port: int) -> None:
-        """Listen; ``port`` 0 takes a free one. ``address`` then says which."""
+        """Listen and set ``address``; with ``port`` 0, the system selects a free port."""
         self._server = await asyncio.start_server(self._serve, host, port, limit=MAX_HEAD_BYTES)
         bound = self._server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
--- a/rhubarbferry/scheduler/worker_link.py
+++ b/rhubarbferry/scheduler/worker_link.py
@@ -1,4 +1,4 @@
-"""Calls to one worker: adoption, heartbeats with orders, and starts."""
+"""Calls to one worker: adoption, heartbeats with task orders, and task starts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Adopted:
-    """A worker was adopted; what it holds."""
+    """A worker was adopted; ``reply`` lists the tasks it holds."""
 
     worker: str
     reply: t.WorkerAdoptReply
@@ -42,14 +42,14 @@
 
 @frozen(kw_only=True, slots=True)
 class Answered:
-    """Some call was answered, so the lease counts from now."""
+    """A worker replied to any call, so its lease is extended from now."""
 
     worker: str
 
 
 @frozen(kw_only=True, slots=True)
 class Silent:
-    """A worker does not answer, or must be asked anew what it holds."""
+    """A worker does not reply, or has to be adopted again."""
 
     worker: str
 
@@ -67,7 +67,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Started:
-    """What became of a start; ``started`` is ``None`` while the worker has not said."""
+    """The outcome of a start; ``started`` is ``None`` while the outcome is unknown."""
 
     task_id: str
     started: bool | None
@@ -75,16 +75,17 @@
 
 
 class WorkerLink:
-    """One worker as its owner talks to it.
+    """The client of one worker on behalf of its owner.
 
-    Each request names the last answer that came from the worker, and the worker counts leases
-    from that answer. When the reply to a start is lost, nobody knows whether the task runs; the
-    link then adopts the worker again. The worker refuses whatever names an answer from before an
-    adoption, so what the adoption does not list was not started and never will be.
+    Each request carries the number of the last reply received from the worker, and the worker
+    measures leases from the moment of that reply. When the reply to a start is lost, it is unknown
+    whether the task runs, and the link adopts the worker again. The worker refuses requests that
+    carry the number of a reply from before an adoption, so a task that the adoption does not list
+    was not started and can't be started later.
 
-    :param worker: its id.
+    :param worker: id of the worker.
     :param address: ``ip:port``.
-    :param tell: called with news, at once and in order, on the event loop.
+    :param tell: callback that receives each event, immediately and in order, on the event loop.
     """
 
     def __init__(
@@ -122,20 +123,20 @@
                 pass
 
     def acknowledge(self, task_id: str) -> None:
-        """Let the worker forget an ended attempt, with the next heartbeat."""
+        """Allow the worker, with the next heartbeat, to discard an ended attempt."""
         self._acks[task_id] = None
 
     def order(self, task_id: str, action: int) -> None:
-        """Tell the worker what to do with a task; at once."""
+        """Send an action for a task to the worker immediately."""
         self._orders[task_id] = max(action, self._orders.get(task_id, action), key=_severity)
         self._wake.set()
 
     def renew_soon(self) -> None:
-        """Send the next heartbeat at once."""
+        """Send the next heartbeat immediately."""
         self._wake.set()
 
     async def start(self, attempts: Sequence[Attempt]) -> list[Started]:
-        """Start attempts; answer for each what is known."""
+        """Start attempts; return the outcome of each as far as it is known."""
         if not self._tenure.holds() or not self.adopted:
             return [
                 Started(task_id=a.task_id, started=False, reason="the worker is not adopted")
@@ -173,7 +174,7 @@
                 self._lost()
                 return Started(task_id=task_id, started=None, reason="the worker did not say")
             case t.StartVerdict.STALE_EPOCH | t.StartVerdict.NO_ROOM:
-                # The ledger and the worker disagree; only an adoption settles what it holds.
+                # The ledger and the worker disagree about held tasks; adopt to resynchronize.
                 self._lost()
         return Started(task_id=task_id, started=False, reason=f"the worker said {name}")
 
@@ -196,8 +197,8 @@
         ADOPTIONS.labels("adopted").inc()
         self._answered = reply.number or 0
         self.adopted = True
-        # A worker that was restarted has forgotten the epochs it has seen. Were it counted again
-        # after an adoption past the lease, it could be one that a successor counts on.
+        # A restarted worker has lost the epochs it has seen. If an adoption after the end of the
+        # lease counted towards this owner's majority, a successor could count the same worker.
         self._counts = self._tenure.lease_holds()
         self._tell(Adopted(worker=self.worker, reply=reply))
 
@@ -242,7 +243,7 @@
             if self._orders.get(task_id) == action:
                 del self._orders[task_id]
         if not self.adopted:
-            # A start went missing meanwhile; only the adoption may tell what is held.
+            # The reply to a start was lost meanwhile; only an adoption may report held tasks.
             return
         self._tell(Renewed(worker=self.worker, reply=reply))
         if self._acks:
@@ -268,7 +269,7 @@
 
     def _lost(self) -> None:
         if self.adopted:
-            logger.info("worker {}: what it holds is unclear, adopting it again", self.worker)
+            logger.info("worker {}: held tasks unknown, adopting it again", self.worker)
         self.adopted = False
         self._tell(Silent(worker=self.worker))
         self._wake.set()
@@ -278,5 +279,5 @@
 
 
 def _severity(action: int) -> int:
-    """Rank orders: a stop is not taken back by a later throttle."""
+    """Return the rank of an action, so that a later throttle does not replace a stop."""
     return {t.TaskAction.THROTTLE: 0, t.TaskAction.CHECKPOINT: 1, t.TaskAction.STOP: 2}[action]
--- a/rhubarbferry/scheduler/worker_partition.py
+++ b/rhubarbferry/scheduler/worker_partition.py
@@ -1,4 +1,4 @@
-"""The workers of one rack: what they hold, what they start next, and how it ended."""
+"""The owner of the workers of one rack: places and starts tasks and reports their ends."""
 
 from __future__ import annotations
 
@@ -72,12 +72,12 @@
 class WorkerPartition(Partition):
     """The owner of the workers of one rack.
 
-    Recovery adopts every worker: that raises the epoch there, so that nothing of an earlier
-    owner is obeyed any more, and tells what it runs. Until a worker has answered it may run
-    tasks that are not known here, and ``held_tasks`` names it. An owner that is cut off from
-    the store goes on while a majority of its workers answers, so its tasks don't end with its
-    lease in the store: :class:`Succession` says when they have. Claims are served meanwhile, by
-    the workers that were adopted.
+    Recovery adopts every worker. An adoption raises the worker's epoch, so that it refuses
+    requests of earlier owners, and returns the tasks that the worker runs. Until a worker has
+    replied it may run unknown tasks, and ``held_tasks`` lists it as unheard. An owner that has
+    lost its connection to the store continues while a majority of its workers replies, so its
+    tasks may outlast its lease in the store: :class:`Succession` computes when they have ended.
+    Claims are served meanwhile on the adopted workers.
     """
 
     def __init__(self, *, tenure: RackTenure, ctx: Context) -> None:
@@ -108,10 +108,10 @@
             gather_s=jobs.claim_batch_s, clock=ctx.clock, decide=self._decide
         )
 
-    # ------------------------------------------------------------ life
+    # ------------------------------------------------------------ lifecycle
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return the methods that homes call."""
+        """Return the handlers called by homes."""
         return {
             "claim": self.claim,
             "settle_reservation": self.settle_reservation,
@@ -121,7 +121,7 @@
         }
 
     async def recover(self) -> None:
-        """Adopt the workers; wait a moment for them, not for those that don't answer."""
+        """Adopt the workers; wait a bounded time for their replies."""
         self._sync_hosts()
         self._look_at_takeover()
         try:
@@ -130,11 +130,11 @@
                     self._heard.clear()
                     await self._heard.wait()
         except TimeoutError:
-            logger.warning("{}: workers not heard from: {}", self.tenure.partition, self._unheard())
+            logger.warning("{}: no reply from workers: {}", self.tenure.partition, self._unheard())
         self.phase = Phase.SERVING
 
     async def serve(self) -> None:
-        """Decide on claims, follow the host list, send events, watch leases."""
+        """Process claims, follow the host list, send events and check leases until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._batcher.run())
             group.create_task(self._outbox.run())
@@ -142,11 +142,11 @@
             group.create_task(self._watch())
 
     async def drain(self) -> None:
-        """Take no new claims; tasks run on under the next owner."""
+        """Refuse new claims; running tasks continue under the next owner."""
         self.phase = Phase.DRAINING
 
     async def close(self) -> None:
-        """Send nothing more."""
+        """Stop all calls to workers."""
         self.phase = Phase.STOPPED
         for task in self._tasks.values():
             task.cancel()
@@ -154,13 +154,13 @@
         self._tasks.clear()
 
     def depth(self) -> int:
-        """Return how many claim requests wait."""
+        """Return the number of queued claim requests."""
         return self._batcher.depth()
 
     # ------------------------------------------------------------ handlers
 
     async def claim(self, req: t.ClaimRequest) -> t.ClaimReply:
-        """Start or reserve what has room."""
+        """Start or reserve the claimed tasks that fit on a worker."""
         if not self._owns(req.epoch):
             return t.ClaimReply(owner=False, epoch=self.tenure.epoch, results=[])
         if not self._numbers.accept(req.home, req.home_epoch, req.number):
@@ -173,7 +173,7 @@
         return self._claim_reply(results)
 
     async def settle_reservation(self, req: t.ReservationRequest) -> t.ClaimReply:
-        """Start what was reserved, or give it back."""
+        """Start reserved tasks or release their reservations."""
         if not self._owns(req.epoch):
             return t.ClaimReply(owner=False, epoch=self.tenure.epoch, results=[])
         if not self._numbers.accept(req.home, req.home_epoch, req.number):
@@ -197,13 +197,13 @@
         return self._claim_reply(results + await self._start(committed))
 
     async def digest(self, req: t.DigestRequest) -> t.DigestReply:
-        """Say what is free and who holds what."""
+        """Reply with the free capacity and the usage of each account."""
         if not self._owns(req.epoch):
             return t.DigestReply(owner=False, epoch=self.tenure.epoch)
         return t.DigestReply(owner=True, epoch=self.tenure.epoch, digest=self._digest())
 
     async def stop_tasks(self, req: t.StopTasksRequest) -> t.StopTasksReply:
-        """Order workers to stop, checkpoint or throttle; the ends come as events."""
+        """Order workers to stop, checkpoint or throttle tasks; ends are sent as events."""
         if not self._owns(req.epoch):
             return t.StopTasksReply(owner=False, epoch=self.tenure.epoch, held=[])
         action = t.TaskAction.STOP
@@ -222,7 +222,7 @@
         return t.StopTasksReply(owner=True, epoch=self.tenure.epoch, held=held_here)
 
     async def held_tasks(self, req: t.HeldTasksRequest) -> t.HeldTasksReply:
-        """Say what is held for a home; requests from before this one are void then."""
+        """Reply with the tasks held for a home; refuse its earlier requests from then on."""
         if not self._owns(req.epoch):
             return t.HeldTasksReply(owner=False, epoch=self.tenure.epoch, complete=False, tasks=[])
         if not self._numbers.accept(req.home, req.home_epoch, req.number):
@@ -249,7 +249,7 @@
     # ------------------------------------------------------------ decisions
 
     async def _decide(self, batch: Sequence[Order]) -> None:
-        """Place the claims of a batch and wait for the workers' words."""
+        """Place the claims of a batch and wait for the replies of the workers."""
         now = self.ctx.clock.monotonic()
         self._ledger.expire(now)
         results: dict[int, list[t.ClaimResult]] = {id(order): [] for order in batch}
@@ -278,7 +278,7 @@
                 order.results.set_result(results[id(order)])
 
     def _in_order(self, batch: Sequence[Order]) -> list[tuple[Order, t.Claim]]:
-        """Order claims by priority, then by what their accounts hold here, largest task first."""
+        """Sort claims by priority, account usage in this rack and descending task size."""
         usage = self._ledger.usage()
         total = self._ledger.total()
 
@@ -295,7 +295,7 @@
         return sorted(((order, claim) for order in batch for claim in order.req.claims), key=rank)
 
     def _place(self, order: Order, claim: t.Claim, now: float) -> Held | t.ClaimResult:
-        """Return the held attempt to start, or the verdict on the claim."""
+        """Place a claim; return the attempt to start, or the result if there is none."""
         req = order.req
         verdict = t.ClaimVerdict
         if not self._numbers.is_latest(req.home, req.home_epoch, req.number):
@@ -347,7 +347,7 @@
         return "no single worker has all of the sizes free together"
 
     async def _start(self, held: Sequence[Held]) -> list[t.ClaimResult]:
-        """Start attempts on their workers; what a worker has not said is held on."""
+        """Start attempts on their workers; keep holding those with an unknown outcome."""
         by_worker: dict[str, list[Held]] = {}
         for entry in held:
             by_worker.setdefault(entry.worker, []).append(entry)
@@ -373,13 +373,13 @@
                 self._ledger.started(task_id)
                 kind = verdict.STARTED
             case None:
-                # The start may have taken effect. Its room stays taken and the home must not
-                # place it elsewhere, until the worker says, or its lease must have lapsed.
+                # The task may have been started. Its resources stay reserved and the home must not
+                # place it elsewhere until the worker reports, or its lease must have expired.
                 kind = verdict.UNKNOWN
             case _:
                 kind = verdict.NOT_STARTED
                 if not self._ledger.release(task_id):
-                    # The worker has said otherwise meanwhile: that is what counts.
+                    # The worker has since reported the task as held, which takes precedence.
                     kind = verdict.HELD
                 self._ejector.neither(held.worker, held.attempt.job_id)
                 self._open_or_close(held.worker)
@@ -398,10 +398,10 @@
         held.stopping = held.stopping or action != t.TaskAction.THROTTLE
         link.order(held.attempt.task_id, action)
 
-    # ------------------------------------------------------------ news of workers
+    # ------------------------------------------------------------ worker events
 
     def _tell(self, news: News) -> None:
-        """Take news of a worker into the ledger; called by its link."""
+        """Apply an event about a worker to the ledger; called by its link."""
         now = self.ctx.clock.monotonic()
         if news.worker not in self._links:
             return
@@ -418,7 +418,9 @@
             case Fenced(highest_epoch=highest):
                 self._fenced = True
                 self._rack_tenure.seen(highest)
-                logger.warning("{}: epoch {} acts already", self.tenure.partition, highest)
+                logger.warning(
+                    "{}: superseded by the owner with epoch {}", self.tenure.partition, highest
+                )
         self._heard.set()
 
     def _adopted(self, worker: str, reply: t.WorkerAdoptReply, now: float) -> None:
@@ -474,7 +476,7 @@
         self._outbox.put(held.attempt.home, task_event(held))
 
     def _judge(self, held: Held) -> None:
-        """Let the end of a task count for or against its worker."""
+        """Update the health record of a worker from the end of a task."""
         now = self.ctx.clock.monotonic()
         worker, job_id = held.worker, held.attempt.job_id
         match held.end:
@@ -484,7 +486,7 @@
                 workers = len(self._links)
                 if self._ejector.failed(worker, job_id, now=now, hosts=workers):
                     EJECTIONS.inc()
-                    logger.warning("worker {} fails its tasks and is out of use", worker)
+                    logger.warning("worker {} ejected because its tasks fail", worker)
             case _:
                 self._ejector.neither(worker, job_id)
         self._open_or_close(worker)
@@ -527,8 +529,8 @@
         for id, host in hosts.items():
             link = self._links.get(id)
             if link is not None and link.address != host.address:
-                # The same id at another address is another process: what the old one ran
-                # counts on until its lease is over.
+                # The same id at another address is another process. Tasks of the old process stay
+                # in the ledger until its lease has expired.
                 self._stop_link(id)
                 link = None
             if link is None:
@@ -536,12 +538,12 @@
         for worker in self._links:
             self._open_or_close(worker)
             if worker not in self._listed:
-                # The platform's word that it is gone; what it still does soon ends.
+                # The platform reports the worker as removed; its tasks end within this time.
                 now, promise_s = self.ctx.clock.monotonic(), self.ctx.cfg.ownership.promise_s
                 self._ledger.over_by(worker, until=now + promise_s + self._lease_s)
 
     def _look_at_takeover(self) -> None:
-        """Settle what unheard workers ran, once the owner before can't go on any more."""
+        """Settle tasks of unheard workers once the previous owner can no longer act."""
         if not self._succession.waits() or self._list_missing():
             return
         never = self._ledger.never_heard()
@@ -554,11 +556,11 @@
             self._ledger.over_by(worker, until=self._succession.settled_at())
 
     def _count_by_list(self) -> None:
-        """Fix which workers can extend this tenure past its lease.
+        """Set the workers whose majority can extend this tenure beyond its lease.
 
-        Only while the lease holds: past it, a set that shrinks with what is reached would be a
-        majority of itself however small. And only once the takeover is over, since until then
-        the owner before may still have a majority.
+        The set changes only while the lease is valid: later, a set reduced to the reachable
+        workers would always have a majority of itself. It also changes only after the takeover is
+        complete, because until then the previous owner may still have a majority.
         """
         book = self._rack_tenure.book
         over = self.ctx.clock.monotonic() >= self._succession.settled_at()
@@ -602,7 +604,7 @@
             task.cancel()
 
     def _drop_gone(self, now: float) -> None:
-        """Forget workers that have left the list and hold nothing any more."""
+        """Remove workers that are no longer listed and hold no tasks."""
         for worker in list(self._links):
             if worker in self._listed or self._ledger.state(worker) == WorkerState.LIVE:
                 continue
@@ -616,7 +618,7 @@
         health = self._ejector.health(worker, now=now)
         self._ledger.set_accepting(worker, wanted and health is not Health.EJECTED)
 
-    # ------------------------------------------------------------ small answers
+    # ------------------------------------------------------------ internals
 
     def _owns(self, epoch: int) -> bool:
         return epoch == self.tenure.epoch and self._may_act()
@@ -628,7 +630,7 @@
         return self._ledger.unheard(self.ctx.clock.monotonic())
 
     def _list_missing(self) -> bool:
-        """Tell whether the host list may not have been read yet: workers can be there then."""
+        """Return whether the host list may still be unread, so that workers may exist."""
         return not self._listed and self.ctx.clock.monotonic() < self._won_at + self._lease_s
 
     def _claim_reply(self, results: Iterable[t.ClaimResult]) -> t.ClaimReply:
@@ -641,7 +643,7 @@
 
     def _digest(self) -> t.PartitionDigest | None:
         if self.phase is Phase.RECOVERING:
-            # It would say that the rack holds nothing, and a home would refuse all jobs by that.
+            # The digest would show an empty rack, and homes would refuse all jobs because of it.
             return None
         ledger = self._ledger
         domains = {h.failure_domain for h in self.ctx.hosts.hosts() if self._is_mine(h)}
--- a/tests/scheduler/fakes.py
+++ b/tests/scheduler/fakes.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the ports that partitions of the scheduler use."""
+"""Fakes of the ports that scheduler partitions use."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
 
 
 class FakeGuard:
-    """A frontend's side of adoption, over TCP."""
+    """The guard interface of a frontend, served over TCP."""
 
     def __init__(self, *, id: str) -> None:
         self.id = id
@@ -157,7 +157,11 @@
 
 
 class FakeLog:
-    """A log in memory; ``faults`` are raised by the next appends, ``stands`` says of which."""
+    """An in-memory log that can fail appends.
+
+    :ivar faults: errors raised by the next appends, ``None`` for a successful one.
+    :ivar stands: whether the entries of a failed append are stored nevertheless.
+    """
 
     def __init__(self, *, entries: Sequence[t.LogEntry] = ()) -> None:
         self.entries = list(entries)
--- a/tests/scheduler/jobs_harness.py
+++ b/tests/scheduler/jobs_harness.py
@@ -1,4 +1,4 @@
-"""A rack of workers, the partitions that use it, and callers, all in one process over TCP."""
+"""A small cluster for tests: workers, partitions and clients in one process, over TCP."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 async def until(true: Callable[[], bool], *, bound_s: float = BOUND_S) -> None:
-    """Return when a condition holds; fail when it doesn't within the bound."""
+    """Wait until a condition holds; fail after ``bound_s`` seconds."""
     for _ in range(int(bound_s / LOOK_S)):
         if true():
             return
@@ -110,7 +110,7 @@
 
 
 class MemoryLog:
-    """The records of one key partition; kept when its owner goes."""
+    """An in-memory log of one key partition that outlives the owner of the partition."""
 
     def __init__(self, entries: list[t.LogEntry] | None = None) -> None:
         self.entries: list[t.LogEntry] = [] if entries is None else entries
@@ -133,7 +133,7 @@
         self.entries.extend(entries)
         if self.unclear:
             raise LogUnclear("the reply was lost")
-        # Runs one step of the loop after the caller has gone on, as a compaction may.
+        # Runs one event loop step after the append, as a compaction may.
         asyncio.get_running_loop().call_soon(self.after_append)
 
     async def compact(self, entries: Iterable[t.LogEntry]) -> None:
@@ -145,7 +145,7 @@
 
 @define(kw_only=True, eq=False)
 class Serving:
-    """A partition or component that is being served, and what to stop with it."""
+    """A served partition or component and the resources to stop with it."""
 
     state: JobHome | WorkerPartition
     tenure: FakeTenure
@@ -155,7 +155,7 @@
 
 
 class Bed:
-    """The test bed; use as an async context manager."""
+    """A cluster of in-process components; use as an async context manager."""
 
     def __init__(self, *, cfg: Settings = FAST, accounts: Iterable[Account] = ()) -> None:
         self.cfg = cfg
@@ -253,7 +253,7 @@
         return serving
 
     async def stop(self, serving: Serving) -> None:
-        """End an owner as a crash does: nothing more is sent, nothing is handed over."""
+        """Stop an owner as a crash would, without draining or handing over."""
         if serving in self.serving:
             self.serving.remove(serving)
         serving.tenure.held = False
@@ -330,17 +330,19 @@
 
 
 def task_of(run: Run) -> str:
-    """Return the task of a run, without its attempt."""
+    """Return the id of a run's task, without the attempt number."""
     return run.task_id.rsplit("/", 1)[0]
 
 
 def assert_no_overlap(runs: Iterable[Run]) -> None:
-    """Fail when two attempts of one task ran at the same time, as the workers saw it."""
+    """Fail if the workers ran two attempts of one task at the same time."""
     by_task: dict[str, list[Run]] = {}
     for run in runs:
         by_task.setdefault(task_of(run), []).append(run)
     for task, attempts in by_task.items():
         attempts.sort(key=lambda run: run.started_at)
         for first, second in zip(attempts, attempts[1:], strict=False):
-            assert first.ended_at is not None, f"{task} runs twice"
-            assert first.ended_at <= second.started_at, f"{task} overlaps itself"
+            assert (
+                first.ended_at is not None
+            ), f"{task} still runs while another attempt was started"
+            assert first.ended_at <= second.started_at, f"attempts of {task} overlap"
--- a/tests/scheduler/test_cancellation_wave.py
+++ b/tests/scheduler/test_cancellation_wave.py
@@ -14,10 +14,10 @@
 
 
 async def test_a_wave_of_cancellations_takes_few_writes() -> None:
-    """A whole season's assays are called off at once.
+    """A client cancels a large number of jobs at once.
 
-    One write each would use up the store's rate for half a minute, and everything else that
-    must be put on record would wait or be refused.
+    With one write per cancellation, the store's write rate would be exhausted for half a minute,
+    and other records would be delayed or refused.
     """
     clock = SystemClock()
     store = MemoryStore(clock=clock)
--- a/tests/scheduler/test_daemon.py
+++ b/tests/scheduler/test_daemon.py
@@ -89,7 +89,7 @@
 
 
 async def test_a_planned_stop_hands_over_with_what_is_on_record() -> None:
-    """An entry host is replaced. Its partitions go to another one, which knows each key."""
+    """A scheduler host is replaced; the successor of its partitions keeps the state of keys."""
     clock = SystemClock()
     store = MemoryStore(clock=clock)
     await apply(store, text=CELL, based_on=0, author="test", clock=clock, write_id="w")
--- a/tests/scheduler/test_gang_dispatch.py
+++ b/tests/scheduler/test_gang_dispatch.py
@@ -46,7 +46,7 @@
 
 
 class Dispatcher(GangDispatcher):
-    """Starts what it is asked to place, whole or in part."""
+    """Starts the first ``starts`` tasks of each gang to be placed."""
 
     starts = TASKS
 
@@ -56,9 +56,10 @@
 
 
 async def test_a_gang_that_starts_whole_after_a_failed_try_is_left_alone() -> None:
-    """A gang starts in part, since a worker dies, and is stopped; the next try starts it whole.
+    """A gang starts only in part because a worker fails, and is then stopped.
 
-    If it still counted as broken, its tasks would be stopped and replaced one by one for ever.
+    The next attempt starts all of its tasks. If the gang still counted as broken, they would be
+    stopped and replaced one by one without end.
     """
     host = FakeHost(job=gang())
     dispatcher = Dispatcher(tenure=None, ctx=None, host=host, rng=Random(1))
--- a/tests/scheduler/test_intents.py
+++ b/tests/scheduler/test_intents.py
@@ -25,7 +25,7 @@
 
 
 class FakeClock:
-    """A clock whose sleeps are short, and last while ``goes_on`` is not set."""
+    """A clock with short sleeps that block while ``goes_on`` is not set."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -46,7 +46,7 @@
 
 
 class Bench:
-    """A key partition with intents only, and the same again after a crash."""
+    """A key partition that serves only intents and can be restarted after a crash."""
 
     def __init__(self) -> None:
         self.log = FakeLog()
@@ -138,10 +138,10 @@
     ],
 )
 async def test_a_second_request_with_a_key(bench, crash, outcome, fingerprint, verdict) -> None:
-    """A caller sends a request with the same key again, since it heard nothing of the first.
+    """A client repeats a request with the same key, because it received no reply.
 
-    It must learn what became of the first, whoever owns the key by then; run twice, a family is
-    told that it owes money it does not owe.
+    It must receive the outcome of the first request, even from a new owner of the key. If the
+    request ran twice, a customer could be charged twice.
     """
     registry = await bench.start()
     assert (await registry.begin(begin_request())).verdict == V.COMMITTED
@@ -157,7 +157,7 @@
 
 
 async def test_the_intent_is_on_record_before_the_caller_is_told(bench) -> None:
-    """The owner dies right after it said "committed", and its successor knows of nothing."""
+    """The owner fails right after replying "committed"; its successor must find the intent."""
     registry = await bench.start()
     bench.log.gate = asyncio.Event()
     first = asyncio.create_task(registry.begin(begin_request()))
@@ -183,15 +183,15 @@
     ids=["store down", "unclear, not standing", "unclear, standing", "fenced"],
 )
 async def test_a_failed_append_commits_nothing(bench, fault, stands, verdict) -> None:
-    """The store is down, loses its reply, or has a later owner's seal.
+    """The store is unavailable, its reply is lost, or a later owner has sealed the log.
 
-    The request is refused as "not run". Once the store answers again the key must be free, and
-    whatever the lost write did, only one request may be told to run.
+    The request is refused as "not run". When the store is available again, the key must be free,
+    and only one request may be allowed to run, whether or not the failed write was stored.
     """
     registry = await bench.start()
     bench.log.faults, bench.log.stands = [fault], stands
-    # The cancellation that frees the key waits for its turn; on a busy machine 10 ms pass between
-    # two lines of this test, and it would come before the second request.
+    # Block the background task that writes the cancellation. On a busy machine 10 ms can pass
+    # between two lines of this test, so that it would free the key before the second request.
     bench.clock.goes_on.clear()
     reply = await registry.begin(begin_request())
     assert reply.verdict == verdict
@@ -212,7 +212,7 @@
 
 
 async def test_an_owner_without_a_lease_refuses_at_once(bench) -> None:
-    """The store is down for longer than a lease. Callers hear at once that nothing ran."""
+    """The store is down for longer than a lease; requests are refused immediately as not run."""
     registry = await bench.start()
     bench.tenure.held = False
     reply = await registry.begin(begin_request())
@@ -223,7 +223,7 @@
 
 @pytest.mark.parametrize("case", ["expired", "frontend dead", "expired, then taken over"])
 async def test_a_request_nobody_answers_for_is_unknown_and_never_runs_again(bench, case) -> None:
-    """A frontend dies with a request in progress, and its outcome is never told."""
+    """A frontend fails with a request in progress and never reports the outcome."""
     registry = await bench.start()
     await registry.begin(begin_request())
     match case:
@@ -242,7 +242,7 @@
 
 
 async def test_an_outcome_of_another_request_changes_nothing(bench) -> None:
-    """A late "not run" of an earlier holder of the key must not free it for a second run."""
+    """A late "not run" of an earlier request must not free the key for a second run."""
     registry = await bench.start()
     await registry.begin(begin_request())
     await registry.finish(finish_request(O.NOT_RUN))
@@ -252,7 +252,7 @@
 
 
 async def test_a_withdrawn_request_commits_nothing_when_it_comes_late(bench) -> None:
-    """A frontend gives up on a slow connection, and its request arrives after its "not run"."""
+    """A request on a slow connection arrives after the frontend has reported it as "not run"."""
     registry = await bench.start()
     await registry.finish(finish_request(O.NOT_RUN))
     assert (await registry.begin(begin_request())).verdict == V.REFUSED
@@ -263,10 +263,10 @@
     ("fault", "verdict"), [(None, V.RUNNING), (LogUnavailable("down"), V.COMMITTED)]
 )
 async def test_a_duplicate_waits_for_the_record_of_the_first(bench, fault, verdict) -> None:
-    """Two requests with one key come at the same moment, through two frontends.
+    """Two requests with the same key arrive at the same time through two frontends.
 
-    Told "not run" while the first is being recorded, the second caller would take the order for
-    not done and send it under another key, though the first runs it.
+    If the second were refused as "not run" while the first is being recorded, its client could
+    send the request under another key although the first one runs.
     """
     registry = await bench.start()
     bench.log.gate = asyncio.Event()
@@ -281,7 +281,7 @@
 
 
 async def test_a_caller_that_goes_away_leaves_no_half_recorded_intent(bench) -> None:
-    """The connection of a frontend breaks while its intent is being written."""
+    """The connection of a frontend breaks while its intent is being recorded."""
     registry = await bench.start()
     bench.log.gate = asyncio.Event()
     first = asyncio.create_task(registry.begin(begin_request()))
@@ -310,9 +310,9 @@
 
 
 async def test_a_full_account_is_refused_rather_than_forgotten(bench) -> None:
-    """An account uses more keys than are kept, faster than they may be forgotten.
+    """An account uses more keys than are retained before the retention time has passed.
 
-    A forgotten key is a key that can run a second time.
+    If a key were dropped early, a request with it could run a second time.
     """
     rules = IntentRules(kept_per_account=2, least_retention_s=60.0)
     registry = await bench.start(rules)
--- a/tests/scheduler/test_job_home.py
+++ b/tests/scheduler/test_job_home.py
@@ -36,9 +36,9 @@
 
 
 async def test_the_same_key_names_the_same_job() -> None:
-    """A caller that got no answer submits its order again, also while the first is on its way.
+    """A client without a reply submits a job again, possibly while the first is in progress.
 
-    Taken as two jobs, two cylinders would come to one door.
+    The two submissions must not become two jobs, or the work would be done twice.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -57,9 +57,9 @@
 
 
 async def test_with_the_store_down_a_job_is_refused_at_once() -> None:
-    """The store takes no records, so an accepted job could be lost with its home.
+    """The store is unavailable, so an accepted job could be lost with its home.
 
-    The caller must hear at once that nothing was kept, and when to come back.
+    The client must receive an immediate refusal with a retry delay.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -77,10 +77,10 @@
 
 
 async def test_an_owner_past_its_lease_refuses_jobs_at_once() -> None:
-    """The store is down for longer than a lease, so the owner of a job's records may not act.
+    """The store is down for longer than a lease, so the owner of the job records may not act.
 
-    Nobody else can take over meanwhile. Sent on as if to another owner, a caller would go round
-    until its deadline; it is told at once that nothing was kept.
+    No other process can take over meanwhile. A "not owner" reply would make the client retry
+    until its deadline; it must receive an immediate refusal instead.
     """
     async with Bed() as bed:
         home = await bed.home()
@@ -97,9 +97,9 @@
 
 
 async def test_a_job_whose_record_may_stand_is_not_refused() -> None:
-    """The reply of the store to the record of a job is lost, and the job runs all the same.
+    """The store's reply to the acceptance record is lost, and the job runs nevertheless.
 
-    Told that nothing was kept, its caller would submit it again under another key.
+    If the job were reported as refused, its client would submit it again under another key.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -128,9 +128,9 @@
 async def test_a_job_that_can_never_run_is_refused_with_the_reason(
     job: t.JobSpec, word: str
 ) -> None:
-    """A job asks for more than any worker has.
+    """A job requests more resources than any worker has.
 
-    Accepted, it would wait for ever and nobody would know why.
+    If it were accepted, it would wait forever without an explanation.
     """
     small = Account(name="small", limits=Limits(quota=Size(millicores=1000)))
     async with Bed(accounts=[Account(name="assay"), small]) as bed:
@@ -145,9 +145,9 @@
 
 
 async def test_cancelled_tasks_that_never_started_are_not_run() -> None:
-    """A caller cancels a job of which some tasks run already.
+    """A client cancels a job while some of its tasks are running.
 
-    "Not run" must be true of each task it is said of, whatever the workers had begun.
+    Tasks may be reported as "not run" only if no worker has started them.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -168,10 +168,10 @@
 @pytest.mark.parametrize("idempotent", [True, False])
 @pytest.mark.parametrize("rack_too", [True, False])
 async def test_a_home_that_dies_runs_nothing_twice(idempotent: bool, rack_too: bool) -> None:
-    """The home of a job dies while tasks run, alone or together with the owner of the rack.
+    """The home of a job fails while tasks run, alone or together with the owner of the rack.
 
-    Its successor knows from the record which tasks may have begun; if it did not ask the
-    workers before it goes on, it would start them a second time beside the first.
+    The log shows its successor which tasks may have started. If the successor did not wait for
+    the workers' reports, it would start these tasks a second time.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -193,9 +193,9 @@
 
 
 async def test_a_task_of_unknown_end_that_is_not_idempotent_never_runs_again() -> None:
-    """A worker is lost for good with a task that must not run twice.
+    """A worker is lost permanently while it runs a non-idempotent task.
 
-    Nobody can tell how far it came. The caller is told just that.
+    The progress of the task is unknown, and it must be reported as unknown.
     """
     async with Bed() as bed:
         first = await bed.worker("w1")
@@ -211,9 +211,9 @@
 
 
 async def test_a_gang_starts_whole_or_not_at_all() -> None:
-    """There is room for most of a gang's tasks, but not for all.
+    """The free capacity is enough for most of a gang's tasks, but not for all.
 
-    Those that started would only hold room while they wait for the others.
+    Tasks started alone would occupy capacity while they wait for the others.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -234,10 +234,10 @@
 
 
 async def test_a_service_is_spread_and_each_task_replaced() -> None:
-    """One of the workers of a service is lost.
+    """One of the workers that run a service is lost.
 
-    Its task must come back elsewhere at once, and not all tasks may sit on one worker, or
-    one failure would take the whole service away.
+    Its task must be replaced on another worker immediately. The tasks must be spread over several
+    workers, or a single failure would stop the whole service.
     """
     async with Bed() as bed:
         for number in range(3):
@@ -256,10 +256,10 @@
 
 
 async def test_urgent_work_has_preemptible_tasks_give_way() -> None:
-    """A confirmation arrives while long preemptible tasks fill all workers.
+    """An urgent job arrives while long preemptible tasks occupy all workers.
 
-    Were it to wait for one of them to end, embryos would spoil; the task that gives way runs
-    again later, and the one that must not be interrupted stays.
+    It must not wait for one of them to end. A preempted task runs again later, and a task that is
+    not preemptible keeps running.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -313,9 +313,9 @@
 
 
 async def test_an_acceptance_that_may_stand_is_not_called_not_run() -> None:
-    """The store's reply to the record of a job is lost.
+    """The store's reply to the acceptance record of a job is lost.
 
-    The job may be on record and run, so a caller told "not run" would order it once more.
+    The job may be recorded and run; with "not run" as reply, the client would submit it again.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -331,10 +331,10 @@
 
 
 async def test_a_compaction_right_after_an_append_keeps_what_was_appended() -> None:
-    """The log is compacted just when the end of a task has been recorded.
+    """The log is compacted immediately after the end of a task has been recorded.
 
-    A snapshot made before the end was applied would drop it: the worker has forgotten the task,
-    and a successor would run it again.
+    A snapshot made before the end is applied would drop it. The worker has discarded the task by
+    then, so a successor would run it again.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -347,7 +347,7 @@
             done = [e for e in home.log.entries if e.task_finished and e.task_finished.end == 0]
             over = [e.job_finished for e in snapshot if e.job_finished]
             if over:
-                # The record of a finished job holds the counts of its ends in their place.
+                # The record of a finished job replaces the records of its tasks by their counts.
                 missed.extend(done if over[0].done != len(done) else [])
                 return
             kept = {e.task_finished.index for e in snapshot if e.task_finished}
@@ -361,9 +361,9 @@
 
 
 async def test_the_wait_of_a_job_does_not_grow_when_its_home_moves() -> None:
-    """A job is over, and the home that knew when it began hands over.
+    """A job has finished, and its home is replaced by a successor without its start time.
 
-    A caller would see a job that ran at once as one that has waited ever since.
+    The reported waiting time must not include the time since the job was started.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -382,9 +382,10 @@
 
 
 async def test_a_fault_in_the_dealings_with_one_rack_ends_the_home() -> None:
-    """A fault of this program stops what a home does with one rack.
+    """A programming error ends the lane of a home to one rack.
 
-    Unnoticed, tasks claimed there would wait for ever; ended, the home starts afresh.
+    If the error went unnoticed, tasks claimed through the lane would wait forever. The home must
+    end, so that it is recovered again.
     """
     async with Bed() as bed:
         await bed.worker("w1")
--- a/tests/scheduler/test_job_home_machine.py
+++ b/tests/scheduler/test_job_home_machine.py
@@ -1,4 +1,4 @@
-"""The home of one job with crashes at every step, against workers that only run and end."""
+"""Model test of the home of one job, with crashes at every step and simulated workers."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @define(kw_only=True, eq=False)
 class Attempt:
-    """One attempt as the workers know it."""
+    """The state of one attempt on the workers."""
 
     task_id: str
     number: int
@@ -58,7 +58,7 @@
 
 
 class JobMachine(RuleBasedStateMachine):
-    """Each step of a dispatch and of an end is a rule, so a crash can come between any two."""
+    """Run each step of a dispatch or end as a rule, so that crashes can occur between any two."""
 
     @initialize(idempotent=st.booleans())
     def begin(self, idempotent: bool) -> None:
@@ -125,7 +125,7 @@
     @precondition(lambda self: self.recorded)
     @rule(started=st.booleans(), heard=st.booleans())
     def send_claim(self, started: bool, heard: bool) -> None:
-        """The claim arrives and is answered, or the home crashes before the answer."""
+        """Deliver a claim; the home receives the reply or crashes before it."""
         index = self.recorded.pop()
         live = self.job.live[index]
         if started:
@@ -139,7 +139,7 @@
 
     @rule()
     def reconcile(self) -> None:
-        """All workers have answered a home that has nothing on its way."""
+        """Deliver the reports of all workers to a home that has no claim in transit."""
         for item in self.claims + self.recorded:
             self.home._not_started(self.job, item)
         self.claims, self.recorded = [], []
@@ -201,7 +201,7 @@
         del self.attempts[attempt.task_id]
         self.ran.add(attempt.index)
 
-    # ------------------------------------------------------------ what must hold
+    # ------------------------------------------------------------ invariants
 
     @invariant()
     def no_task_runs_twice_at_once(self) -> None:
--- a/tests/scheduler/test_key_partition.py
+++ b/tests/scheduler/test_key_partition.py
@@ -14,9 +14,10 @@
 
 
 def test_an_entry_costs_the_same_however_many_keys_are_kept() -> None:
-    """Many keys are kept, and each snapshot writes all of them.
+    """Each snapshot rewrites all retained keys.
 
-    Made every 512 segments it would take most of the store's rate, and keyed requests wait.
+    With many keys, a snapshot every 512 segments would use most of the store's write rate and
+    delay requests with keys.
     """
     rewritten = [
         kept / worth_compacting(kept=kept, fewest_segments=512) for kept in (10_000, 100_000)
--- a/tests/scheduler/test_lifecycle.py
+++ b/tests/scheduler/test_lifecycle.py
@@ -19,7 +19,7 @@
 
 
 class ScriptedPartition(Partition):
-    """Recovers with the faults of a script, one for each object made for its partition."""
+    """Fails the recovery of each new object with the next error scripted for its partition."""
 
     script: dict = {}
     made: list[ScriptedPartition] = []
@@ -62,9 +62,9 @@
 
 
 async def test_a_corrupt_record_stops_only_its_own_partition(lifecycle) -> None:
-    """A record of one partition can't be read.
+    """A log record of one partition is corrupt.
 
-    Its keys are refused and the status names the record; work on other partitions goes on.
+    Its keys are refused and the status names the record; other partitions are not affected.
     """
     ScriptedPartition.script[ONE] = [LogCorrupt("log/key/nan/1/000000000007 is cut short")]
     await lifecycle.won(FakeTenure(partition=ONE))
@@ -75,7 +75,7 @@
 
 
 async def test_a_recovery_that_fails_is_tried_again_with_a_new_object(lifecycle) -> None:
-    """The store is down for a moment while a partition is taken over."""
+    """The store is unavailable for a short time while a partition is taken over."""
     ScriptedPartition.script[ONE] = [LogUnavailable("down"), LogUnavailable("down")]
     await lifecycle.won(FakeTenure(partition=ONE))
     await eventually(lambda: phases(lifecycle)[str(ONE)] == "serving")
@@ -83,10 +83,10 @@
 
 
 async def test_a_partition_that_can_not_be_made_is_tried_again_and_stops_no_other() -> None:
-    """A module of a partition fails to load on a host that is short of memory for a moment.
+    """A module of a partition kind can't be imported while its host is short of memory.
 
-    Let out, the error ended the process with all of its partitions, there and on each host that
-    took them over next. The status names the cause, and the partition is made later.
+    If the error propagated, it would end the process with all of its partitions, and then each
+    process that takes them over. Instead, the status names the cause and creation is retried.
     """
     ctx = make_context()
     ScriptedPartition.script, ScriptedPartition.made = {}, []
@@ -131,7 +131,7 @@
 
 
 async def test_a_late_loss_of_an_old_epoch_leaves_the_new_tenure(lifecycle) -> None:
-    """A partition is lost and won again, and word of the loss is handled last."""
+    """A partition is lost and won again, and the loss is processed after the second win."""
     await lifecycle.won(FakeTenure(partition=ONE, epoch=3))
     await lifecycle.won(FakeTenure(partition=ONE, epoch=5))
     await lifecycle.lost(ONE, below=4)
--- a/tests/scheduler/test_runner_partition.py
+++ b/tests/scheduler/test_runner_partition.py
@@ -122,10 +122,11 @@
 
 
 async def test_a_grant_says_how_long_its_request_has_waited() -> None:
-    """A request waits longer for its slot than a grant may be used.
+    """A request waits longer for its slot than a grant is usable.
 
-    The frontend counts the use from before it asked. Without the time that passed here it would
-    throw away each slot that it waited for, and nobody would be served at saturation.
+    The frontend measures the usable time from before it sent the request. Without the waiting time
+    in the reply, it would discard every slot that it waited for, and no request would be served at
+    saturation.
     """
     async with serving() as bench, asyncio.timeout(BOUND_S):
         first = await bench.partition.grant(grant_request("a"))
@@ -143,10 +144,10 @@
 
 @pytest.mark.parametrize("before", [0, 1], ids=["before the first configuration", "one slot"])
 async def test_slots_follow_the_configuration(before) -> None:
-    """A scheduler wins a service before it has read the configuration, or slots are added.
+    """A scheduler wins a service before it has read the configuration, or slots are added later.
 
-    Were slots counted only when the list of hosts changes, the runners would stand idle while
-    callers are refused, until some host happens to come or go.
+    If slots were updated only when the host list changes, runners would stay idle while requests
+    are refused, until a host is added or removed.
     """
     async with serving(slots=2) as bench, asyncio.timeout(BOUND_S):
         bench.partition.ctx.cell.cell = make_cell(slots=before)
@@ -160,9 +161,9 @@
 
 
 async def test_the_expected_wait_is_told_and_only_by_an_owner_that_grants() -> None:
-    """Frontends send requests to the region that starts them first.
+    """Frontends send requests to the region with the shortest expected wait.
 
-    A region without slots, or whose owner may not act, must not look like one with room.
+    A region without slots, or whose owner may not act, must not appear to have free slots.
     """
 
     def ask(epoch: int = 1) -> t.WaitsRequest:
@@ -207,10 +208,9 @@
 
 @pytest.mark.parametrize("case", ["lease over", "higher epoch in the request", "draining"])
 async def test_an_owner_that_may_not_act_grants_nothing(case: str) -> None:
-    """The owner was paused past its lease, or a later one is known.
+    """The owner was paused beyond its lease, or the caller has seen a later owner.
 
-    A grant from it could give a slot that its successor gives too, and the runner would carry
-    more than it holds.
+    The same slot could be granted by its successor too, which would overload the runner.
     """
     async with serving() as bench, asyncio.timeout(BOUND_S):
         await eventually(lambda: bench.partition.phase is Phase.SERVING)
@@ -227,7 +227,7 @@
 
 
 async def test_an_owner_whose_lease_ran_out_gives_no_freed_slot_to_those_who_wait() -> None:
-    """A process is paused with a request waiting, and wakes past its lease to a release."""
+    """A process with a waiting request is paused and receives a release after its lease ended."""
     async with serving() as bench, asyncio.timeout(BOUND_S):
         first = await bench.partition.grant(grant_request("a"))
         waiting = asyncio.create_task(bench.partition.grant(grant_request("b", remaining_ms=300)))
@@ -257,10 +257,10 @@
 
 @pytest.mark.parametrize("sent", [False, True])
 async def test_a_successor_gives_no_slot_that_a_guard_still_holds(sent: bool) -> None:
-    """The owner dies while a frontend holds a grant of it, used or not used yet.
+    """The owner fails while a frontend holds one of its grants, used or unused.
 
-    A successor that starts with an empty ledger gives the slot a second time, and the runner
-    gets more requests than it has slots.
+    A successor with an empty ledger would grant the slot a second time, and the runner would
+    receive more requests than it has slots.
     """
 
     def prepare(bench: Bench) -> None:
@@ -284,10 +284,10 @@
 
 
 async def test_what_an_unheard_guard_may_hold_counts_as_taken() -> None:
-    """The owner and one of three frontends die together, with a grant between them.
+    """The owner and one of three frontends fail together while the frontend holds a grant.
 
-    Nobody tells the successor of that grant. The request reaches the runner after the takeover,
-    and only the runner knows of it.
+    No guard reports that grant to the successor. The request reaches the runner after the
+    takeover, and only the runner can report it.
     """
 
     def prepare(bench: Bench) -> None:
@@ -307,9 +307,9 @@
 
 
 async def test_nothing_is_decided_before_a_majority_of_guards_has_acknowledged() -> None:
-    """Two of three frontends still hold promises to the earlier owner, which is only cut off.
+    """Two of three frontends still give promises to an earlier owner that is only disconnected.
 
-    A successor that decides now decides beside it, and slots are given twice.
+    If the successor granted slots now, both owners would grant the same slots.
     """
 
     def prepare(bench: Bench) -> None:
@@ -327,7 +327,7 @@
 
 
 async def test_a_silent_runner_gets_nothing_after_a_takeover() -> None:
-    """A runner gives no sign after a takeover, so nobody knows what it still runs."""
+    """A runner does not respond after a takeover, so its running requests are unknown."""
 
     def prepare(bench: Bench) -> None:
         bench.reports.runners["r1"].silent = True
@@ -342,7 +342,7 @@
 
 
 async def test_a_dead_frontends_slots_come_back_on_the_runners_word() -> None:
-    """A frontend is killed with a request in progress, and its slot is never released."""
+    """A frontend is killed with a request in progress and never releases its slot."""
     async with serving(guards=2) as bench, asyncio.timeout(BOUND_S):
         reply = await bench.partition.grant(grant_request("a", remaining_ms=60_000))
         assert reply.verdict == t.GrantVerdict.GRANTED
@@ -358,10 +358,10 @@
 
 
 async def test_an_abandoned_request_frees_no_slot_of_an_earlier_attempt() -> None:
-    """A caller goes away during a retry; the first attempt may still run, its end unknown.
+    """A client disconnects during a retry, while the first attempt may still be running.
 
-    The frontend abandons the request id, which both attempts share. Were the slot freed on that
-    word, the runner would get one request more than it has slots.
+    The frontend abandons the request id, which both attempts share. If that freed the slot, the
+    runner would receive one request more than it has slots.
     """
     async with serving() as bench, asyncio.timeout(BOUND_S):
         first = await bench.partition.grant(grant_request("a"))
@@ -380,7 +380,7 @@
 
 
 async def test_a_request_that_asks_again_gets_the_same_slot() -> None:
-    """The answer with the grant is lost on its way and the frontend asks once more."""
+    """The reply with the grant is lost, and the frontend repeats its request."""
     async with serving(slots=2) as bench, asyncio.timeout(BOUND_S):
         first = await bench.partition.grant(grant_request("a"))
         again = await bench.partition.grant(grant_request("a"))
@@ -389,7 +389,7 @@
 
 
 async def test_a_runner_that_fails_every_request_is_left_out() -> None:
-    """A runner refuses all it gets, at once, so it is always the least loaded one."""
+    """A runner refuses every request immediately, so it is always the least loaded one."""
     async with serving(runners=4, slots=2) as bench, asyncio.timeout(BOUND_S):
         failures = 0
         for number in range(40):
@@ -402,9 +402,10 @@
 
 
 async def test_a_majority_that_is_dead_is_waited_out() -> None:
-    """All frontends of a region die at once, and none of them will ever acknowledge anything.
+    """All frontends of a region fail at once and never acknowledge the new epoch.
 
-    The service must come back by itself, but not before an earlier owner must have stopped.
+    The service must recover without intervention, but not before any earlier owner must have
+    stopped.
     """
 
     def prepare(bench: Bench) -> None:
--- a/tests/scheduler/test_worker_partition.py
+++ b/tests/scheduler/test_worker_partition.py
@@ -26,11 +26,10 @@
 
 
 async def test_a_worker_that_goes_silent_has_its_tasks_run_elsewhere_once() -> None:
-    """A worker stops answering while it goes on running a task.
+    """A worker stops replying while it continues to run a task.
 
-    Its owner hears nothing, and the worker stops the task when the lease is over. Started
-    elsewhere any earlier, an assay would run in two places at once; never started again, it
-    would be late for good.
+    The worker stops the task when its lease expires. If the owner started the task elsewhere
+    earlier, it would run in two places at once; the owner must start it again afterwards.
     """
     async with Bed() as bed:
         first = await bed.worker("w1")
@@ -49,10 +48,10 @@
 
 @pytest.mark.parametrize("lost", [1, 2, 3])
 async def test_a_lost_reply_to_a_start_runs_nothing_twice(lost: int) -> None:
-    """A worker starts tasks, but the reply to that never arrives.
+    """A worker starts tasks, but its reply is lost.
 
-    An owner that took the tasks for not started would start them on another worker as well,
-    and a slip would be printed twice.
+    If the owner assumed that the tasks were not started, it would also start them on another
+    worker, and they would run twice.
     """
     async with Bed() as bed:
         first = await bed.worker("w1")
@@ -71,10 +70,10 @@
 
 
 async def test_a_successor_adopts_what_the_workers_run() -> None:
-    """The owner of a rack dies while its workers are full, and another takes over.
+    """The owner of a rack fails while its workers are fully occupied.
 
-    A successor that did not ask the workers first would count them as empty: it would fill
-    them a second time, and hosts would carry more than they hold.
+    A successor that did not adopt the workers first would treat them as empty, start further
+    tasks on them and overload the hosts.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -95,10 +94,10 @@
 
 
 async def test_an_owner_that_was_paused_acts_no_more_after_a_takeover() -> None:
-    """An owner is frozen and resumes, not knowing that it was replaced meanwhile.
+    """An owner is paused and resumes without noticing that it was replaced meanwhile.
 
-    Its heartbeats and starts still go out; were they obeyed, two owners would fill the same
-    workers.
+    It still sends heartbeats and starts. If workers accepted them, two owners would place tasks
+    on the same workers.
     """
     async with Bed() as bed:
         worker = await bed.worker("w1")
@@ -134,9 +133,9 @@
 
 
 async def test_a_leaving_worker_gets_no_new_tasks() -> None:
-    """The platform is about to take a worker away.
+    """The platform is about to remove a worker.
 
-    A task started there after that would be cut off when the worker goes.
+    A task started there after the notice would be interrupted when the worker is removed.
     """
     async with Bed() as bed:
         await bed.worker("w1")
@@ -151,9 +150,9 @@
 
 
 async def test_a_worker_that_fails_every_task_is_taken_out_of_use() -> None:
-    """One worker fails each task as soon as it starts, so it always has room for more.
+    """One worker fails each task right after its start, so it always has free capacity.
 
-    Without ejection it would draw in and fail the work of everybody.
+    Without ejection it would attract and fail the tasks of all accounts.
     """
     async with Bed() as bed:
         for number in range(4):
@@ -171,10 +170,10 @@
 
 
 async def test_a_worker_that_never_answers_holds_up_only_its_own_tasks() -> None:
-    """A rack changes hands, and one of its workers can't be reached by the new owner.
+    """A rack gets a new owner, which can't reach one of the workers.
 
-    What that worker runs is not known, so its task must not start anywhere else: the owner
-    before may still reach the worker. All other work goes on.
+    The tasks of that worker are unknown and must not be started elsewhere, because the previous
+    owner may still reach the worker. All other tasks must be processed.
     """
     cfg = FAST
     async with Bed(cfg=cfg) as bed:
@@ -192,17 +191,18 @@
         await bed.job_until("north.0.k", lambda job: job.phase == t.JobPhase.DONE)
         job = (await bed.job(JOB)).job
         assert job.tasks_running == 1
-        # The platform's word that the worker is gone settles it.
+        # The removal of the worker from the host list settles its tasks.
         bed.hosts.drop("w1")
         await until(lambda: any(run.job_id == JOB and run.worker == "w2" for run in bed.runs()))
         assert_no_overlap(bed.runs())
 
 
 async def test_an_owner_past_its_lease_stops_without_a_majority_of_its_workers() -> None:
-    """The store fails for longer than a lease, and most of a rack can't be reached either.
+    """The store is unavailable for longer than a lease, and so are most workers of a rack.
 
-    The owner can't tell that from a cut of its own. Went it on with the one worker it reaches,
-    that worker's task would run beside the attempt that its successor starts elsewhere.
+    The owner can't distinguish that from a failure of its own network. If it continued with the
+    one worker that it reaches, the task of that worker would run at the same time as the attempt
+    that its successor starts elsewhere.
     """
     async with Bed() as bed:
         reached = await bed.worker("w1")
@@ -214,7 +214,7 @@
         await until(lambda: rack.tenure.book.held(bed.clock.monotonic()) == 3)
         rack.tenure.leased = False
         asked = reached.engine._number
-        # So many heartbeats later both a task lease and a promise are long over.
+        # After this number of heartbeats both the task lease and the promise have expired.
         await until(lambda: reached.engine._number > asked + 20)
         assert rack.tenure.holds()
         assert bed.runs()[0].ended_at is None
@@ -226,10 +226,10 @@
 
 
 async def test_a_successor_settles_an_unheard_worker_once_a_majority_is_adopted() -> None:
-    """An owner is cut off from the store together with one worker of its rack.
+    """An owner and one worker of its rack are disconnected from the store and the other workers.
 
-    Its successor hears all the others. The task on that one must not wait for hours, nor be
-    started again before the worker must have ended it.
+    Its successor reaches all other workers. The task on the unreachable one must not wait for
+    hours, but must not be started again before that worker must have ended it.
     """
     async with Bed() as bed:
         for id in ("w1", "w2", "w3"):
