--- a/rhubarbferry/scheduler/claim_batcher.py
+++ b/rhubarbferry/scheduler/claim_batcher.py
@@ -10,18 +10,18 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.rpc.gen import ttypes as t
 
-MAX_WAITING = 1024
+MAX_QUEUED_REQUESTS = 1024
 
 
 @frozen(kw_only=True, slots=True, eq=False)
-class Order:
+class QueuedRequest:
     """One claim request and the future that receives its results."""
 
     req: t.ClaimRequest
     results: asyncio.Future[list[t.ClaimResult]]
 
 
-class HomeNumbers:
+class RequestNumbers:
     """The highest request number received from each home.
 
     A request can be delayed on the network while its home sends another one and acts on the
@@ -30,62 +30,62 @@
     """
 
     def __init__(self) -> None:
-        self._seen: dict[str, tuple[int, int]] = {}
+        self._highest: dict[str, tuple[int, int]] = {}
 
     def accept(self, home: str, home_epoch: int, number: int | None) -> bool:
         """Record the number of a received request; return whether it is not out of order."""
         key = (home_epoch, number or 0)
-        if key < self._seen.get(home, (0, 0)):
+        if key < self._highest.get(home, (0, 0)):
             return False
-        self._seen[home] = key
+        self._highest[home] = key
         return True
 
     def is_latest(self, home: str, home_epoch: int, number: int | None) -> bool:
         """Return whether no later request has been received from that home."""
-        return (home_epoch, number or 0) == self._seen.get(home)
+        return (home_epoch, number or 0) == self._highest.get(home)
 
 
 class ClaimBatcher:
     """The queue of claims of one worker partition.
 
-    :param gather_s: seconds that the first claim of a batch waits for further ones.
+    :param batch_window_s: seconds that the first claim of a batch waits for further ones.
     :param decide: callback that decides on a whole batch and sets the results.
     """
 
     def __init__(
         self,
         *,
-        gather_s: float,
+        batch_window_s: float,
         clock: Clock,
-        decide: Callable[[Sequence[Order]], Awaitable[None]],
+        decide: Callable[[Sequence[QueuedRequest]], Awaitable[None]],
     ) -> None:
-        self._gather_s = gather_s
+        self._batch_window_s = batch_window_s
         self._clock = clock
         self._decide = decide
-        self._orders: asyncio.Queue[Order] = asyncio.Queue(maxsize=MAX_WAITING)
+        self._queue: asyncio.Queue[QueuedRequest] = asyncio.Queue(maxsize=MAX_QUEUED_REQUESTS)
 
     async def submit(self, req: t.ClaimRequest) -> list[t.ClaimResult] | None:
         """Return the results of a request, or ``None`` if the queue is full."""
         fut: asyncio.Future[list[t.ClaimResult]] = asyncio.get_running_loop().create_future()
         try:
-            self._orders.put_nowait(Order(req=req, results=fut))
+            self._queue.put_nowait(QueuedRequest(req=req, results=fut))
         except asyncio.QueueFull:
             return None
         return await fut
 
     def depth(self) -> int:
         """Return the number of queued requests."""
-        return self._orders.qsize()
+        return self._queue.qsize()
 
     async def run(self) -> None:
         """Process batches until cancelled."""
         running: set[asyncio.Task[None]] = set()
         try:
             while True:
-                batch = [await self._orders.get()]
-                await self._clock.sleep(self._gather_s)
-                while not self._orders.empty():
-                    batch.append(self._orders.get_nowait())
+                batch = [await self._queue.get()]
+                await self._clock.sleep(self._batch_window_s)
+                while not self._queue.empty():
+                    batch.append(self._queue.get_nowait())
                 # Batches run concurrently, so that a worker that does not respond does not delay
                 # claims for other workers.
                 task = asyncio.create_task(self._run(batch))
@@ -95,10 +95,10 @@
             for task in running:
                 task.cancel()
 
-    async def _run(self, batch: Sequence[Order]) -> None:
+    async def _run(self, batch: Sequence[QueuedRequest]) -> None:
         try:
             await self._decide(batch)
         finally:
-            for order in batch:
-                if not order.results.done():
-                    order.results.cancel()
+            for queued in batch:
+                if not queued.results.done():
+                    queued.results.cancel()
--- a/rhubarbferry/scheduler/daemon.py
+++ b/rhubarbferry/scheduler/daemon.py
@@ -31,7 +31,7 @@
 from rhubarbferry.scheduler.registry import Registry
 from rhubarbferry.scheduler.web import OperatorPages
 
-FAILED = 1
+EXIT_FAILURE = 1
 
 
 class PolledHostList(HostList, Protocol):
@@ -82,8 +82,8 @@
         self._cfg = cfg
         self._ports = ports
         self._pools = [Pool(service=service) for service in (SCHEDULER, GUARD, WORKER)]
-        self._lifecycle = Lifecycle(make=self._make)
-        self._pages = OperatorPages(ready=lambda: self._ready)
+        self._lifecycle = Lifecycle(create=self._create_partition)
+        self._operator_pages = OperatorPages(ready=lambda: self._ready)
         self._ready = False
         self._draining = False
         self._stopping = asyncio.Event()
@@ -100,23 +100,23 @@
             await self._close()
             raise
         stopping = asyncio.create_task(self._stopping.wait())
-        vital = [
-            asyncio.create_task(self._follow_events()),
+        vital_tasks = [
+            asyncio.create_task(self._process_events()),
             asyncio.create_task(self._node.wait()),
         ]
         try:
-            await asyncio.wait({stopping, *vital}, return_when=asyncio.FIRST_COMPLETED)
-            failed = [task for task in vital if task.done()]
+            await asyncio.wait({stopping, *vital_tasks}, return_when=asyncio.FIRST_COMPLETED)
+            failed = [task for task in vital_tasks if task.done()]
             if failed:
                 # If one of these tasks ends, the process would keep its lease without serving.
                 logger.error("stopping, a vital task has ended: {!r}", failed[0].exception())
-                return FAILED
+                return EXIT_FAILURE
             await self._drain()
             return 0
         finally:
-            for task in (stopping, *vital):
+            for task in (stopping, *vital_tasks):
                 task.cancel()
-            await asyncio.gather(stopping, *vital, return_exceptions=True)
+            await asyncio.gather(stopping, *vital_tasks, return_exceptions=True)
             await self._close()
 
     @property
@@ -137,7 +137,7 @@
         # The server listens first, because the member record contains its address.
         self._server = Server(service=SCHEDULER, handlers=self._handlers())
         await self._server.start(process.listen_ip, process.rpc_port)
-        await self._pages.start(process.listen_ip, process.http_port)
+        await self._operator_pages.start(process.listen_ip, process.http_port)
         self._node = Node(
             cfg=self._cfg,
             role=Role.SCHEDULER,
@@ -145,7 +145,7 @@
             store=self._ports.store,
             hosts=self._ports.hosts,
             address=process.advertise_rpc or self._server.address,
-            http_address=process.advertise_http or self._pages.address,
+            http_address=process.advertise_http or self._operator_pages.address,
             budget=self._ports.budget,
         )
         await self._ports.hosts.start()
@@ -155,13 +155,13 @@
             cell=self._node.cell, clock=self._ports.clock, registry=self._ports.registry
         )
         self._ready = True
-        self._announce()
+        self._print_addresses()
 
-    def _announce(self) -> None:
+    def _print_addresses(self) -> None:
         assert self._server is not None
         line = {
             "address": self._server.address,
-            "http_address": self._pages.address,
+            "http_address": self._operator_pages.address,
             "member": self._member_id(),
         }
         print(json.dumps(line), flush=True)
@@ -182,17 +182,17 @@
             workers=workers,
         )
 
-    def _make(self, tenure: Any) -> Partition:
+    def _create_partition(self, tenure: Any) -> Partition:
         assert self._registry is not None
-        return self._registry.make(tenure)
+        return self._registry.create(tenure)
 
     def _handlers(self) -> Mapping[str, Handler]:
-        dispatcher = Dispatcher(owned=self._lifecycle, epoch_seen=self._epoch_seen)
+        dispatcher = Dispatcher(owned=self._lifecycle, latest_epoch=self._latest_epoch)
         return {"ping": self._ping, "status": self._status, **dispatcher.handlers()}
 
     # ------------------------------------------------------------ run
 
-    async def _follow_events(self) -> None:
+    async def _process_events(self) -> None:
         from rhubarbferry.coordination.node import Lost, Won
 
         while True:
@@ -221,7 +221,7 @@
             config_text=text.encode(),
         )
 
-    def _epoch_seen(self, partition: PartitionId) -> int:
+    def _latest_epoch(self, partition: PartitionId) -> int:
         # The server starts before the node, so calls may arrive while there is no node yet.
         owner = None if self._node is None else self._node.ownership.owner(partition)
         return 0 if owner is None else int(owner.epoch)
@@ -254,7 +254,7 @@
             await self._node.stop()
         if self._server is not None:
             await self._server.close()
-        await self._pages.close()
+        await self._operator_pages.close()
         for pool in self._pools:
             await pool.close()
         await self._ports.reports.close()
@@ -269,6 +269,6 @@
     """
     daemon = SchedulerDaemon(cfg=cfg, ports=system_ports(cfg))
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, daemon.stop)
     return await daemon.run()
--- a/rhubarbferry/scheduler/dispatch.py
+++ b/rhubarbferry/scheduler/dispatch.py
@@ -10,10 +10,10 @@
 from rhubarbferry.rpc.gen import ttypes as t
 from rhubarbferry.scheduler.partition import Partition
 
-NotOwner = Callable[[int], Any]
-EpochSeen = Callable[[PartitionId], int]
+NotOwnerReply = Callable[[int], Any]
+LatestEpoch = Callable[[PartitionId], int]
 
-NOT_OWNER: Mapping[str, NotOwner] = {
+NOT_OWNER_REPLIES: Mapping[str, NotOwnerReply] = {
     "grant": lambda epoch: t.GrantReply(verdict=t.GrantVerdict.NOT_OWNER, epoch=epoch),
     "release": lambda epoch: t.ReleaseReply(epoch=epoch, accepted=False),
     "abandon": lambda epoch: t.AbandonReply(accepted=False),
@@ -49,13 +49,13 @@
     :param epoch_seen: tells the epoch of a partition that is owned elsewhere, 0 if unknown.
     """
 
-    def __init__(self, *, owned: OwnedPartitions, epoch_seen: EpochSeen) -> None:
+    def __init__(self, *, owned: OwnedPartitions, latest_epoch: LatestEpoch) -> None:
         self._owned = owned
-        self._epoch_seen = epoch_seen
+        self._latest_epoch = latest_epoch
 
     def handlers(self) -> Mapping[str, Handler]:
         """Return a handler for each RPC method."""
-        return {method: self._handler(method) for method in NOT_OWNER}
+        return {method: self._handler(method) for method in NOT_OWNER_REPLIES}
 
     def _handler(self, method: str) -> Handler:
         async def handle(req: Any) -> Any:
@@ -65,17 +65,17 @@
 
     async def _handle(self, method: str, req: Any) -> Any:
         try:
-            id = PartitionId.parse(req.partition)
+            partition_id = PartitionId.parse(req.partition)
         except ValueError:
-            return NOT_OWNER[method](0)
-        partition = self._owned.find(id)
+            return NOT_OWNER_REPLIES[method](0)
+        partition = self._owned.find(partition_id)
         if partition is None:
-            return NOT_OWNER[method](self._epoch_seen(id))
+            return NOT_OWNER_REPLIES[method](self._latest_epoch(partition_id))
         if req.epoch > partition.tenure.epoch:
             # The caller has seen a later owner: this process has lost the partition and has not
             # been notified yet.
-            return NOT_OWNER[method](req.epoch)
+            return NOT_OWNER_REPLIES[method](req.epoch)
         handler = partition.handlers().get(method)
         if handler is None:
-            return NOT_OWNER[method](partition.tenure.epoch)
+            return NOT_OWNER_REPLIES[method](partition.tenure.epoch)
         return await handler(req)
--- a/rhubarbferry/scheduler/intents.py
+++ b/rhubarbferry/scheduler/intents.py
@@ -42,12 +42,12 @@
 from rhubarbferry.scheduler.context import Context
 from rhubarbferry.scheduler.key_component import KeyComponent
 
-STORE_RETRY_MS = 1000
-BUSY_RETRY_MS = 200
+STORE_RETRY_DELAY_MS = 1000
+BUSY_RETRY_DELAY_MS = 200
 EXPIRY_MARGIN_MS = 2000
-UPKEEP_S = 1.0
-MAX_COMMITTING = 4096
-MAX_WITHDRAWN = 4096
+MAINTENANCE_INTERVAL_S = 1.0
+MAX_COMMITTING_KEYS = 4096
+MAX_WITHDRAWN_REQUESTS = 4096
 
 OUTCOMES = {
     RequestOutcome.DONE: Outcome.DONE,
@@ -79,9 +79,9 @@
         super().__init__(tenure=tenure, ctx=ctx, log=log)
         self.book = IntentBook(rules=rules or IntentRules())
         self._committing: dict[IntentKey, asyncio.Event] = {}
-        self._cancelling: dict[IntentKey, _Cancellation] = {}
+        self._pending_cancellations: dict[IntentKey, _Cancellation] = {}
         self._withdrawn: OrderedDict[str, None] = OrderedDict()
-        self._finishes: dict[IntentKey, asyncio.Lock] = {}
+        self._finish_locks: dict[IntentKey, asyncio.Lock] = {}
 
     # ------------------------------------------------------------ state
 
@@ -115,7 +115,7 @@
             members = self.ctx.ownership.members(Role.FRONTEND)
             self.book.frontends_live({member.id for member in members})
             await self._write_cancellations()
-            await self.ctx.clock.sleep(UPKEEP_S)
+            await self.ctx.clock.sleep(MAINTENANCE_INTERVAL_S)
 
     async def drain(self) -> None:
         """Wait for the appends in progress."""
@@ -131,38 +131,38 @@
         return reply
 
     async def _begin(self, req: IntentRequest) -> IntentReply:
-        if not self._is_owner(req.epoch):
+        if not self._owns(req.epoch):
             return self._reply(IntentVerdict.NOT_OWNER)
         if not self.tenure.holds():
             # During a store outage no process can take over, so "not owner" would make the
             # caller retry until its deadline. The request did not run; refuse it immediately.
-            return self._refused("the owner's lease can't be renewed", STORE_RETRY_MS)
+            return self._refusal("the owner's lease can't be renewed", STORE_RETRY_DELAY_MS)
         at = IntentKey(account=req.account, key=req.key)
         # "Not run" would be wrong for the key once the first request with it is recorded.
-        if not await self._recorded_within(at, req.remaining_ms / 1000):
+        if not await self._wait_for_append(at, req.remaining_ms / 1000):
             return self._reply(IntentVerdict.RUNNING)
-        if at in self._cancelling:
-            return self._refused("the key is being freed", BUSY_RETRY_MS)
+        if at in self._pending_cancellations:
+            return self._refusal("the key is being freed", BUSY_RETRY_DELAY_MS)
         if not self.tenure.holds():
-            return self._refused("the owner's lease has run out", STORE_RETRY_MS)
+            return self._refusal("the owner's lease has run out", STORE_RETRY_DELAY_MS)
         match self.book.verdict(at, req.fingerprint, now_ms=self._now_ms()):
             case Running():
                 return self._reply(IntentVerdict.RUNNING)
             case Recorded(intent=intent):
-                return self._recorded(intent)
+                return self._recorded_reply(intent)
             case Unclear():
                 return self._reply(IntentVerdict.UNKNOWN)
             case Mismatch():
                 return self._reply(IntentVerdict.MISMATCH)
             case Full():
-                return self._refused("too many keys of the account are kept", STORE_RETRY_MS)
+                return self._refusal("too many keys of the account are kept", STORE_RETRY_DELAY_MS)
             case Free():
                 return await self._commit(at, req)
 
-    async def _recorded_within(self, at: IntentKey, seconds: float) -> bool:
+    async def _wait_for_append(self, at: IntentKey, timeout_s: float) -> bool:
         """Wait until no append of the key is in progress; return ``False`` on timeout."""
         try:
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(timeout_s):
                 while (committing := self._committing.get(at)) is not None:
                     await committing.wait()
         except TimeoutError:
@@ -171,9 +171,9 @@
 
     async def _commit(self, at: IntentKey, req: IntentRequest) -> IntentReply:
         if req.request_id in self._withdrawn:
-            return self._refused("the request was withdrawn", BUSY_RETRY_MS)
-        if len(self._committing) >= MAX_COMMITTING:
-            return self._refused("too many intents are being recorded", BUSY_RETRY_MS)
+            return self._refusal("the request was withdrawn", BUSY_RETRY_DELAY_MS)
+        if len(self._committing) >= MAX_COMMITTING_KEYS:
+            return self._refusal("too many intents are being recorded", BUSY_RETRY_DELAY_MS)
         begun = IntentBegun(
             account=req.account,
             key=req.key,
@@ -192,29 +192,29 @@
         try:
             await self.log.append([LogEntry(intent_begun=begun)])
         except LogFenced:
-            return self._fenced()
+            return self._handle_fenced()
         except LogUnclear:
             # The intent may be in the log. The caller receives "not run", which stays true because
             # nothing is dispatched without COMMITTED. The key stays blocked until the
             # cancellation is recorded.
             self._apply_begun(begun)
-            self._cancelling[at] = _Cancellation(at=at, request_id=begun.request_id)
-            return self._refused("the store did not answer", STORE_RETRY_MS)
+            self._pending_cancellations[at] = _Cancellation(at=at, request_id=begun.request_id)
+            return self._refusal("the store did not answer", STORE_RETRY_DELAY_MS)
         except LogError as exc:
-            return self._refused(f"nothing can be recorded now: {exc}", STORE_RETRY_MS)
+            return self._refusal(f"nothing can be recorded now: {exc}", STORE_RETRY_DELAY_MS)
         finally:
             self._committing.pop(at).set()
         self._apply_begun(begun)
         if not self.tenure.holds():
-            self._cancelling[at] = _Cancellation(at=at, request_id=begun.request_id)
-            return self._refused("the owner's lease has run out", STORE_RETRY_MS)
+            self._pending_cancellations[at] = _Cancellation(at=at, request_id=begun.request_id)
+            return self._refusal("the owner's lease has run out", STORE_RETRY_DELAY_MS)
         return self._reply(IntentVerdict.COMMITTED)
 
     # ------------------------------------------------------------ finish
 
     async def finish(self, req: FinishRequest) -> FinishReply:
         """Record the outcome of a request."""
-        if not self._is_owner(req.epoch) or not self.tenure.holds():
+        if not self._owns(req.epoch) or not self.tenure.holds():
             return self._finish_reply(recorded=False)
         at = IntentKey(account=req.account, key=req.key)
         committing = self._committing.get(at)
@@ -224,15 +224,15 @@
         return await asyncio.shield(task)
 
     async def _finish(self, at: IntentKey, req: FinishRequest) -> FinishReply:
-        lock = self._finishes.setdefault(at, asyncio.Lock())
+        lock = self._finish_locks.setdefault(at, asyncio.Lock())
         try:
             async with lock:
-                return await self._finish_alone(at, req)
+                return await self._finish_locked(at, req)
         finally:
-            if not lock.locked() and self._finishes.get(at) is lock:
-                del self._finishes[at]
+            if not lock.locked() and self._finish_locks.get(at) is lock:
+                del self._finish_locks[at]
 
-    async def _finish_alone(self, at: IntentKey, req: FinishRequest) -> FinishReply:
+    async def _finish_locked(self, at: IntentKey, req: FinishRequest) -> FinishReply:
         outcome = OUTCOMES[req.outcome]
         match self.book.judge_finish(at, req.request_id, outcome):
             case Finishing.NO_INTENT:
@@ -252,7 +252,7 @@
         try:
             await self.log.append([LogEntry(intent_finished=finished)])
         except LogFenced:
-            self._fenced()
+            self._handle_fenced()
             return self._finish_reply(recorded=False)
         except LogUnclear:
             # The outcome may be in the log, in which case it precedes all later appends. The
@@ -271,14 +271,14 @@
         intent that no request uses, and block the key until the intent expires.
         """
         self._withdrawn[request_id] = None
-        while len(self._withdrawn) > MAX_WITHDRAWN:
+        while len(self._withdrawn) > MAX_WITHDRAWN_REQUESTS:
             self._withdrawn.popitem(last=False)
 
     # ------------------------------------------------------------ pending cancellations
 
     async def _write_cancellations(self) -> None:
-        owed = list(self._cancelling.values())
-        if not owed:
+        pending = list(self._pending_cancellations.values())
+        if not pending:
             return
         now_ms = self._now_ms()
         entries = [
@@ -291,22 +291,22 @@
                     finished_at_ms=now_ms,
                 )
             )
-            for item in owed
+            for item in pending
         ]
         try:
             await self.log.append(entries)
         except LogFenced:
-            self._fenced()
+            self._handle_fenced()
             return
         except LogError:
             return
-        for item in owed:
+        for item in pending:
             self.book.cancelled(item.at, item.request_id)
-            del self._cancelling[item.at]
+            del self._pending_cancellations[item.at]
 
     # ------------------------------------------------------------ internals
 
-    def _is_owner(self, epoch: int) -> bool:
+    def _owns(self, epoch: int) -> bool:
         return self.ready and epoch <= self.tenure.epoch
 
     def _now_ms(self) -> int:
@@ -340,18 +340,18 @@
             finished_at_ms=finished.finished_at_ms,
         )
 
-    def _fenced(self) -> IntentReply:
+    def _handle_fenced(self) -> IntentReply:
         if self.ready:
             logger.info("{}: the log was sealed by a later owner", self.tenure.partition)
         self.ready = False
         return self._reply(IntentVerdict.NOT_OWNER)
 
-    def _recorded(self, intent: Intent) -> IntentReply:
+    def _recorded_reply(self, intent: Intent) -> IntentReply:
         return IntentReply(
-            verdict=IntentVerdict.RECORDED, epoch=self.tenure.epoch, answer=_answer_of(intent)
+            verdict=IntentVerdict.RECORDED, epoch=self.tenure.epoch, answer=_recorded_answer(intent)
         )
 
-    def _refused(self, reason: str, retry_after_ms: int) -> IntentReply:
+    def _refusal(self, reason: str, retry_after_ms: int) -> IntentReply:
         return IntentReply(
             verdict=IntentVerdict.REFUSED,
             epoch=self.tenure.epoch,
@@ -377,7 +377,7 @@
     )
 
 
-def _answer_of(intent: Intent) -> RecordedAnswer:
+def _recorded_answer(intent: Intent) -> RecordedAnswer:
     if intent.answer is not None:
         return intent.answer
     return RecordedAnswer(
@@ -396,6 +396,6 @@
         key=intent.at.key,
         request_id=intent.request_id,
         outcome=WIRE_OUTCOMES[intent.outcome],
-        answer=_answer_of(intent),
+        answer=_recorded_answer(intent),
         finished_at_ms=intent.finished_at_ms,
     )
--- a/rhubarbferry/scheduler/job_home.py
+++ b/rhubarbferry/scheduler/job_home.py
@@ -25,21 +25,23 @@
 from rhubarbferry.scheduler import job_records as records
 from rhubarbferry.scheduler.context import Context
 from rhubarbferry.scheduler.gang_dispatch import GangDispatcher
-from rhubarbferry.scheduler.job_lane import MAX_CLAIMS, Lane
+from rhubarbferry.scheduler.job_lane import MAX_CLAIMS_PER_CALL, Lane
 from rhubarbferry.scheduler.key_component import KeyComponent
 from rhubarbferry.scheduler.messages import size_of
 
-FAR_AFTER_S = 0.3
-SYNC_S = 0.2
+REMOTE_REGION_DELAY_S = 0.3
+MAINTENANCE_INTERVAL_S = 0.2
 RETRY_AFTER_MS = 1000
 # Task ends are written in batches: one write per worker report would be too many.
-ENDS_GATHER_S = 0.1
-KEPT_FINISHED = 10_000
-MAX_ENTRIES = 1000
+END_BATCH_DELAY_S = 0.1
+MAX_FINISHED_JOBS = 10_000
+MAX_ENTRIES_PER_APPEND = 1000
 
-SUBMITTED = Counter("rhubarbferry_jobs_submitted_total", "Jobs submitted", ["account", "verdict"])
+JOBS_SUBMITTED = Counter(
+    "rhubarbferry_jobs_submitted_total", "Jobs submitted", ["account", "verdict"]
+)
 TASK_ENDS = Counter("rhubarbferry_tasks_ended_total", "Ends of attempts", ["account", "end"])
-WAITED = Histogram(
+JOB_WAITS = Histogram(
     "rhubarbferry_job_wait_seconds",
     "Time from acceptance to the first start",
     ["account", "priority"],
@@ -59,23 +61,25 @@
         super().__init__(tenure=tenure, ctx=ctx, log=log)
         self._jobs: dict[str, Job] = {}
         self._keys: dict[tuple[str, str], str] = {}
-        self._open: dict[str, Job] = {}
-        self._over: dict[str, None] = {}
+        self._unfinished: dict[str, Job] = {}
+        self._finished: dict[str, None] = {}
         self._committing: dict[str, asyncio.Future[None]] = {}
         self._later: list[t.LogEntry] = []
         self._ends: list[t.TaskEvent] = []
         self._ends_task: asyncio.Task[bool] | None = None
         self._lanes: dict[str, Lane] = {}
-        self._queue = JobQueue(far_after_s=FAR_AFTER_S, patience_s=ctx.cfg.jobs.patience_s)
+        self._queue = JobQueue(
+            far_after_s=REMOTE_REGION_DELAY_S, patience_s=ctx.cfg.jobs.patience_s
+        )
         self._share = FairShare(half_life_s=ctx.cfg.jobs.half_life_s)
         self._revision = -1
         self._fenced = False
-        self._unclear = False
-        self._in_pieces = 0
+        self._last_append_unclear = False
+        self._chunked_appends = 0
         self._unsure: set[str] = set()
         self._won_at = ctx.clock.monotonic()
         self._gangs = GangDispatcher(
-            tenure=tenure, ctx=ctx, host=self, rng=random.Random(f"{tenure.partition}")
+            tenure=tenure, ctx=ctx, home=self, rng=random.Random(f"{tenure.partition}")
         )
 
     # ------------------------------------------------------------ records
@@ -106,7 +110,7 @@
                 job.restore_finished(JobPhase(int(record.phase)), records.counts_of(record))
                 if record.waited_ms is not None:
                     job.first_start = job.since + record.waited_ms / 1000
-                self._keep_over(job)
+                self._retain_finished(job)
 
     def _replay_accepted(self, record: t.JobAccepted) -> None:
         if record.job_id in self._jobs:
@@ -130,11 +134,11 @@
             if job.id in self._committing:
                 # The append of its acceptance is in progress and reports its own outcome.
                 continue
-            yield from records.rebuild(job, at=at, now=now)
+            yield from records.rebuild_entries(job, at=at, now=now)
 
     async def recover(self) -> None:
         """Queue tasks never dispatched; the others wait for reports of the workers."""
-        for job in self._open.values():
+        for job in self._unfinished.values():
             if job.indexes(TaskState.UNSURE):
                 self._unsure.add(job.id)
             if job.waiting():
@@ -146,7 +150,7 @@
         # Lanes run in the task group: an error in one ends the home, which is then recovered
         # again. An unnoticed error would leave the tasks claimed through the lane waiting forever.
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._follow_partitions(group))
+            group.create_task(self._maintain(group))
             group.create_task(self._gangs.run())
 
     async def drain(self) -> None:
@@ -154,7 +158,7 @@
         for lane in self._lanes.values():
             async with lane.lock:
                 pass
-        await self._flush_later()
+        await self._flush_deferred()
 
     def depth(self) -> int:
         """Return the number of waiting tasks."""
@@ -174,17 +178,17 @@
 
     async def submit_job(self, req: t.SubmitRequest) -> t.SubmitReply:
         """Accept a job after recording it, or refuse it with a reason."""
-        if self._lapsed(req.epoch):
-            return self._unavailable(req, "the owner's lease can't be renewed")
+        if self._lease_expired(req.epoch):
+            return self._unavailable_reply(req, "the owner's lease can't be renewed")
         if not self._owns(req.epoch):
-            return self._submitted(req, t.SubmitVerdict.NOT_OWNER)
+            return self._submit_reply(req, t.SubmitVerdict.NOT_OWNER)
         if not self.ready:
-            return self._unavailable(req, "the jobs are being read back")
-        first = self._known(req)
-        if first is not None:
-            return await self._duplicate(req, first)
+            return self._unavailable_reply(req, "the jobs are being read back")
+        first_id = self._find_submitted(req)
+        if first_id is not None:
+            return await self._duplicate(req, first_id)
         spec = records.spec_of(req.spec)
-        self._sync_shares()
+        self._sync_accounts()
         reason = refusal(
             spec,
             cell=self.ctx.cell.current(),
@@ -192,9 +196,9 @@
             max_tasks=self.ctx.cfg.jobs.max_tasks_per_job,
         )
         if reason is not None:
-            return self._submitted(req, t.SubmitVerdict.REFUSED, reason=reason)
+            return self._submit_reply(req, t.SubmitVerdict.REFUSED, reason=reason)
         if self.depth() + spec.tasks > self.ctx.cfg.jobs.max_waiting_tasks:
-            return self._unavailable(req, "too many tasks wait here already")
+            return self._unavailable_reply(req, "too many tasks wait here already")
         return await self._accept(req.job_id, req)
 
     async def _accept(self, job_id: str, req: t.SubmitRequest) -> t.SubmitReply:
@@ -212,50 +216,50 @@
             await self._append([records.accepted(job)])
         except LogUnavailable:
             self._remove(job)
-            return self._unavailable(req, "the store does not take records; nothing was kept")
+            return self._unavailable_reply(req, "the store does not take records; nothing was kept")
         except LogFenced:
             self._remove(job)
-            return self._submitted(req, t.SubmitVerdict.NOT_OWNER)
+            return self._submit_reply(req, t.SubmitVerdict.NOT_OWNER)
         except LogUnclear:
             # The acceptance may be in the log. The job is kept, so that it runs in either case,
             # but the reply must not claim that it was accepted.
             self._queue.put(job)
             self._wake()
-            return self._not_known(req)
+            return self._unclear_reply(req)
         except LogError as exc:
             self._remove(job)
-            return self._submitted(req, t.SubmitVerdict.REFUSED, reason=str(exc))
+            return self._submit_reply(req, t.SubmitVerdict.REFUSED, reason=str(exc))
         finally:
             del self._committing[job_id]
             committing.set_result(None)
         self._queue.put(job)
         self._wake(job)
-        return self._submitted(req, t.SubmitVerdict.ACCEPTED, job_id=job_id)
+        return self._submit_reply(req, t.SubmitVerdict.ACCEPTED, job_id=job_id)
 
-    async def _duplicate(self, req: t.SubmitRequest, first: str) -> t.SubmitReply:
-        committing = self._committing.get(first)
+    async def _duplicate(self, req: t.SubmitRequest, first_id: str) -> t.SubmitReply:
+        committing = self._committing.get(first_id)
         if committing is not None:
             await asyncio.shield(committing)
-        if first not in self._jobs:
-            return self._unavailable(req, "the first request with this key was not kept")
-        job = self._jobs[first]
+        if first_id not in self._jobs:
+            return self._unavailable_reply(req, "the first request with this key was not kept")
+        job = self._jobs[first_id]
         if job.spec != records.spec_of(req.spec):
-            return self._submitted(
+            return self._submit_reply(
                 req,
                 t.SubmitVerdict.REFUSED,
-                job_id=first,
-                reason=f"the key names job {first} already, which asks for something else",
+                job_id=first_id,
+                reason=f"the key names job {first_id} already, which asks for something else",
             )
-        return self._submitted(req, t.SubmitVerdict.DUPLICATE, job_id=first)
+        return self._submit_reply(req, t.SubmitVerdict.DUPLICATE, job_id=first_id)
 
     async def get_job(self, req: t.JobRequest) -> t.JobReply:
         """Return a job and a text that explains why its tasks wait."""
-        if self._lapsed(req.epoch):
-            return self._job_unavailable()
+        if self._lease_expired(req.epoch):
+            return self._job_unavailable_reply()
         if not self._owns(req.epoch):
             return t.JobReply(verdict=t.JobVerdict.NOT_OWNER, epoch=self.tenure.epoch)
         if not self.ready or req.job_id in self._committing:
-            return self._job_unavailable()
+            return self._job_unavailable_reply()
         job = self._jobs.get(req.job_id)
         if job is None:
             return t.JobReply(verdict=t.JobVerdict.NO_SUCH_JOB, epoch=self.tenure.epoch)
@@ -263,12 +267,12 @@
 
     async def cancel_job(self, req: t.JobRequest) -> t.JobReply:
         """Cancel a job: waiting tasks are not run, running tasks are stopped."""
-        if self._lapsed(req.epoch):
-            return self._job_unavailable()
+        if self._lease_expired(req.epoch):
+            return self._job_unavailable_reply()
         if not self._owns(req.epoch):
             return t.JobReply(verdict=t.JobVerdict.NOT_OWNER, epoch=self.tenure.epoch)
         if not self.ready or req.job_id in self._committing:
-            return self._job_unavailable()
+            return self._job_unavailable_reply()
         job = self._jobs.get(req.job_id)
         if job is None:
             return t.JobReply(verdict=t.JobVerdict.NO_SUCH_JOB, epoch=self.tenure.epoch)
@@ -277,16 +281,16 @@
                 await self._append([records.cancelled(job.id)])
             except LogUnclear:
                 self._cancel(job)
-                return self._job_unavailable()
+                return self._job_unavailable_reply()
             except LogError:
-                return self._job_unavailable()
+                return self._job_unavailable_reply()
             self._cancel(job)
         return self._job_reply(job)
 
     async def list_jobs(self, req: t.JobListRequest) -> t.JobListReply:
         """Return the jobs of an account."""
         epoch = self.tenure.epoch
-        if self._lapsed(req.epoch):
+        if self._lease_expired(req.epoch):
             return t.JobListReply(verdict=t.JobVerdict.UNAVAILABLE, epoch=epoch, jobs=[])
         if not self._owns(req.epoch):
             return t.JobListReply(verdict=t.JobVerdict.NOT_OWNER, epoch=epoch, jobs=[])
@@ -309,9 +313,9 @@
         lane = self._lanes.get(req.sender)
         if lane is not None:
             # The capacity is free now, whether or not the ends get recorded.
-            lane.freed()
+            lane.capacity_freed()
         self._gangs.wake()
-        if not await self._gather_ends(req.events):
+        if not await self._batch_ends(req.events):
             return t.TaskEventsReply(owner=True, epoch=self.tenure.epoch, recorded=[])
         return t.TaskEventsReply(
             owner=True,
@@ -319,7 +323,7 @@
             recorded=[event.task_id for event in req.events],
         )
 
-    async def _gather_ends(self, events: Sequence[t.TaskEvent]) -> bool:
+    async def _batch_ends(self, events: Sequence[t.TaskEvent]) -> bool:
         """Record ends in one batch with later ones; return whether they are recorded."""
         self._ends.extend(events)
         if self._ends_task is None:
@@ -327,7 +331,7 @@
         return await asyncio.shield(self._ends_task)
 
     async def _record_ends(self) -> bool:
-        await self.ctx.clock.sleep(ENDS_GATHER_S)
+        await self.ctx.clock.sleep(END_BATCH_DELAY_S)
         events, self._ends = self._ends, []
         # Events that arrive from now on belong to the next batch.
         self._ends_task = None
@@ -337,8 +341,8 @@
     async def _append_ends(self, entries: list[t.LogEntry], events: Sequence[t.TaskEvent]) -> bool:
         """Record and apply ends; return whether they are known to be recorded."""
         try:
-            if entries or self._unclear:
-                await self._append(entries or [records.nothing()])
+            if entries or self._last_append_unclear:
+                await self._append(entries or [records.no_op()])
         except LogUnclear:
             self._apply_all(events)
             return False
@@ -359,7 +363,7 @@
         lanes = [lane for lane in self._lanes.values() if lane.owner() is not None]
         return sorted(lanes, key=lambda lane: (lane.partition.region != region, lane.name))
 
-    def waiting_gangs(self) -> list[Job]:
+    def placeable_gangs(self) -> list[Job]:
         """Return the gangs to be placed, in scheduling order."""
         now = self.ctx.clock.monotonic()
         gangs = [
@@ -372,7 +376,7 @@
         ]
         return sorted(gangs, key=lambda job: (job.spec.priority, job.since))
 
-    def gang_allowed(self, job: Job) -> bool:
+    def within_quota(self, job: Job) -> bool:
         """Return whether the whole gang fits into the account's quota."""
         size, tasks = job.spec.size, job.waiting()
         whole = Size(
@@ -380,7 +384,7 @@
             memory_bytes=tasks * size.memory_bytes,
             accelerators=tasks * size.accelerators,
         )
-        self._sync_shares()
+        self._sync_accounts()
         return self._share.within_quota(job.spec.account, whole)
 
     def count_reserved(self, picked: Sequence[Picked]) -> None:
@@ -388,7 +392,7 @@
         for item in picked:
             self._share.claim(item.job.spec.account, item.job.spec.size)
 
-    def stop_live(self, job: Job) -> None:
+    def stop_running(self, job: Job) -> None:
         """Request a stop of all running tasks of a job."""
         for index in list(job.live):
             self._stop(job, index)
@@ -397,18 +401,18 @@
         """Mark waiting tasks as claimed for a lane's free capacity, in scheduling order."""
         if lane.room is None or self._fenced or not self.ready:
             return []
-        self._sync_shares()
-        self._set_neighbours(lane)
+        self._sync_accounts()
+        self._set_failure_domains(lane)
         return self._queue.pick(
             lane.room,
             share=self._share,
-            limit=MAX_CLAIMS,
+            limit=MAX_CLAIMS_PER_CALL,
             now=self.ctx.clock.monotonic(),
             epoch=lane.epoch,
             home_epoch=self.tenure.epoch,
         )
 
-    def _set_neighbours(self, lane: Lane) -> None:
+    def _set_failure_domains(self, lane: Lane) -> None:
         """Set which racks share the lane's failure domain, so that services are spread."""
         domains = {
             other.name: other.digest.failure_domain
@@ -439,7 +443,7 @@
             return False
         return True
 
-    def put_back(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
+    def requeue(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
         """Return tasks to the queue whose claims can no longer start them."""
         for item in picked:
             self._share.unclaim(item.job.spec.account, item.job.spec.size)
@@ -449,12 +453,12 @@
                 item.job.never_started(item.index)
                 self._requeue(item.job)
 
-    def wanted(self, picked: Sequence[Picked]) -> list[Picked]:
+    def drop_cancelled(self, picked: Sequence[Picked]) -> list[Picked]:
         """Return the tasks of jobs that were not cancelled meanwhile; put back the others."""
-        self.put_back([item for item in picked if item.job.cancelled], dispatched=True)
+        self.requeue([item for item in picked if item.job.cancelled], dispatched=True)
         return [item for item in picked if not item.job.cancelled]
 
-    def claimed(
+    def apply_results(
         self, lane: Lane, picked: Sequence[Picked], results: Sequence[t.ClaimResult]
     ) -> None:
         """Apply the results of claims."""
@@ -472,11 +476,11 @@
         match result.verdict:
             case t.ClaimVerdict.STARTED:
                 # After a takeover the first start time may be lost, although the job ran before.
-                first = job.first_start is None and not job.may_have_run()
+                first_id = job.first_start is None and not job.may_have_run()
                 job.started(item.index, worker=result.worker_id or "", now=now)
-                if first and job.first_start is not None:
+                if first_id and job.first_start is not None:
                     waited_s = max(0.0, now - job.since)
-                    WAITED.labels(job.spec.account, str(job.spec.priority)).observe(waited_s)
+                    JOB_WAITS.labels(job.spec.account, str(job.spec.priority)).observe(waited_s)
                     objective = objective_of(self.ctx.cell.current(), job.spec.account)
                     self._count_event(job.spec.account, judge_start(waited_s, objective))
                 if job.cancelled:
@@ -495,14 +499,14 @@
         """Apply the list of tasks that a partition holds for this home."""
         now = self.ctx.clock.monotonic()
         held = {task.task_id for task in reply.tasks}
-        for job in list(self._open.values()):
+        for job in list(self._unfinished.values()):
             if job.finished is None:
                 self._reconcile_job(job, lane, held, reply)
         for task in reply.tasks:
-            where = self._locate(task.task_id)
-            if where is None or not task.running:
+            located = self._locate(task.task_id)
+            if located is None or not task.running:
                 continue
-            job, index = where
+            job, index = located
             attempt = LiveAttempt(
                 task_id=task.task_id,
                 attempt=task.attempt,
@@ -523,12 +527,12 @@
             if job.state(index) is TaskState.CLAIMED and live.epoch == lane.epoch:
                 # The owner that received the claim has not started the task and no longer can.
                 self._not_started(job, index)
-            elif reply.over or self._is_over(live.worker, reply):
+            elif reply.over or self._has_ended(live.worker, reply):
                 # An earlier owner may have started the task, but the attempt has certainly ended.
                 self._end(job, index, End.LEASE_LAPSED, now)
 
     @staticmethod
-    def _is_over(worker: str, reply: t.HeldTasksReply) -> bool:
+    def _has_ended(worker: str, reply: t.HeldTasksReply) -> bool:
         """Return whether an attempt that is missing from the held tasks has ended.
 
         A worker that the new owner has never contacted may still run it: the platform may have
@@ -538,43 +542,43 @@
             return worker in (reply.heard or ())
         return bool(reply.complete)
 
-    def partition_gone(self, lane: Lane) -> None:
+    def partition_removed(self, lane: Lane) -> None:
         """Settle the tasks of a partition that no longer exists."""
         self._share.put_digest(lane.name, UsageDigest(taken_at=self.ctx.clock.monotonic(), used={}))
         nothing = t.HeldTasksReply(
             owner=True, epoch=lane.epoch + 1, complete=True, tasks=[], over=True
         )
-        for job in list(self._open.values()):
+        for job in list(self._unfinished.values()):
             if job.finished is None:
                 self._reconcile_job(job, lane, set(), nothing)
 
-    def heard_digest(self, lane: Lane, digest: t.PartitionDigest, asked_at: float) -> None:
+    def apply_digest(self, lane: Lane, digest: t.PartitionDigest, requested_at: float) -> None:
         """Apply the usage and the capacity reported by a partition."""
         used = {entry.account: size_of(entry.used) for entry in digest.usage}
-        self._share.put_digest(lane.name, UsageDigest(taken_at=asked_at, used=used))
+        self._share.put_digest(lane.name, UsageDigest(taken_at=requested_at, used=used))
         total = sum((extent.total for extent in self._extents()), Size())
         self._share.set_total(total)
 
     # ------------------------------------------------------------ background work
 
-    async def _follow_partitions(self, group: asyncio.TaskGroup) -> None:
+    async def _maintain(self, group: asyncio.TaskGroup) -> None:
         while True:
             for partition in self.ctx.ownership.partitions(PartitionKind.WORKER):
                 if str(partition) not in self._lanes:
                     self._add_lane(partition, group)
             self._settle_unsure()
             await self._finish_jobs()
-            await self._flush_later()
-            await self.ctx.clock.sleep(SYNC_S)
+            await self._flush_deferred()
+            await self.ctx.clock.sleep(MAINTENANCE_INTERVAL_S)
 
     def _add_lane(self, partition: PartitionId, group: asyncio.TaskGroup) -> None:
-        lane = Lane(partition=partition, tenure=self.tenure, ctx=self.ctx, host=self)
+        lane = Lane(partition=partition, tenure=self.tenure, ctx=self.ctx, home=self)
         self._lanes[lane.name] = lane
         group.create_task(lane.run())
 
     def _settle_unsure(self) -> None:
         """Settle tasks that no worker holds, after all worker partitions have reported."""
-        if not self._unsure or not self._all_heard():
+        if not self._unsure or not self._all_reported():
             return
         for job_id in list(self._unsure):
             job = self._jobs.get(job_id)
@@ -588,7 +592,7 @@
         self._unsure.clear()
         self._wake()
 
-    def _all_heard(self) -> bool:
+    def _all_reported(self) -> bool:
         if not self._lanes:
             cfg = self.ctx.cfg
             wait_s = cfg.jobs.task_lease_s + cfg.ownership.lease_s + cfg.ownership.clock_margin_s
@@ -597,8 +601,10 @@
 
     async def _finish_jobs(self) -> None:
         over = [
-            job for job in self._open.values() if not job.open() and job.id not in self._committing
-        ][:MAX_ENTRIES]
+            job
+            for job in self._unfinished.values()
+            if not job.open() and job.id not in self._committing
+        ][:MAX_ENTRIES_PER_APPEND]
         if not over:
             return
         at, now = self.ctx.clock.wall(), self.ctx.clock.monotonic()
@@ -610,9 +616,9 @@
             return
         for job in over:
             job.restore_finished(job.phase(), None)
-            self._keep_over(job)
+            self._retain_finished(job)
 
-    async def _flush_later(self) -> None:
+    async def _flush_deferred(self) -> None:
         if self._later:
             try:
                 await self._append([])
@@ -634,12 +640,12 @@
         except LogUnclear:
             # The entries may or may not be in the log, so they must not be reported as recorded.
             # The next successful append also confirms the appends before it.
-            self._unclear = True
+            self._last_append_unclear = True
             raise
         except LogError:
             self._later = later + self._later
             raise
-        self._unclear = False
+        self._last_append_unclear = False
 
     async def _append_in_order(self, entries: list[t.LogEntry]) -> None:
         """Append in chunks that fit into one record; the log keeps the order of the calls.
@@ -650,27 +656,30 @@
         the caller applies them: a snapshot made in between would drop them, and a successor would
         run ended tasks again. Snapshots are therefore suspended meanwhile.
         """
-        if len(entries) <= MAX_ENTRIES:
+        if len(entries) <= MAX_ENTRIES_PER_APPEND:
             await self.log.append(entries)
             return
-        pieces = [entries[at : at + MAX_ENTRIES] for at in range(0, len(entries), MAX_ENTRIES)]
-        self._in_pieces += 1
+        chunks = [
+            entries[at : at + MAX_ENTRIES_PER_APPEND]
+            for at in range(0, len(entries), MAX_ENTRIES_PER_APPEND)
+        ]
+        self._chunked_appends += 1
         try:
-            await asyncio.gather(*(self.log.append(piece) for piece in pieces))
+            await asyncio.gather(*(self.log.append(chunk) for chunk in chunks))
         finally:
-            asyncio.get_running_loop().call_soon(self._piece_applied)
+            asyncio.get_running_loop().call_soon(self._chunks_applied)
 
-    def _piece_applied(self) -> None:
-        self._in_pieces -= 1
+    def _chunks_applied(self) -> None:
+        self._chunked_appends -= 1
 
     def settled(self) -> bool:
         """Return whether all recorded entries have been applied to the state."""
-        return not self._in_pieces
+        return not self._chunked_appends
 
     def _owns(self, epoch: int) -> bool:
         return epoch == self.tenure.epoch and not self._fenced and self.tenure.holds()
 
-    def _lapsed(self, epoch: int) -> bool:
+    def _lease_expired(self, epoch: int) -> bool:
         """Return whether the lease has expired while no later owner is known.
 
         During a store outage no process can take over. "Not owner" would make the caller retry
@@ -681,27 +690,27 @@
 
     def _add(self, job: Job) -> None:
         self._jobs[job.id] = job
-        self._open[job.id] = job
+        self._unfinished[job.id] = job
         if job.spec.key:
             self._keys[job.spec.account, job.spec.key] = job.id
 
     def _remove(self, job: Job) -> None:
         self._queue.drop(job)
         self._jobs.pop(job.id, None)
-        self._open.pop(job.id, None)
+        self._unfinished.pop(job.id, None)
         if job.spec.key:
             self._keys.pop((job.spec.account, job.spec.key), None)
 
-    def _keep_over(self, job: Job) -> None:
+    def _retain_finished(self, job: Job) -> None:
         self._queue.drop(job)
-        self._open.pop(job.id, None)
-        self._over[job.id] = None
-        while len(self._over) > KEPT_FINISHED:
-            oldest = next(iter(self._over))
-            del self._over[oldest]
+        self._unfinished.pop(job.id, None)
+        self._finished[job.id] = None
+        while len(self._finished) > MAX_FINISHED_JOBS:
+            oldest = next(iter(self._finished))
+            del self._finished[oldest]
             self._remove(self._jobs[oldest])
 
-    def _known(self, req: t.SubmitRequest) -> str | None:
+    def _find_submitted(self, req: t.SubmitRequest) -> str | None:
         if req.job_id in self._jobs:
             return req.job_id
         if req.spec.key:
@@ -709,7 +718,7 @@
         return None
 
     def _cancel(self, job: Job) -> None:
-        self.stop_live(job)
+        self.stop_running(job)
         job.cancel()
         self._queue.drop(job)
 
@@ -746,33 +755,33 @@
             return None
         return job, int(parts[1])
 
-    def _concerns(self, event: t.TaskEvent) -> tuple[Job, int] | None:
+    def _current_task(self, event: t.TaskEvent) -> tuple[Job, int] | None:
         """Return the task of an event, or ``None`` if the event is outdated or unknown."""
-        where = self._locate(event.task_id)
-        if where is None:
+        located = self._locate(event.task_id)
+        if located is None:
             return None
-        job, index = where
+        job, index = located
         live = job.live.get(index)
         if live is not None:
-            return where if live.task_id == event.task_id else None
-        return where if job.state(index) is TaskState.UNSURE else None
+            return located if live.task_id == event.task_id else None
+        return located if job.state(index) is TaskState.UNSURE else None
 
     def _entry_of(self, event: t.TaskEvent) -> t.LogEntry | None:
         """Return the log entry for an event, or ``None`` if a successor does not need it."""
-        where = self._concerns(event)
-        if where is None:
+        located = self._current_task(event)
+        if located is None:
             return None
-        job, index = where
+        job, index = located
         end = End(int(event.end))
         if not job.is_final(index, end) and end is not End.NOT_STARTED:
             return None
         return records.task_finished(job, index, event.attempt, end)
 
     def _apply(self, event: t.TaskEvent) -> None:
-        where = self._concerns(event)
-        if where is None:
+        located = self._current_task(event)
+        if located is None:
             return
-        job, index = where
+        job, index = located
         end = End(int(event.end))
         TASK_ENDS.labels(job.spec.account, end.name).inc()
         if end is End.NOT_STARTED:
@@ -796,18 +805,18 @@
         self._gangs.wake()
 
     def _extents(self) -> list[Extent]:
-        return [_extent(lane) for lane in self._lanes.values() if lane.digest is not None]
+        return [_extent_of(lane) for lane in self._lanes.values() if lane.digest is not None]
 
     def _all_extents(self) -> list[Extent] | None:
         """Return the capacity of all worker partitions, or ``None`` while any is unknown."""
         partitions = self.ctx.ownership.partitions(PartitionKind.WORKER)
         lanes = [self._lanes.get(str(partition)) for partition in partitions]
-        known = [lane for lane in lanes if lane is not None and lane.all_heard and lane.digest]
+        known = [lane for lane in lanes if lane is not None and lane.all_reported and lane.digest]
         if not partitions or len(known) < len(partitions):
             return None
-        return [_extent(lane) for lane in known]
+        return [_extent_of(lane) for lane in known]
 
-    def _sync_shares(self) -> None:
+    def _sync_accounts(self) -> None:
         cell = self.ctx.cell.current()
         if cell.revision == self._revision:
             return
@@ -817,25 +826,25 @@
 
     # ------------------------------------------------------------ replies
 
-    def _submitted(
+    def _submit_reply(
         self, req: t.SubmitRequest, verdict: int, *, job_id: str | None = None, reason: str = ""
     ) -> t.SubmitReply:
         name = t.SubmitVerdict(verdict).name
-        SUBMITTED.labels(req.spec.account, name).inc()
+        JOBS_SUBMITTED.labels(req.spec.account, name).inc()
         return t.SubmitReply(
             verdict=verdict, epoch=self.tenure.epoch, job_id=job_id, reason=reason or None
         )
 
-    def _unavailable(self, req: t.SubmitRequest, reason: str) -> t.SubmitReply:
+    def _unavailable_reply(self, req: t.SubmitRequest, reason: str) -> t.SubmitReply:
         if req.spec.account in self.ctx.cell.current().accounts:
             self._count_event(req.spec.account, EventKind.REFUSED)
-        reply = self._submitted(req, t.SubmitVerdict.UNAVAILABLE, reason=reason)
+        reply = self._submit_reply(req, t.SubmitVerdict.UNAVAILABLE, reason=reason)
         reply.retry_after_ms = RETRY_AFTER_MS
         return reply
 
-    def _not_known(self, req: t.SubmitRequest) -> t.SubmitReply:
+    def _unclear_reply(self, req: t.SubmitRequest) -> t.SubmitReply:
         self._count_event(req.spec.account, EventKind.UNKNOWN)
-        reply = self._submitted(
+        reply = self._submit_reply(
             req,
             t.SubmitVerdict.UNCLEAR,
             job_id=req.job_id,
@@ -844,7 +853,7 @@
         reply.retry_after_ms = RETRY_AFTER_MS
         return reply
 
-    def _job_unavailable(self) -> t.JobReply:
+    def _job_unavailable_reply(self) -> t.JobReply:
         return t.JobReply(
             verdict=t.JobVerdict.UNAVAILABLE,
             epoch=self.tenure.epoch,
@@ -861,7 +870,7 @@
         )
 
 
-def _extent(lane: Lane) -> Extent:
+def _extent_of(lane: Lane) -> Extent:
     digest = lane.digest
     assert digest is not None
     return Extent(
--- a/rhubarbferry/scheduler/job_lane.py
+++ b/rhubarbferry/scheduler/job_lane.py
@@ -19,22 +19,22 @@
 from rhubarbferry.scheduler.context import Context
 from rhubarbferry.scheduler.messages import resources_of, size_of
 
-MAX_CLAIMS = 200
+MAX_CLAIMS_PER_CALL = 200
 CALL_TIMEOUT_S = 2.5
-IDLE_S = 0.25
-RETRY_S = 0.1
-DIGEST_S = 0.5
-BUSY_DIGEST_S = 0.1
-ASK_AGAIN_S = 0.5
+IDLE_INTERVAL_S = 0.25
+RETRY_INTERVAL_S = 0.1
+DIGEST_INTERVAL_S = 0.5
+BUSY_DIGEST_INTERVAL_S = 0.1
+HELD_TASKS_INTERVAL_S = 0.5
 # Used when all listed workers have reported and only tasks of delisted workers are unsettled.
-ASK_AGAIN_LATE_S = 3.0
+SLOW_HELD_TASKS_INTERVAL_S = 3.0
 
 LANE_CALLS = Counter(
     "rhubarbferry_home_calls_total", "Calls of homes to worker partitions", ["method", "result"]
 )
 
 
-class LaneHost(Protocol):
+class LaneHome(Protocol):
     """The part of a home that a lane uses."""
 
     def depth(self) -> int:
@@ -49,17 +49,17 @@
         """Record that the attempts may start; return ``False`` if they must not."""
         ...
 
-    def claimed(
+    def apply_results(
         self, lane: Lane, picked: Sequence[Picked], results: Sequence[t.ClaimResult]
     ) -> None:
         """Apply the results of claims."""
         ...
 
-    def wanted(self, picked: Sequence[Picked]) -> list[Picked]:
+    def drop_cancelled(self, picked: Sequence[Picked]) -> list[Picked]:
         """Return the tasks that still are to be claimed."""
         ...
 
-    def put_back(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
+    def requeue(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
         """Return tasks whose claims were never sent to the queue."""
         ...
 
@@ -67,24 +67,24 @@
         """Apply the list of tasks that a partition holds for the home."""
         ...
 
-    def heard_digest(self, lane: Lane, digest: t.PartitionDigest, asked_at: float) -> None:
+    def apply_digest(self, lane: Lane, digest: t.PartitionDigest, requested_at: float) -> None:
         """Apply the digest of a partition."""
         ...
 
-    def partition_gone(self, lane: Lane) -> None:
+    def partition_removed(self, lane: Lane) -> None:
         """Settle the tasks of a removed partition, whose leases have expired."""
         ...
 
 
 @define(kw_only=True, slots=True)
-class _Held:
+class _OwnerState:
     """The state of the lane towards the current owner of its partition."""
 
     epoch: int = 0
     synced: bool = False
     complete: bool = False
-    all_heard: bool = False
-    ask_at: float = 0.0
+    all_reported: bool = False
+    next_query_at: float = 0.0
 
 
 class Lane:
@@ -99,7 +99,7 @@
     """
 
     def __init__(
-        self, *, partition: PartitionId, tenure: Tenure, ctx: Context, host: LaneHost
+        self, *, partition: PartitionId, tenure: Tenure, ctx: Context, home: LaneHome
     ) -> None:
         self.partition = partition
         self.name = str(partition)
@@ -110,42 +110,42 @@
         self.lock = asyncio.Lock()
         self._tenure = tenure
         self._ctx = ctx
-        self._host = host
-        self._owner = _Held()
+        self._home = home
+        self._owner_state = _OwnerState()
         # A home that is restarted under the same epoch must continue with higher numbers.
-        self._number = int(ctx.clock.monotonic() * 1_000_000)
-        self._stops: dict[str, bool] = {}
+        self._last_number = int(ctx.clock.monotonic() * 1_000_000)
+        self._pending_stops: dict[str, bool] = {}
         self._wake = asyncio.Event()
-        self._gone_since: float | None = None
-        self._stale = False
+        self._removed_since: float | None = None
+        self._digest_outdated = False
 
     @property
     def epoch(self) -> int:
         """The epoch of the partition's owner as last seen by the lane."""
-        return self._owner.epoch
+        return self._owner_state.epoch
 
     @property
     def synced(self) -> bool:
         """Whether the home has the current list of tasks held by this partition."""
-        return self._owner.synced
+        return self._owner_state.synced
 
     @property
-    def all_heard(self) -> bool:
+    def all_reported(self) -> bool:
         """Whether all workers have reported their tasks and capacity to the owner."""
-        return self._owner.all_heard
+        return self._owner_state.all_reported
 
     def wake(self) -> None:
         """Run the next step immediately."""
         self._wake.set()
 
-    def freed(self) -> None:
+    def capacity_freed(self) -> None:
         """Mark the last digest as outdated, since ended tasks have freed capacity."""
-        self._stale = True
+        self._digest_outdated = True
         self._wake.set()
 
     def stop(self, task_id: str, *, checkpoint: bool = False) -> None:
         """Queue a stop request for a task."""
-        self._stops[task_id] = checkpoint
+        self._pending_stops[task_id] = checkpoint
         self._wake.set()
 
     async def run(self) -> None:
@@ -155,39 +155,39 @@
             async with self.lock:
                 busy = await self._step()
             if not busy:
-                await self._rest(BUSY_DIGEST_S if self._host.depth() else IDLE_S)
+                await self._wait(BUSY_DIGEST_INTERVAL_S if self._home.depth() else IDLE_INTERVAL_S)
 
     async def _step(self) -> bool:
         owner = self._ctx.ownership.owner(self.partition)
         if owner is None or not self._tenure.holds():
-            self._check_gone(owner)
+            self._check_removed(owner)
             return False
-        self._gone_since = None
-        if owner.epoch != self._owner.epoch:
-            self._owner = _Held(epoch=owner.epoch)
-        if not self._owner.synced or self._ask_again():
+        self._removed_since = None
+        if owner.epoch != self._owner_state.epoch:
+            self._owner_state = _OwnerState(epoch=owner.epoch)
+        if not self._owner_state.synced or self._held_tasks_due():
             return await self._reconcile(owner)
-        if self._stops:
+        if self._pending_stops:
             await self._send_stops(owner)
         if self._digest_due():
-            await self._ask_digest(owner)
-        picked = self._host.pick(self)
+            await self._request_digest(owner)
+        picked = self._home.pick(self)
         if not picked:
             return False
         return await self._claim(owner, picked)
 
-    def _ask_again(self) -> bool:
-        if self._owner.complete:
+    def _held_tasks_due(self) -> bool:
+        if self._owner_state.complete:
             return False
-        return self._ctx.clock.monotonic() >= self._owner.ask_at
+        return self._ctx.clock.monotonic() >= self._owner_state.next_query_at
 
     def _digest_due(self) -> bool:
-        if self.room is None or self._stale:
+        if self.room is None or self._digest_outdated:
             return True
-        longest = BUSY_DIGEST_S if self._host.depth() else DIGEST_S
-        return self._ctx.clock.monotonic() - self.digest_at >= longest
+        max_age_s = BUSY_DIGEST_INTERVAL_S if self._home.depth() else DIGEST_INTERVAL_S
+        return self._ctx.clock.monotonic() - self.digest_at >= max_age_s
 
-    async def _rest(self, seconds: float) -> None:
+    async def _wait(self, seconds: float) -> None:
         try:
             async with asyncio.timeout(seconds):
                 await self._wake.wait()
@@ -212,16 +212,16 @@
             )
         except PeerUnreachable:
             LANE_CALLS.labels(method, "unreachable").inc()
-            self._unclear()
+            self._desynchronize()
             return None
         except RpcError as exc:
             LANE_CALLS.labels(method, "unclear").inc()
             logger.debug("{}: no reply to {}: {}", self.name, method, exc)
-            self._unclear()
+            self._desynchronize()
             return None
         if not reply.owner:
             LANE_CALLS.labels(method, "not_owner").inc()
-            self._unclear()
+            self._desynchronize()
             return None
         LANE_CALLS.labels(method, "answered").inc()
         return reply
@@ -229,14 +229,14 @@
     def owner(self) -> Owner | None:
         """Return the owner if the lane is synchronized with it."""
         owner = self._ctx.ownership.owner(self.partition)
-        if owner is None or not self._owner.synced or owner.epoch != self._owner.epoch:
+        if owner is None or not self._owner_state.synced or owner.epoch != self._owner_state.epoch:
             return None
         return owner
 
     def next_number(self) -> int:
         """Return a new request number."""
-        self._number += 1
-        return self._number
+        self._last_number += 1
+        return self._last_number
 
     async def claim(
         self, owner: Owner, picked: Sequence[Picked], *, reserve_s: float = 0.0
@@ -251,11 +251,11 @@
             reserve_ms=int(reserve_s * 1000),
             number=self.next_number(),
         )
-        asked_at = self._ctx.clock.monotonic()
+        requested_at = self._ctx.clock.monotonic()
         reply = await self.call(owner, "claim", req)
         if reply is None:
             return None
-        self._take_digest(reply.digest, asked_at)
+        self._apply_digest(reply.digest, requested_at)
         return reply.results
 
     async def settle(
@@ -271,24 +271,24 @@
             commit=commit,
             number=self.next_number(),
         )
-        asked_at = self._ctx.clock.monotonic()
+        requested_at = self._ctx.clock.monotonic()
         reply = await self.call(owner, "settle_reservation", req)
         if reply is None:
             return None
-        self._take_digest(reply.digest, asked_at)
+        self._apply_digest(reply.digest, requested_at)
         return reply.results
 
     async def _claim(self, owner: Owner, picked: Sequence[Picked]) -> bool:
-        if not await self._host.record_dispatch(picked):
-            self._host.put_back(picked, dispatched=True)
+        if not await self._home.record_dispatch(picked):
+            self._home.requeue(picked, dispatched=True)
             return False
-        picked = self._host.wanted(picked)
+        picked = self._home.drop_cancelled(picked)
         if not picked or not self._tenure.holds():
             return False
         results = await self.claim(owner, picked)
         if results is None:
             return False
-        self._host.claimed(self, picked, results)
+        self._home.apply_results(self, picked, results)
         return any(result.verdict == t.ClaimVerdict.STARTED for result in results)
 
     async def _reconcile(self, owner: Owner) -> bool:
@@ -302,20 +302,24 @@
         reply = await self.call(owner, "held_tasks", req)
         if reply is None:
             return False
-        self._owner.synced = True
+        self._owner_state.synced = True
         # Workers delisted just before a takeover are not counted as unreported by the owner.
         complete = bool(reply.complete and reply.over)
-        self._owner.complete = complete
-        self._owner.all_heard = reply.complete
-        pause_s = ASK_AGAIN_LATE_S if reply.complete else ASK_AGAIN_S
-        self._owner.ask_at = self._ctx.clock.monotonic() + pause_s
+        self._owner_state.complete = complete
+        self._owner_state.all_reported = reply.complete
+        interval_s = SLOW_HELD_TASKS_INTERVAL_S if reply.complete else HELD_TASKS_INTERVAL_S
+        self._owner_state.next_query_at = self._ctx.clock.monotonic() + interval_s
         self.ever_complete = self.ever_complete or complete
-        self._host.reconciled(self, reply)
+        self._home.reconciled(self, reply)
         return True
 
     async def _send_stops(self, owner: Owner) -> None:
-        checkpoint = next(iter(self._stops.values()))
-        task_ids = [id for id, how in self._stops.items() if how == checkpoint][:MAX_CLAIMS]
+        checkpoint = next(iter(self._pending_stops.values()))
+        task_ids = [
+            id
+            for id, stop_checkpoint in self._pending_stops.items()
+            if stop_checkpoint == checkpoint
+        ][:MAX_CLAIMS_PER_CALL]
         req = t.StopTasksRequest(
             partition=self.name,
             epoch=owner.epoch,
@@ -327,27 +331,27 @@
         )
         if await self.call(owner, "stop_tasks", req) is not None:
             for task_id in task_ids:
-                self._stops.pop(task_id, None)
-            if self._stops:
+                self._pending_stops.pop(task_id, None)
+            if self._pending_stops:
                 self._wake.set()
 
-    async def _ask_digest(self, owner: Owner) -> None:
-        asked_at = self._ctx.clock.monotonic()
+    async def _request_digest(self, owner: Owner) -> None:
+        requested_at = self._ctx.clock.monotonic()
         req = t.DigestRequest(partition=self.name, epoch=owner.epoch)
         reply = await self.call(owner, "digest", req)
         if reply is not None:
-            self._take_digest(reply.digest, asked_at)
+            self._apply_digest(reply.digest, requested_at)
 
-    def _take_digest(self, digest: t.PartitionDigest | None, asked_at: float) -> None:
+    def _apply_digest(self, digest: t.PartitionDigest | None, requested_at: float) -> None:
         if digest is None:
             return
         self.digest = digest
-        self._stale = False
-        self.digest_at = asked_at
-        before = self.room
+        self._digest_outdated = False
+        self.digest_at = requested_at
+        previous = self.room
         free, largest = size_of(digest.free), size_of(digest.largest_free)
         # Sizes that did not fit are tried again only after the free capacity has changed.
-        keep = before is not None and before.largest == largest and before.free == free
+        unchanged = previous is not None and previous.largest == largest and previous.free == free
         self.room = Room(
             partition=self.name,
             region=self.partition.region,
@@ -355,31 +359,31 @@
             free=free,
             largest=largest,
             largest_worker=size_of(digest.largest_worker),
-            refused=before.refused if keep and before is not None else frozenset(),
+            refused=previous.refused if unchanged and previous is not None else frozenset(),
         )
-        self._host.heard_digest(self, digest, asked_at)
+        self._home.apply_digest(self, digest, requested_at)
 
-    def _unclear(self) -> None:
-        self._owner.synced = False
+    def _desynchronize(self) -> None:
+        self._owner_state.synced = False
 
-    def _check_gone(self, owner: Owner | None) -> None:
+    def _check_removed(self, owner: Owner | None) -> None:
         """Settle the tasks of a partition that was removed from the ownership table.
 
         Its workers have had no owner since then, so their task leases expire.
         """
         view = self._ctx.ownership
-        known = view.partitions(self.partition.kind)
-        if owner is not None or not known or self.partition in known:
-            self._gone_since = None
+        listed = view.partitions(self.partition.kind)
+        if owner is not None or not listed or self.partition in listed:
+            self._removed_since = None
             return
         now = self._ctx.clock.monotonic()
-        self._gone_since = now if self._gone_since is None else self._gone_since
+        self._removed_since = now if self._removed_since is None else self._removed_since
         cfg = self._ctx.cfg
         wait_s = cfg.jobs.task_lease_s + cfg.ownership.lease_s + 2 * cfg.ownership.clock_margin_s
-        if now - self._gone_since >= wait_s:
+        if now - self._removed_since >= wait_s:
             self.ever_complete = True
             self.room = None
-            self._host.partition_gone(self)
+            self._home.partition_removed(self)
 
 
 def _claim(item: Picked, now: float) -> t.Claim:
@@ -397,11 +401,11 @@
         preemptible=spec.preemptible,
         run_ms=spec.run_ms,
         payload=spec.payload,
-        waited_ms=_passed_ms(item.job, now),
+        waited_ms=_overtaken_ms(item.job, now),
         avoid_workers=sorted(item.job.avoid.get(item.index, ())) or None,
     )
 
 
-def _passed_ms(job: Job, now: float) -> int | None:
+def _overtaken_ms(job: Job, now: float) -> int | None:
     """Return for how many milliseconds smaller tasks have been placed ahead of this job's."""
     return None if job.passed_since is None else int(1000 * max(0.0, now - job.passed_since))
--- a/rhubarbferry/scheduler/job_records.py
+++ b/rhubarbferry/scheduler/job_records.py
@@ -9,7 +9,11 @@
 from rhubarbferry.rpc.gen import ttypes as t
 from rhubarbferry.scheduler.messages import resources_of, size_of
 
-ENDS = {TaskState.DONE: End.DONE, TaskState.FAILED: End.FAILED, TaskState.UNKNOWN: End.LEASE_LAPSED}
+ENDS_BY_STATE = {
+    TaskState.DONE: End.DONE,
+    TaskState.FAILED: End.FAILED,
+    TaskState.UNKNOWN: End.LEASE_LAPSED,
+}
 
 
 def spec_of(spec: t.JobSpec) -> JobSpec:
@@ -117,8 +121,12 @@
     for index in indexes:
         by_attempt.setdefault(job.last_attempt(index), []).append(index)
     return [
-        t.LogEntry(tasks_dispatched=t.TasksDispatched(job_id=job.id, indexes=some, attempt=attempt))
-        for attempt, some in by_attempt.items()
+        t.LogEntry(
+            tasks_dispatched=t.TasksDispatched(
+                job_id=job.id, indexes=attempt_indexes, attempt=attempt
+            )
+        )
+        for attempt, attempt_indexes in by_attempt.items()
     ]
 
 
@@ -139,13 +147,13 @@
     )
 
 
-def rebuild(job: Job, *, at: float, now: float) -> Iterator[t.LogEntry]:
+def rebuild_entries(job: Job, *, at: float, now: float) -> Iterator[t.LogEntry]:
     """Yield log entries that rebuild a job."""
     yield accepted(job)
     if job.finished is not None:
         yield finished(job, at=at, now=now)
         return
-    for state, end in ENDS.items():
+    for state, end in ENDS_BY_STATE.items():
         for index in job.indexes(state):
             yield task_finished(job, index, 0, end)
     yield from dispatched(job, job.may_run())
@@ -153,6 +161,6 @@
         yield cancelled(job.id)
 
 
-def nothing() -> t.LogEntry:
+def no_op() -> t.LogEntry:
     """Return an entry without effect; a successful append confirms the entries before it."""
     return t.LogEntry(job_cancelled=t.JobCancelled(job_id=""))
--- a/rhubarbferry/scheduler/key_partition.py
+++ b/rhubarbferry/scheduler/key_partition.py
@@ -15,27 +15,27 @@
 from rhubarbferry.scheduler.key_component import KeyComponent
 from rhubarbferry.scheduler.partition import Partition, Phase
 
-COMPACT_SEGMENTS = 512
+MIN_COMPACT_SEGMENTS = 512
 ENTRIES_PER_SEGMENT = 8
-COMPACT_CHECK_S = 2.0
-REPLAY_SLICE = 2000
-DRAIN_S = 3.0
+COMPACT_CHECK_INTERVAL_S = 2.0
+REPLAY_YIELD_ENTRIES = 2000
+DRAIN_TIMEOUT_S = 3.0
 
 
-def worth_compacting(*, kept: int, fewest_segments: int) -> int:
+def compaction_threshold(*, retained: int, min_segments: int) -> int:
     """Return the number of log segments at which the next snapshot is made.
 
     A snapshot rewrites all retained entries. With a fixed number of segments between snapshots
     the cost per entry would grow with the number of retained entries. A number in proportion to
     the retained entries keeps the cost per entry constant.
 
-    :param kept: number of entries in the last snapshot.
-    :param fewest_segments: minimum number of segments between snapshots.
+    :param retained: number of entries in the last snapshot.
+    :param min_segments: minimum number of segments between snapshots.
     """
-    return max(fewest_segments, kept // ENTRIES_PER_SEGMENT)
+    return max(min_segments, retained // ENTRIES_PER_SEGMENT)
 
 
-MakeComponent = Callable[[EntryLog], KeyComponent]
+ComponentFactory = Callable[[EntryLog], KeyComponent]
 
 
 class KeyPartition(Partition):
@@ -52,21 +52,21 @@
         tenure: Tenure,
         ctx: Context,
         log: EntryLog,
-        components: Sequence[MakeComponent],
-        compact_segments: int = COMPACT_SEGMENTS,
+        components: Sequence[ComponentFactory],
+        compact_segments: int = MIN_COMPACT_SEGMENTS,
     ) -> None:
         super().__init__(tenure=tenure, ctx=ctx)
         self.log = log
-        self.components = [make(log) for make in components]
+        self.components = [create(log) for create in components]
         self._compact_segments = compact_segments
-        self._worth_compacting = compact_segments
+        self._compaction_threshold = compact_segments
 
     def handlers(self) -> Mapping[str, Handler]:
         """Return the RPC handlers of all components."""
-        merged: dict[str, Handler] = {}
+        handlers: dict[str, Handler] = {}
         for component in self.components:
-            merged.update(component.handlers())
-        return merged
+            handlers.update(component.handlers())
+        return handlers
 
     def depth(self) -> int:
         """Return the number of pending work items of all components."""
@@ -78,7 +78,7 @@
         for index, entry in enumerate(entries):
             for component in self.components:
                 component.replay(entry)
-            if index % REPLAY_SLICE == 0:
+            if index % REPLAY_YIELD_ENTRIES == 0:
                 # Replaying a long log must not delay heartbeats and lease renewals of the process.
                 await asyncio.sleep(0)
         for component in self.components:
@@ -92,17 +92,17 @@
         async with asyncio.TaskGroup() as tasks:
             for component in self.components:
                 tasks.create_task(component.serve())
-            tasks.create_task(self._compact_forever())
+            tasks.create_task(self._compact_periodically())
 
     async def drain(self) -> None:
         """Refuse new requests and wait for appends in progress."""
         self._stop(Phase.DRAINING)
         try:
-            async with asyncio.timeout(DRAIN_S):
+            async with asyncio.timeout(DRAIN_TIMEOUT_S):
                 await asyncio.gather(*(component.drain() for component in self.components))
         except TimeoutError:
             logger.warning(
-                "{}: appends still in progress after {} s", self.tenure.partition, DRAIN_S
+                "{}: appends still in progress after {} s", self.tenure.partition, DRAIN_TIMEOUT_S
             )
 
     async def close(self) -> None:
@@ -115,20 +115,20 @@
         for component in self.components:
             component.ready = False
 
-    async def _compact_forever(self) -> None:
+    async def _compact_periodically(self) -> None:
         while True:
-            await self.ctx.clock.sleep(COMPACT_CHECK_S)
+            await self.ctx.clock.sleep(COMPACT_CHECK_INTERVAL_S)
             settled = all(component.settled() for component in self.components)
-            if settled and self.log.size() >= self._worth_compacting:
+            if settled and self.log.size() >= self._compaction_threshold:
                 await self._compact()
 
     async def _compact(self) -> None:
-        kept = self._snapshot()
-        self._worth_compacting = worth_compacting(
-            kept=len(kept), fewest_segments=self._compact_segments
+        retained = self._snapshot()
+        self._compaction_threshold = compaction_threshold(
+            retained=len(retained), min_segments=self._compact_segments
         )
         try:
-            await self.log.compact(kept)
+            await self.log.compact(retained)
         except LogFenced:
             self._stop(Phase.STOPPED)
         except LogError as exc:
--- a/rhubarbferry/scheduler/lifecycle.py
+++ b/rhubarbferry/scheduler/lifecycle.py
@@ -15,135 +15,137 @@
 from rhubarbferry.scheduler import metrics
 from rhubarbferry.scheduler.partition import Partition, Phase
 
-FIRST_RETRY_S = 0.1
-LAST_RETRY_S = 3.0
-CLOSE_S = 2.0
+MIN_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 3.0
+CLOSE_TIMEOUT_S = 2.0
 CORRUPT = "corrupt"
-NOT_MADE = "not-made"
+NOT_CREATED = "not-made"
 
-MakePartition = Callable[[Tenure], Partition]
+PartitionFactory = Callable[[Tenure], Partition]
 
 
 @define(kw_only=True, eq=False)
-class _Held:
+class _OwnedPartition:
     """A tenure and its partition object, which is ``None`` while it can't be created.
 
-    :ivar trouble: reason why the partition is not served, empty if there is none.
+    :ivar failure: reason why the partition is not served, empty if there is none.
     """
 
     tenure: Tenure
     partition: Partition | None = None
     task: asyncio.Task[None] | None = None
-    trouble: str = ""
+    failure: str = ""
 
 
 class Lifecycle:
     """Run one task per owned partition, so that a failure affects only its own partition.
 
-    :param make: factory that creates the partition object for a tenure.
+    :param create: factory that creates the partition object for a tenure.
     """
 
-    def __init__(self, *, make: MakePartition) -> None:
-        self._make = make
-        self._held: dict[PartitionId, _Held] = {}
+    def __init__(self, *, create: PartitionFactory) -> None:
+        self._create = create
+        self._entries: dict[PartitionId, _OwnedPartition] = {}
 
     def find(self, partition: PartitionId) -> Partition | None:
         """Return the object of a partition, or ``None`` if it is not owned or not created."""
-        held = self._held.get(partition)
-        return None if held is None else held.partition
+        entry = self._entries.get(partition)
+        return None if entry is None else entry.partition
 
     async def won(self, tenure: Tenure) -> None:
         """Begin a tenure, after ending an earlier tenure of the same partition."""
         await self.lost(tenure.partition, below=tenure.epoch)
-        if tenure.partition in self._held:
+        if tenure.partition in self._entries:
             return
         logger.info("{}: won with epoch {}", tenure.partition, tenure.epoch)
-        held = _Held(tenure=tenure)
-        self._try_to_make(held)
-        self._held[tenure.partition] = held
-        held.task = asyncio.create_task(self._live(held))
+        entry = _OwnedPartition(tenure=tenure)
+        self._try_to_create(entry)
+        self._entries[tenure.partition] = entry
+        entry.task = asyncio.create_task(self._run_tenure(entry))
 
     async def lost(self, partition: PartitionId, *, below: int) -> None:
         """End the tenure of a partition if its epoch is lower than ``below``."""
-        held = self._held.get(partition)
-        if held is None or held.tenure.epoch >= below:
+        entry = self._entries.get(partition)
+        if entry is None or entry.tenure.epoch >= below:
             return
-        del self._held[partition]
-        logger.info("{}: lost epoch {}", partition, held.tenure.epoch)
-        await self._end(held)
+        del self._entries[partition]
+        logger.info("{}: lost epoch {}", partition, entry.tenure.epoch)
+        await self._end(entry)
 
     async def drain(self, partition: PartitionId) -> None:
         """Drain a partition before its hand-over."""
-        held = self._held.get(partition)
-        if held is not None and held.partition is not None:
-            await held.partition.drain()
+        entry = self._entries.get(partition)
+        if entry is not None and entry.partition is not None:
+            await entry.partition.drain()
 
     async def close(self) -> None:
         """End all tenures."""
-        held, self._held = list(self._held.values()), {}
-        await asyncio.gather(*(self._end(one) for one in held))
+        entries, self._entries = list(self._entries.values()), {}
+        await asyncio.gather(*(self._end(entry) for entry in entries))
 
     def owned(self) -> tuple[PartitionId, ...]:
         """Return the partitions owned by this process."""
-        return tuple(self._held)
+        return tuple(self._entries)
 
     def status(self) -> list[PartitionStatus]:
         """Return the status of each owned partition."""
-        return [_status(id, held) for id, held in sorted(self._held.items())]
+        return [
+            _status(partition_id, entry) for partition_id, entry in sorted(self._entries.items())
+        ]
 
     # ------------------------------------------------------------ internals
 
-    async def _end(self, held: _Held) -> None:
-        if held.task is not None:
-            held.task.cancel()
-            await asyncio.gather(held.task, return_exceptions=True)
-        await self._close(held.partition)
+    async def _end(self, entry: _OwnedPartition) -> None:
+        if entry.task is not None:
+            entry.task.cancel()
+            await asyncio.gather(entry.task, return_exceptions=True)
+        await self._close(entry.partition)
 
     async def _close(self, partition: Partition | None) -> None:
         if partition is None:
             return
         try:
             # Bounded in time, because ownership events of all partitions wait for it.
-            async with asyncio.timeout(CLOSE_S):
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await partition.close()
         except Exception as exc:
             logger.opt(exception=exc).error("{}: close failed", partition.tenure.partition)
 
-    async def _live(self, held: _Held) -> None:
-        pause = FIRST_RETRY_S
-        kind = held.tenure.partition.kind.value
+    async def _run_tenure(self, entry: _OwnedPartition) -> None:
+        retry_delay_s = MIN_RETRY_DELAY_S
+        kind = entry.tenure.partition.kind.value
         while True:
-            if held.partition is None:
-                await asyncio.sleep(pause)
-                pause = min(2 * pause, LAST_RETRY_S)
-                self._try_to_make(held)
+            if entry.partition is None:
+                await asyncio.sleep(retry_delay_s)
+                retry_delay_s = min(2 * retry_delay_s, MAX_RETRY_DELAY_S)
+                self._try_to_create(entry)
                 continue
             try:
-                await held.partition.recover()
+                await entry.partition.recover()
                 metrics.RECOVERIES.labels(kind, "ok").inc()
-                pause = FIRST_RETRY_S
-                logger.info("{}: serving", held.tenure.partition)
-                await held.partition.serve()
+                retry_delay_s = MIN_RETRY_DELAY_S
+                logger.info("{}: serving", entry.tenure.partition)
+                await entry.partition.serve()
                 return
             except LogCorrupt as exc:
                 # A retry would read the same bytes. The state can't be rebuilt, so the partition
                 # stays stopped until an operator repairs the record named in the message.
                 metrics.RECOVERIES.labels(kind, CORRUPT).inc()
-                logger.error("{}: stopped: {}", held.tenure.partition, exc)
-                held.trouble = f"{CORRUPT}: {exc}"
-                held.partition.phase = Phase.STOPPED
+                logger.error("{}: stopped: {}", entry.tenure.partition, exc)
+                entry.failure = f"{CORRUPT}: {exc}"
+                entry.partition.phase = Phase.STOPPED
                 return
             except Exception as exc:
                 metrics.RECOVERIES.labels(kind, "failed").inc()
                 logger.opt(exception=exc).warning(
-                    "{}: failed, restarting with a new partition object", held.tenure.partition
+                    "{}: failed, restarting with a new partition object", entry.tenure.partition
                 )
-            await self._close(held.partition)
-            await asyncio.sleep(pause)
-            pause = min(2 * pause, LAST_RETRY_S)
-            self._try_to_make(held)
+            await self._close(entry.partition)
+            await asyncio.sleep(retry_delay_s)
+            retry_delay_s = min(2 * retry_delay_s, MAX_RETRY_DELAY_S)
+            self._try_to_create(entry)
 
-    def _try_to_make(self, held: _Held) -> None:
+    def _try_to_create(self, entry: _OwnedPartition) -> None:
         """Create the partition object of a tenure; on failure, leave it to a later retry.
 
         The code of the partition kind is imported and run here for the first time. If an error
@@ -151,24 +153,24 @@
         until no scheduler is left for any partition.
         """
         try:
-            held.partition = self._make(held.tenure)
+            entry.partition = self._create(entry.tenure)
         except Exception as exc:
-            held.partition = None
-            held.trouble = f"{NOT_MADE}: {type(exc).__name__}: {exc}"
-            metrics.RECOVERIES.labels(held.tenure.partition.kind.value, NOT_MADE).inc()
+            entry.partition = None
+            entry.failure = f"{NOT_CREATED}: {type(exc).__name__}: {exc}"
+            metrics.RECOVERIES.labels(entry.tenure.partition.kind.value, NOT_CREATED).inc()
             logger.opt(exception=exc).error(
-                "{}: partition object could not be created", held.tenure.partition
+                "{}: partition object could not be created", entry.tenure.partition
             )
         else:
-            held.trouble = ""
+            entry.failure = ""
 
 
-def _status(id: PartitionId, held: _Held) -> PartitionStatus:
-    partition = held.partition
+def _status(partition_id: PartitionId, entry: _OwnedPartition) -> PartitionStatus:
+    partition = entry.partition
     phase = Phase.RECOVERING if partition is None else partition.phase
     return PartitionStatus(
-        partition=str(id),
-        epoch=held.tenure.epoch,
-        phase=held.trouble or phase.value,
+        partition=str(partition_id),
+        epoch=entry.tenure.epoch,
+        phase=entry.failure or phase.value,
         depth=0 if partition is None else partition.depth(),
     )
--- a/rhubarbferry/scheduler/messages.py
+++ b/rhubarbferry/scheduler/messages.py
@@ -44,9 +44,9 @@
     )
 
 
-def reported(told: t.WorkerHeldTask) -> Reported:
+def reported(message: t.WorkerHeldTask) -> Reported:
     """Return a worker's report about one attempt."""
-    task = told.task
+    task = message.task
     attempt = Attempt(
         task_id=task.task_id,
         attempt=task.attempt,
@@ -61,8 +61,8 @@
         run_ms=task.run_ms,
         payload=task.payload,
     )
-    end = None if told.running or told.end is None else End(int(told.end))
-    return Reported(attempt=attempt, end=end, ran_ms=told.ran_ms)
+    end = None if message.running or message.end is None else End(int(message.end))
+    return Reported(attempt=attempt, end=end, ran_ms=message.ran_ms)
 
 
 def worker_task(attempt: Attempt) -> t.WorkerTask:
--- a/rhubarbferry/scheduler/registry.py
+++ b/rhubarbferry/scheduler/registry.py
@@ -22,27 +22,27 @@
         self._ctx = ctx
         self._reports = reports
 
-    def make(self, tenure: Tenure) -> Partition:
+    def create(self, tenure: Tenure) -> Partition:
         """Return a new partition object for a tenure."""
         match tenure.partition.kind:
             case PartitionKind.RUNNER:
-                return self._runner(tenure)
+                return self._create_runner(tenure)
             case PartitionKind.KEY:
-                return self._key(tenure)
+                return self._create_key(tenure)
             case PartitionKind.WORKER:
-                return self._worker(cast(RackTenure, tenure))
+                return self._create_worker(cast(RackTenure, tenure))
 
-    def _runner(self, tenure: Tenure) -> Partition:
+    def _create_runner(self, tenure: Tenure) -> Partition:
         from rhubarbferry.scheduler.runner_partition import RunnerPartition
 
         return RunnerPartition(tenure=tenure, ctx=self._ctx, reports=self._reports)
 
-    def _worker(self, tenure: RackTenure) -> Partition:
+    def _create_worker(self, tenure: RackTenure) -> Partition:
         from rhubarbferry.scheduler.worker_partition import WorkerPartition
 
         return WorkerPartition(tenure=tenure, ctx=self._ctx)
 
-    def _key(self, tenure: Tenure) -> Partition:
+    def _create_key(self, tenure: Tenure) -> Partition:
         from rhubarbferry.core.intents import IntentRules
         from rhubarbferry.scheduler.intents import IntentRegistry
         from rhubarbferry.scheduler.job_home import JobHome
@@ -56,14 +56,14 @@
         return KeyPartition(
             tenure=tenure,
             ctx=ctx,
-            log=self._log(tenure),
+            log=self._create_log(tenure),
             components=[
                 lambda log: IntentRegistry(tenure=tenure, ctx=ctx, log=log, rules=rules),
                 lambda log: JobHome(tenure=tenure, ctx=ctx, log=log),
             ],
         )
 
-    def _log(self, tenure: Tenure) -> EntryLog:
+    def _create_log(self, tenure: Tenure) -> EntryLog:
         from rhubarbferry.coordination.log import SealedLog
 
         return SealedLog(
--- a/rhubarbferry/scheduler/runner_list.py
+++ b/rhubarbferry/scheduler/runner_list.py
@@ -12,8 +12,8 @@
 class RunnerList:
     """Synchronize the runners of a ledger with the platform's host list.
 
-    :ivar word_from: earliest time, on the monotonic clock, at which a probe must be sent for the
-        first report of a runner to be accepted.
+    :ivar reports_valid_from: time on the monotonic clock; the first report of a runner is accepted
+        only if its probe was sent at this time or later.
     """
 
     def __init__(
@@ -24,7 +24,7 @@
         self._ledger = ledger
         self._ejector = ejector
         self._slots = 0
-        self.word_from = ctx.clock.monotonic()
+        self.reports_valid_from = ctx.clock.monotonic()
 
     def outdated(self) -> bool:
         """Return whether the configured slots have changed since the last :meth:`sync`."""
@@ -33,14 +33,14 @@
     def sync(self) -> None:
         """Add, update and remove runners according to the host list."""
         slots = self._slots = self._configured_slots()
-        listed = {host.id: host for host in self._ctx.hosts.hosts() if self._is_mine(host)}
+        listed = {host.id: host for host in self._ctx.hosts.hosts() if self._matches(host)}
         for host in listed.values():
             known = host.id in self._ledger.runners
             runner = self._ledger.put_runner(
                 id=host.id, address=host.address, slots=slots, leaving=host.leaving
             )
             if not known or runner.said_slots is None:
-                self._block(runner)
+                self._block_until_reported(runner)
         for id in [id for id in self._ledger.runners if id not in listed]:
             self._ledger.drop_runner(id)
             self._ejector.forget(id)
@@ -49,7 +49,7 @@
         service = self._ctx.cell.current().services.get(self._partition.name)
         return 0 if service is None else service.slots
 
-    def _block(self, runner: Runner) -> None:
+    def _block_until_reported(self, runner: Runner) -> None:
         """Treat a runner that has not reported yet as fully occupied.
 
         An earlier owner may have granted its slots to requests that no responding guard reported.
@@ -58,12 +58,12 @@
             return
         now = self._ctx.clock.monotonic()
         longest_s = self._ctx.cfg.ownership.longest_request_s
-        self._ledger.block(runner.id, until=now + longest_s, word_from=self.word_from)
+        self._ledger.block(runner.id, until=now + longest_s, word_from=self.reports_valid_from)
 
-    def _is_mine(self, host: Host) -> bool:
-        mine = self._partition
+    def _matches(self, host: Host) -> bool:
+        partition = self._partition
         return (
             host.kind is HostKind.RUNNER
-            and host.region == mine.region
-            and host.service == mine.name
+            and host.region == partition.region
+            and host.service == partition.name
         )
--- a/rhubarbferry/scheduler/runner_partition.py
+++ b/rhubarbferry/scheduler/runner_partition.py
@@ -47,16 +47,16 @@
 from rhubarbferry.scheduler.runner_list import RunnerList
 from rhubarbferry.scheduler.runner_probes import RunnerProbes
 from rhubarbferry.scheduler.slot_ends import SlotEnds
-from rhubarbferry.scheduler.terms import TermsBook
+from rhubarbferry.scheduler.terms import AccountTerms
 
-TICK_S = 0.25
+TICK_INTERVAL_S = 0.25
 TICK_ROUNDING_S = 0.001
-MISSING_S = 1.0
-SETTLE_S = 0.5
+FRONTEND_GONE_AFTER_S = 1.0
+SETTLE_DELAY_S = 0.5
 RELEASE_MARGIN_S = 2.0
-DRAIN_S = 2.0
+DRAIN_TIMEOUT_S = 2.0
 REPLY_MARGIN_S = 1.0
-WAIT_NOT_KNOWN_MS = -1
+UNKNOWN_WAIT_MS = -1
 
 
 class RunnerPartition(Partition):
@@ -73,14 +73,14 @@
         self.ledger = SlotLedger(
             rules=SlotRules(
                 margin_s=RELEASE_MARGIN_S,
-                settle_s=SETTLE_S,
+                settle_s=SETTLE_DELAY_S,
                 longest_request_s=own.longest_request_s,
             )
         )
         self.queue = RequestQueue(rules=QueueRules(max_waiting=req.max_waiting))
         self.ejector = Ejector()
-        self._terms = TermsBook(partition=tenure.partition)
-        self._ends = SlotEnds(
+        self._terms = AccountTerms(partition=tenure.partition)
+        self._slot_ends = SlotEnds(
             name=self._name,
             clock=ctx.clock,
             ledger=self.ledger,
@@ -88,20 +88,20 @@
             ejector=self.ejector,
             grant_usable_s=req.grant_usable_s,
         )
-        self._listed = RunnerList(
+        self._runner_list = RunnerList(
             partition=tenure.partition, ctx=ctx, ledger=self.ledger, ejector=self.ejector
         )
-        self._adoption = Adoption(tenure=tenure, ctx=ctx, take=self._ends.adopt)
+        self._adoption = Adoption(tenure=tenure, ctx=ctx, on_grants=self._slot_ends.adopt)
         self._probes = RunnerProbes(
             reports=reports,
             clock=ctx.clock,
             ledger=self.ledger,
-            hear=self._hear,
+            on_report=self._apply_report,
             probe_s=req.probe_s,
         )
         self._grant_ids = iter(grant_ids(tenure.epoch))
-        self._answers: dict[str, asyncio.Future[GrantReply]] = {}
-        self._missing: dict[str, float] = {}
+        self._replies: dict[str, asyncio.Future[GrantReply]] = {}
+        self._missing_since: dict[str, float] = {}
         self._tick_now = asyncio.Event()
         self._tick_at = 0.0
         metrics.WAITING.labels(self._name).set(0)
@@ -127,31 +127,31 @@
         own, req = self.ctx.cfg.ownership, self.ctx.cfg.requests
         # Guards that are unreachable from here may still give promises to an earlier owner on
         # their side of a network partition. Only the maximum extension of a tenure bounds that.
-        await self._adoption.until_majority(
-            give_up_s=own.longest_extension_s
+        await self._adoption.wait_for_majority(
+            max_wait_s=own.longest_extension_s
             + own.promise_s
             + req.grant_usable_s
             + own.longest_request_s
         )
-        self._listed.word_from = self._clock.monotonic()
-        if not self._adoption.all_heard():
+        self._runner_list.reports_valid_from = self._clock.monotonic()
+        if not self._adoption.all_acknowledged():
             # A guard that has not replied may still use a grant. A runner probed before that would
             # report "not running" for a request that reaches it a moment later.
-            self._listed.word_from += req.grant_usable_s + SETTLE_S
+            self._runner_list.reports_valid_from += req.grant_usable_s + SETTLE_DELAY_S
         self._sync_terms()
         self._sync_runners()
-        if self._adoption.all_heard():
-            await self._probes.ask(self.ledger.to_ask())
+        if self._adoption.all_acknowledged():
+            await self._probes.probe(self.ledger.to_ask())
 
     async def serve(self) -> None:
         """Grant slots to waiting requests until cancelled."""
         self.phase = Phase.SERVING
-        self._pump()
+        self._grant_waiting()
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._tick_forever())
+            tasks.create_task(self._tick_periodically())
             tasks.create_task(self._follow_hosts())
-            tasks.create_task(self._probes.run(lambda: self._listed.word_from))
-            tasks.create_task(self._adoption.follow())
+            tasks.create_task(self._probes.run(lambda: self._runner_list.reports_valid_from))
+            tasks.create_task(self._adoption.poll_pending())
 
     async def drain(self) -> None:
         """Stop granting, redirect waiting requests and wait for grants with an unknown end.
@@ -159,16 +159,16 @@
         Open grants stay with their frontends, which report them to the successor.
         """
         self.phase = Phase.DRAINING
-        self._answer_all_not_owner()
-        give_up_at = self._clock.monotonic() + DRAIN_S
-        while self.ledger.to_ask() and self._clock.monotonic() < give_up_at:
-            await self._probes.ask(self.ledger.to_ask())
-            await self._clock.sleep(SETTLE_S / 2)
+        self._redirect_all()
+        deadline = self._clock.monotonic() + DRAIN_TIMEOUT_S
+        while self.ledger.to_ask() and self._clock.monotonic() < deadline:
+            await self._probes.probe(self.ledger.to_ask())
+            await self._clock.sleep(SETTLE_DELAY_S / 2)
 
     async def close(self) -> None:
         """Reply to waiting requests that this process is no longer the owner."""
         self.phase = Phase.STOPPED
-        self._answer_all_not_owner()
+        self._redirect_all()
         metrics.WAITING.remove(self._name)
         metrics.SLOTS_BUSY.remove(self._name)
 
@@ -176,9 +176,9 @@
 
     async def grant(self, req: GrantRequest) -> GrantReply:
         """Reply with a slot as soon as one is free for the request, or with a refusal."""
-        if not self._answers_grants(req.epoch):
+        if not self._accepts_grants(req.epoch):
             return self._not_owner()
-        known = self._granted_before(req)
+        known = self._repeat_grant(req)
         if known is not None:
             return known
         now = self._clock.monotonic()
@@ -192,12 +192,12 @@
             enqueued_at=now,
             excluded=frozenset(req.excluded_runners or ()),
         )
-        self._abandon(req.request_id)
+        self._discard(req.request_id)
         if self.phase is Phase.RECOVERING:
             self._sync_terms()
         match self._offer(waiting, now):
             case Failure(refusal):
-                reply = self._refused(refusal)
+                reply = self._refusal(refusal)
                 reply.expected_wait_ms = self._expected_wait_ms(req.account, waiting.priority)
                 return reply
             case Success(admitted):
@@ -211,34 +211,34 @@
         )
 
     async def _wait(self, waiting: Waiting, remaining_s: float) -> GrantReply:
-        fut: asyncio.Future[GrantReply] = asyncio.get_running_loop().create_future()
-        self._answers[waiting.request_id] = fut
-        self._pump()
-        if fut.done():
-            return fut.result()
+        future: asyncio.Future[GrantReply] = asyncio.get_running_loop().create_future()
+        self._replies[waiting.request_id] = future
+        self._grant_waiting()
+        if future.done():
+            return future.result()
         if waiting.latest_start < self._tick_at:
             self._tick_now.set()
         try:
             async with asyncio.timeout(remaining_s + REPLY_MARGIN_S):
-                return await fut
+                return await future
         except TimeoutError:
-            return self._refused(Refusal(reason=RefusalReason.TOO_LATE, retry_after_s=1.0))
+            return self._refusal(Refusal(reason=RefusalReason.TOO_LATE, retry_after_s=1.0))
         except asyncio.CancelledError:
-            self._reply_lost(waiting, fut)
+            self._mark_reply_lost(waiting, future)
             raise
         finally:
-            if self._answers.get(waiting.request_id) is fut:
-                self._abandon(waiting.request_id)
+            if self._replies.get(waiting.request_id) is future:
+                self._discard(waiting.request_id)
 
-    def _reply_lost(self, waiting: Waiting, fut: asyncio.Future[GrantReply]) -> None:
+    def _mark_reply_lost(self, waiting: Waiting, future: asyncio.Future[GrantReply]) -> None:
         """Mark a grant whose reply may not have reached the frontend as having an unknown end.
 
         The connection broke while the reply was in transit. Without this, the slot would stay
         taken until the request's deadline; it can't be freed, because it may be in use.
         """
-        if not fut.done() or fut.cancelled():
+        if not future.done() or future.cancelled():
             return
-        grant_id = fut.result().grant_id
+        grant_id = future.result().grant_id
         if grant_id is not None:
             self.ledger.release(grant_id, SlotEnd.UNKNOWN, now=self._clock.monotonic())
 
@@ -248,9 +248,9 @@
         if not serving or req.epoch > self.tenure.epoch:
             return ReleaseReply(epoch=self.tenure.epoch, accepted=False)
         for item in req.releases:
-            if self._ends.release(item):
-                self._probes.soon()
-        self._pump()
+            if self._slot_ends.release(item):
+                self._probes.probe_soon()
+        self._grant_waiting()
         return ReleaseReply(epoch=self.tenure.epoch, accepted=True)
 
     async def abandon(self, req: AbandonRequest) -> AbandonReply:
@@ -261,11 +261,11 @@
         """
         if req.epoch > self.tenure.epoch:
             return AbandonReply(accepted=False)
-        self._abandon(req.request_id)
+        self._discard(req.request_id)
         now = self._clock.monotonic()
         for lease in self._leases_of(req.request_id, req.frontend_id):
             self.ledger.release(lease.grant_id, SlotEnd.UNKNOWN, now=now)
-            self._probes.soon()
+            self._probes.probe_soon()
         return AbandonReply(accepted=True)
 
     async def waits(self, req: WaitsRequest) -> WaitsReply:
@@ -274,8 +274,8 @@
         if self.phase is not Phase.SERVING or req.epoch > epoch or not self.may_act():
             return WaitsReply(owner=False, epoch=epoch, waits_ms=[])
         waits_ms = [
-            self._expected_wait_ms(asked.account, PriorityClass(asked.priority))
-            for asked in req.classes
+            self._expected_wait_ms(requested.account, PriorityClass(requested.priority))
+            for requested in req.classes
         ]
         return WaitsReply(owner=True, epoch=epoch, waits_ms=waits_ms)
 
@@ -283,9 +283,9 @@
         slots, free = self.ledger.capacity(), self.ledger.free()
         # Before the first measured service time, the wait is known to be zero while slots are free
         # and unknown otherwise.
-        guess = self.queue.times.seen == 0 and free == 0
-        if slots == 0 or guess or not self.queue.knows(account):
-            return WAIT_NOT_KNOWN_MS
+        unmeasured = self.queue.times.seen == 0 and free == 0
+        if slots == 0 or unmeasured or not self.queue.knows(account):
+            return UNKNOWN_WAIT_MS
         return int(1000 * self.queue.expected_wait(account, priority, slots=slots, free=free))
 
     def _leases_of(self, request_id: str, frontend_id: str) -> list[SlotLease]:
@@ -301,14 +301,14 @@
         """Return whether this process may send decisions now."""
         return self.tenure.holds()
 
-    def _answers_grants(self, epoch: int) -> bool:
+    def _accepts_grants(self, epoch: int) -> bool:
         if epoch > self.tenure.epoch:
             return False
         if self.phase is Phase.RECOVERING:
             return True
         return self.phase is Phase.SERVING and self.may_act()
 
-    def _pump(self) -> None:
+    def _grant_waiting(self) -> None:
         """Grant free slots to waiting requests in queue order."""
         if self.phase is not Phase.SERVING:
             return
@@ -345,16 +345,16 @@
         )
         self.ledger.grant(lease)
         self.ejector.started(runner.id, waiting.request_id, now=now)
-        self._ends.charge(lease, self.queue.start(waiting))
+        self._slot_ends.charge(lease, self.queue.start(waiting))
         metrics.GRANTS.labels(waiting.account).inc()
         metrics.WAITS.labels(waiting.account, waiting.priority.name.lower()).observe(
             now - waiting.enqueued_at
         )
         waited_s = now - waiting.enqueued_at
-        reply = self._granted(lease, runner, now, priority=waiting.priority, waited_s=waited_s)
-        self._answer(waiting.request_id, reply)
+        reply = self._grant_reply(lease, runner, now, priority=waiting.priority, waited_s=waited_s)
+        self._send_reply(waiting.request_id, reply)
 
-    def _granted(
+    def _grant_reply(
         self,
         lease: SlotLease,
         runner: Runner,
@@ -380,7 +380,7 @@
             expected_wait_ms=self._expected_wait_ms(lease.account, priority),
         )
 
-    def _granted_before(self, req: GrantRequest) -> GrantReply | None:
+    def _repeat_grant(self, req: GrantRequest) -> GrantReply | None:
         """Return the same grant again to a request that is retried after a lost reply."""
         now = self._clock.monotonic()
         for lease in self._leases_of(req.request_id, req.frontend_id):
@@ -388,29 +388,29 @@
             if lease.runner_id in excluded or lease.usable_until <= now or not self.may_act():
                 continue
             runner = self.ledger.runners[lease.runner_id]
-            return self._granted(lease, runner, now, priority=PriorityClass(req.priority))
+            return self._grant_reply(lease, runner, now, priority=PriorityClass(req.priority))
         return None
 
     # ------------------------------------------------------------ replies
 
-    def _answer(self, request_id: str, reply: GrantReply) -> None:
-        fut = self._answers.pop(request_id, None)
-        if fut is not None and not fut.done():
-            fut.set_result(reply)
+    def _send_reply(self, request_id: str, reply: GrantReply) -> None:
+        future = self._replies.pop(request_id, None)
+        if future is not None and not future.done():
+            future.set_result(reply)
 
-    def _abandon(self, request_id: str) -> None:
+    def _discard(self, request_id: str) -> None:
         self.queue.abandon(request_id)
-        self._answer(request_id, self._not_owner())
+        self._send_reply(request_id, self._not_owner())
 
-    def _answer_all_not_owner(self) -> None:
-        for request_id in list(self._answers):
-            self._abandon(request_id)
+    def _redirect_all(self) -> None:
+        for request_id in list(self._replies):
+            self._discard(request_id)
 
     def _refuse_waiting(self, waiting: Waiting, reason: RefusalReason) -> None:
         refusal = Refusal(reason=reason, retry_after_s=max(0.1, self.queue.times.mean_s))
-        self._answer(waiting.request_id, self._refused(refusal))
+        self._send_reply(waiting.request_id, self._refusal(refusal))
 
-    def _refused(self, refusal: Refusal) -> GrantReply:
+    def _refusal(self, refusal: Refusal) -> GrantReply:
         metrics.REFUSALS.labels(refusal.reason.value).inc()
         return GrantReply(
             verdict=GrantVerdict.REFUSED,
@@ -422,13 +422,13 @@
     def _not_owner(self) -> GrantReply:
         return GrantReply(verdict=GrantVerdict.NOT_OWNER, epoch=self.tenure.epoch)
 
-    def _hear(self, word: RunnerWord) -> None:
-        self._ends.hear(word)
-        self._pump()
+    def _apply_report(self, report: RunnerWord) -> None:
+        self._slot_ends.apply_report(report)
+        self._grant_waiting()
 
     # ------------------------------------------------------------ background
 
-    async def _tick_forever(self) -> None:
+    async def _tick_periodically(self) -> None:
         while True:
             self._tick()
             self._tick_now.clear()
@@ -436,8 +436,10 @@
 
     async def _until_next_tick(self) -> None:
         now = self._clock.monotonic()
-        due = [at for at in (self.queue.next_expiry(), self.ledger.next_expiry()) if at is not None]
-        self._tick_at = min([now + TICK_S, *due])
+        expiries = [
+            at for at in (self.queue.next_expiry(), self.ledger.next_expiry()) if at is not None
+        ]
+        self._tick_at = min([now + TICK_INTERVAL_S, *expiries])
         try:
             async with asyncio.timeout(max(0.0, self._tick_at - now) + TICK_ROUNDING_S):
                 await self._tick_now.wait()
@@ -448,21 +450,21 @@
         now = self._clock.monotonic()
         for waiting in self.queue.expire(now=now):
             self._refuse_waiting(waiting, RefusalReason.TOO_LATE)
-        self._ends.expire(now)
-        self._note_dead_frontends(now)
+        self._slot_ends.expire(now)
+        self._check_frontends(now)
         self._sync_terms()
-        if self._listed.outdated():
+        if self._runner_list.outdated():
             self._sync_runners()
-        self._pump()
+        self._grant_waiting()
         metrics.WAITING.labels(self._name).set(len(self.queue))
         metrics.SLOTS_BUSY.labels(self._name).set(len(self.ledger.leases))
 
-    def _note_dead_frontends(self, now: float) -> None:
+    def _check_frontends(self, now: float) -> None:
         live = {member.id for member in self.ctx.ownership.members(Role.FRONTEND)}
         missing = [id for id in self.ledger.frontends() if id not in live]
-        self._missing = {id: self._missing.get(id, now) for id in missing}
-        for id, since in self._missing.items():
-            if now - since >= MISSING_S:
+        self._missing_since = {id: self._missing_since.get(id, now) for id in missing}
+        for id, since in self._missing_since.items():
+            if now - since >= FRONTEND_GONE_AFTER_S:
                 self.ledger.frontend_gone(id, now=now)
 
     def _sync_terms(self) -> None:
@@ -474,8 +476,8 @@
         while True:
             await self.ctx.hosts.changed()
             self._sync_runners()
-            self._pump()
+            self._grant_waiting()
 
     def _sync_runners(self) -> None:
-        self._listed.sync()
-        self._probes.soon()
+        self._runner_list.sync()
+        self._probes.probe_soon()
--- a/rhubarbferry/scheduler/runner_probes.py
+++ b/rhubarbferry/scheduler/runner_probes.py
@@ -9,16 +9,16 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.runners import RunnerReports, RunnerUnreachable
 
-AT_ONCE = 32
-IDLE_TURNS = 5
-LEAST_PAUSE_S = 0.25
+MAX_CONCURRENT_PROBES = 32
+ROUNDS_PER_FULL_ROUND = 5
+MIN_PAUSE_S = 0.25
 
 
 class RunnerProbes:
     """Probe runners concurrently, with a global limit and one probe per runner at a time.
 
     :param ledger: provides the runners and those whose report could free slots.
-    :param hear: callback that receives each report.
+    :param on_report: callback that receives each report.
     :param probe_s: seconds between two rounds when no report is needed urgently.
     """
 
@@ -28,64 +28,64 @@
         reports: RunnerReports,
         clock: Clock,
         ledger: SlotLedger,
-        hear: Callable[[RunnerWord], None],
+        on_report: Callable[[RunnerWord], None],
         probe_s: float,
     ) -> None:
         self._ledger = ledger
         self._probe_s = probe_s
-        self._soon = asyncio.Event()
+        self._wake = asyncio.Event()
         self._reports = reports
         self._clock = clock
-        self._hear = hear
-        self._asking: set[str] = set()
-        self._room = asyncio.Semaphore(AT_ONCE)
+        self._on_report = on_report
+        self._in_progress: set[str] = set()
+        self._limit = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
 
-    def soon(self) -> None:
+    def probe_soon(self) -> None:
         """Start the next round immediately."""
-        self._soon.set()
+        self._wake.set()
 
-    async def run(self, word_from: Callable[[], float]) -> None:
+    async def run(self, reports_valid_from: Callable[[], float]) -> None:
         """Probe in rounds until cancelled.
 
-        :param word_from: returns the earliest time, on the monotonic clock, at which a probe must
-            be sent for the first report of a runner to be accepted.
+        :param reports_valid_from: returns a time on the monotonic clock; the first report of a
+            runner is accepted only if its probe was sent at this time or later.
         """
-        turn = 0
+        round_number = 0
         while True:
-            self._soon.clear()
-            turn += 1
-            everyone = turn % IDLE_TURNS == 0
-            runners = self._ledger.runners.values() if everyone else self._ledger.to_ask()
-            await self.ask(tuple(runners))
-            await self._until_next_round(word_from())
+            self._wake.clear()
+            round_number += 1
+            full_round = round_number % ROUNDS_PER_FULL_ROUND == 0
+            runners = self._ledger.runners.values() if full_round else self._ledger.to_ask()
+            await self.probe(tuple(runners))
+            await self._until_next_round(reports_valid_from())
 
-    async def _until_next_round(self, word_from: float) -> None:
-        pause = self._probe_s
+    async def _until_next_round(self, reports_valid_from: float) -> None:
+        pause_s = self._probe_s
         if self._ledger.to_ask():
-            pause = min(pause, max(LEAST_PAUSE_S, word_from - self._clock.monotonic()))
+            pause_s = min(pause_s, max(MIN_PAUSE_S, reports_valid_from - self._clock.monotonic()))
         try:
-            async with asyncio.timeout(pause):
-                await self._soon.wait()
+            async with asyncio.timeout(pause_s):
+                await self._wake.wait()
         except TimeoutError:
             pass
 
-    async def ask(self, runners: Iterable[Runner]) -> None:
+    async def probe(self, runners: Iterable[Runner]) -> None:
         """Probe each runner once; keep the state of runners that do not respond."""
-        idle = [runner for runner in runners if runner.id not in self._asking]
-        await asyncio.gather(*(self._ask(runner.id, runner.address) for runner in idle))
+        idle = [runner for runner in runners if runner.id not in self._in_progress]
+        await asyncio.gather(*(self._probe(runner.id, runner.address) for runner in idle))
 
-    async def _ask(self, runner_id: str, address: str) -> None:
-        self._asking.add(runner_id)
+    async def _probe(self, runner_id: str, address: str) -> None:
+        self._in_progress.add(runner_id)
         try:
-            async with self._room:
+            async with self._limit:
                 # Taken before the probe is sent, as the report may describe any moment since then.
                 asked_at = self._clock.monotonic()
                 report = await self._reports.report(runner_id=runner_id, address=address)
         except RunnerUnreachable:
             return
         finally:
-            self._asking.discard(runner_id)
-        self._hear(
+            self._in_progress.discard(runner_id)
+        self._on_report(
             RunnerWord(
                 runner_id=runner_id,
                 asked_at=asked_at,
--- a/rhubarbferry/scheduler/slot_ends.py
+++ b/rhubarbferry/scheduler/slot_ends.py
@@ -15,7 +15,7 @@
 from rhubarbferry.rpc.gen.ttypes import GrantEnd, OpenGrant, Release
 from rhubarbferry.scheduler import metrics
 
-ENDS = {
+SLOT_ENDS = {
     GrantEnd.DONE: SlotEnd.DONE,
     GrantEnd.NOT_SENT: SlotEnd.NOT_SENT,
     GrantEnd.REFUSED_BY_RUNNER: SlotEnd.REFUSED_BY_RUNNER,
@@ -64,22 +64,24 @@
         charge = Charge(account=lease.account, seconds=seconds, since=lease.granted_at)
         self._charges[lease.grant_id] = charge
 
-    def release(self, item: Release) -> bool:
+    def release(self, release_message: Release) -> bool:
         """Release a slot; return whether its runner should be probed about it."""
         now = self._clock.monotonic()
-        end = ENDS[item.end]
+        end = SLOT_ENDS[release_message.end]
         metrics.RELEASES.labels(end.value).inc()
-        grant_id = item.grant_id
+        grant_id = release_message.grant_id
         if grant_id not in self._ledger.leases:
             # The grant was known only from the runner's report, without its frontend.
-            stranger = self._ledger.find(runner_id=item.runner_id, request_id=item.request_id)
-            if stranger is None or stranger.frontend_id:
+            unattributed = self._ledger.find(
+                runner_id=release_message.runner_id, request_id=release_message.request_id
+            )
+            if unattributed is None or unattributed.frontend_id:
                 return False
-            grant_id = stranger.grant_id
+            grant_id = unattributed.grant_id
         lease = self._ledger.release(grant_id, end, now=now)
         if lease is None:
             return False
-        self._judge_runner(item, end, now)
+        self._rate_runner(release_message, end, now)
         if grant_id not in self._ledger.leases:
             self._settle([lease])
         return end in RUNNER_FAILURES
@@ -110,9 +112,9 @@
             self._queue.resume(grant.account)
             metrics.ADOPTED_GRANTS.inc()
 
-    def hear(self, word: RunnerWord) -> None:
+    def apply_report(self, report: RunnerWord) -> None:
         """Free the slots of requests that, by a runner's report, no longer run."""
-        freed = self._ledger.hear(word, now=self._clock.monotonic())
+        freed = self._ledger.hear(report, now=self._clock.monotonic())
         metrics.SLOTS_FREED.labels("runner").inc(len(freed))
         self._settle(freed)
 
@@ -122,20 +124,25 @@
         metrics.SLOTS_FREED.labels("deadline").inc(len(expired))
         self._settle(expired)
 
-    def _judge_runner(self, item: Release, end: SlotEnd, now: float) -> None:
-        service_s = item.service_ms / 1000
+    def _rate_runner(self, release_message: Release, end: SlotEnd, now: float) -> None:
+        service_s = release_message.service_ms / 1000
         if end is SlotEnd.DONE:
             self._queue.times.add(service_s)
-            self._ledger.served(item.runner_id, service_s)
-            self._ejector.succeeded(item.runner_id, item.request_id, now=now)
+            self._ledger.served(release_message.runner_id, service_s)
+            self._ejector.succeeded(release_message.runner_id, release_message.request_id, now=now)
         elif end is SlotEnd.NOT_SENT:
-            self._ejector.neither(item.runner_id, item.request_id)
+            self._ejector.neither(release_message.runner_id, release_message.request_id)
         elif self._ejector.failed(
-            item.runner_id, item.request_id, now=now, hosts=len(self._ledger.runners)
+            release_message.runner_id,
+            release_message.request_id,
+            now=now,
+            hosts=len(self._ledger.runners),
         ):
             metrics.EJECTIONS.inc()
             logger.warning(
-                "{}: runner {} ejected because its requests fail", self._name, item.runner_id
+                "{}: runner {} ejected because its requests fail",
+                self._name,
+                release_message.runner_id,
             )
 
     def _settle(self, leases: Iterable[SlotLease]) -> None:
--- a/rhubarbferry/scheduler/terms.py
+++ b/rhubarbferry/scheduler/terms.py
@@ -10,10 +10,10 @@
 from rhubarbferry.core.request_queue import Terms
 from rhubarbferry.ports.ownership import OwnershipView
 
-RISE_S = 10.0
+LIMIT_RISE_DELAY_S = 10.0
 
 
-class TermsBook:
+class AccountTerms:
     """Terms of all accounts, with limits divided among the runner partitions of the cell."""
 
     def __init__(self, *, partition: PartitionId) -> None:
@@ -36,12 +36,14 @@
 
     def _terms(self, account: Account, part: Part, *, now: float) -> Terms:
         limits = account.limits
-        concurrency = self._concurrency.setdefault(account.name, DelayedLimit(rise_s=RISE_S))
-        rate = self._rate.setdefault(account.name, DelayedLimit(rise_s=RISE_S))
-        most = concurrency.want(part.whole(limits.max_concurrency), now=now)
+        concurrency = self._concurrency.setdefault(
+            account.name, DelayedLimit(rise_s=LIMIT_RISE_DELAY_S)
+        )
+        rate = self._rate.setdefault(account.name, DelayedLimit(rise_s=LIMIT_RISE_DELAY_S))
+        max_concurrency = concurrency.want(part.whole(limits.max_concurrency), now=now)
         return Terms(
             share=account.share,
-            max_concurrency=None if most is None else int(most),
+            max_concurrency=None if max_concurrency is None else int(max_concurrency),
             rate_per_s=rate.want(part.rate(limits.rate_per_s), now=now),
             max_waiting=limits.max_waiting,
         )
--- a/rhubarbferry/scheduler/web.py
+++ b/rhubarbferry/scheduler/web.py
@@ -10,9 +10,9 @@
 
 from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 
-READ_S = 5.0
+READ_TIMEOUT_S = 5.0
 MAX_HEAD_BYTES = 8192
-PLAIN = "text/plain; charset=utf-8"
+PLAIN_TEXT = "text/plain; charset=utf-8"
 
 
 class OperatorPages:
@@ -39,7 +39,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            async with asyncio.timeout(READ_S):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 head = await reader.readuntil(b"\r\n\r\n")
                 writer.write(self._respond(head))
                 await writer.drain()
@@ -49,20 +49,20 @@
             writer.close()
 
     def _respond(self, head: bytes) -> bytes:
-        words = head.split(b"\r\n", 1)[0].split(b" ")
-        if len(words) != 3 or words[0] not in (b"GET", b"HEAD"):
-            return _response(400, "Bad Request", PLAIN, b"send GET\n")
-        match words[1].split(b"?")[0]:
+        request_line = head.split(b"\r\n", 1)[0].split(b" ")
+        if len(request_line) != 3 or request_line[0] not in (b"GET", b"HEAD"):
+            return _response(400, "Bad Request", PLAIN_TEXT, b"send GET\n")
+        match request_line[1].split(b"?")[0]:
             case b"/metrics":
                 return _response(200, "OK", CONTENT_TYPE_LATEST, generate_latest())
             case b"/healthz":
-                return _response(200, "OK", PLAIN, b"ok\n")
+                return _response(200, "OK", PLAIN_TEXT, b"ok\n")
             case b"/readyz" if self._ready():
-                return _response(200, "OK", PLAIN, b"ready\n")
+                return _response(200, "OK", PLAIN_TEXT, b"ready\n")
             case b"/readyz":
-                return _response(503, "Service Unavailable", PLAIN, b"draining\n")
+                return _response(503, "Service Unavailable", PLAIN_TEXT, b"draining\n")
             case _:
-                return _response(404, "Not Found", PLAIN, b"see /metrics, /healthz, /readyz\n")
+                return _response(404, "Not Found", PLAIN_TEXT, b"see /metrics, /healthz, /readyz\n")
 
 
 def _response(status: int, reason: str, kind: str, body: bytes) -> bytes:
--- a/rhubarbferry/scheduler/worker_link.py
+++ b/rhubarbferry/scheduler/worker_link.py
@@ -17,7 +17,7 @@
 from rhubarbferry.scheduler.context import Context
 from rhubarbferry.scheduler.messages import worker_task
 
-MAX_PER_CALL = 500
+MAX_ITEMS_PER_CALL = 500
 
 ADOPTIONS = Counter("rhubarbferry_worker_adoptions_total", "Adoptions of workers", ["result"])
 HEARTBEATS = Counter("rhubarbferry_worker_heartbeats_total", "Heartbeats to workers", ["result"])
@@ -41,14 +41,14 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Answered:
+class Replied:
     """A worker replied to any call, so its lease is extended from now."""
 
     worker: str
 
 
 @frozen(kw_only=True, slots=True)
-class Silent:
+class Unresponsive:
     """A worker does not reply, or has to be adopted again."""
 
     worker: str
@@ -62,7 +62,7 @@
     highest_epoch: int
 
 
-News = Adopted | Renewed | Answered | Silent | Fenced
+WorkerEvent = Adopted | Renewed | Replied | Unresponsive | Fenced
 
 
 @frozen(kw_only=True, slots=True)
@@ -95,18 +95,18 @@
         address: str,
         tenure: RackTenure,
         ctx: Context,
-        tell: Callable[[News], None],
+        on_event: Callable[[WorkerEvent], None],
     ) -> None:
         self.worker = worker
         self.address = address
         self.adopted = False
-        self._counts = False
+        self._counts_for_majority = False
         self._tenure = tenure
         self._ctx = ctx
-        self._tell = tell
-        self._answered = 0
+        self._on_event = on_event
+        self._last_reply = 0
         self._acks: dict[str, None] = {}
-        self._orders: dict[str, int] = {}
+        self._actions: dict[str, int] = {}
         self._wake = asyncio.Event()
         self._timeout_s = max(ctx.cfg.jobs.renew_s, 0.05)
 
@@ -126,9 +126,9 @@
         """Allow the worker, with the next heartbeat, to discard an ended attempt."""
         self._acks[task_id] = None
 
-    def order(self, task_id: str, action: int) -> None:
+    def send_action(self, task_id: str, action: int) -> None:
         """Send an action for a task to the worker immediately."""
-        self._orders[task_id] = max(action, self._orders.get(task_id, action), key=_severity)
+        self._actions[task_id] = max(action, self._actions.get(task_id, action), key=_rank)
         self._wake.set()
 
     def renew_soon(self) -> None:
@@ -148,18 +148,18 @@
             owner_id=self._ctx.member_id,
             lease_ms=self._lease_ms(),
             tasks=[worker_task(attempt) for attempt in attempts],
-            answered=self._answered,
+            answered=self._last_reply,
         )
         try:
             reply = await self._call("start", req)
         except PeerUnreachable as exc:
-            self._lost()
+            self._mark_unknown()
             return [Started(task_id=a.task_id, started=False, reason=str(exc)) for a in attempts]
         except RpcError as exc:
-            self._lost()
+            self._mark_unknown()
             return [Started(task_id=a.task_id, started=None, reason=str(exc)) for a in attempts]
-        self._heard(reply.number)
-        self._check_epoch(reply.highest_epoch)
+        self._note_reply(reply.number)
+        self._check_fenced(reply.highest_epoch)
         verdicts = {result.task_id: result.verdict for result in reply.results}
         return [self._started(attempt.task_id, verdicts) for attempt in attempts]
 
@@ -171,11 +171,11 @@
             case t.StartVerdict.STARTED | t.StartVerdict.ALREADY_HELD:
                 return Started(task_id=task_id, started=True)
             case None:
-                self._lost()
+                self._mark_unknown()
                 return Started(task_id=task_id, started=None, reason="the worker did not say")
             case t.StartVerdict.STALE_EPOCH | t.StartVerdict.NO_ROOM:
                 # The ledger and the worker disagree about held tasks; adopt to resynchronize.
-                self._lost()
+                self._mark_unknown()
         return Started(task_id=task_id, started=False, reason=f"the worker said {name}")
 
     async def _adopt(self) -> None:
@@ -188,23 +188,23 @@
             reply = await self._call("adopt", req)
         except RpcError:
             ADOPTIONS.labels("no_answer").inc()
-            self._tell(Silent(worker=self.worker))
+            self._on_event(Unresponsive(worker=self.worker))
             return
         if not reply.accepted:
             ADOPTIONS.labels("refused").inc()
-            self._check_epoch(reply.highest_epoch)
+            self._check_fenced(reply.highest_epoch)
             return
         ADOPTIONS.labels("adopted").inc()
-        self._answered = reply.number or 0
+        self._last_reply = reply.number or 0
         self.adopted = True
         # A restarted worker has lost the epochs it has seen. If an adoption after the end of the
         # lease counted towards this owner's majority, a successor could count the same worker.
-        self._counts = self._tenure.lease_holds()
-        self._tell(Adopted(worker=self.worker, reply=reply))
+        self._counts_for_majority = self._tenure.lease_holds()
+        self._on_event(Adopted(worker=self.worker, reply=reply))
 
     async def _renew(self) -> None:
-        acks = list(self._acks)[:MAX_PER_CALL]
-        orders = dict(list(self._orders.items())[:MAX_PER_CALL])
+        acks = list(self._acks)[:MAX_ITEMS_PER_CALL]
+        orders = dict(list(self._actions.items())[:MAX_ITEMS_PER_CALL])
         book, asked_at = self._tenure.book, self._ctx.clock.monotonic()
         version = book.version
         req = t.RenewRequest(
@@ -214,23 +214,23 @@
             lease_ms=self._lease_ms(),
             acknowledged=acks,
             orders=[t.TaskOrder(task_id=k, action=v) for k, v in orders.items()],
-            answered=self._answered,
-            settled=self._counts and self.worker in book.guards,
+            answered=self._last_reply,
+            settled=self._counts_for_majority and self.worker in book.guards,
         )
         try:
             reply = await self._call("renew", req)
         except RpcError:
             HEARTBEATS.labels("no_answer").inc()
-            self._tell(Silent(worker=self.worker))
+            self._on_event(Unresponsive(worker=self.worker))
             return
-        self._heard(reply.number)
+        self._note_reply(reply.number)
         if not reply.accepted:
             HEARTBEATS.labels("refused").inc()
-            self._check_epoch(reply.highest_epoch)
-            self._lost()
+            self._check_fenced(reply.highest_epoch)
+            self._mark_unknown()
             return
         HEARTBEATS.labels("answered").inc()
-        if self._counts:
+        if self._counts_for_majority:
             book.given(
                 guard=self.worker,
                 version=version,
@@ -240,12 +240,12 @@
         for task_id in acks:
             self._acks.pop(task_id, None)
         for task_id, action in orders.items():
-            if self._orders.get(task_id) == action:
-                del self._orders[task_id]
+            if self._actions.get(task_id) == action:
+                del self._actions[task_id]
         if not self.adopted:
             # The reply to a start was lost meanwhile; only an adoption may report held tasks.
             return
-        self._tell(Renewed(worker=self.worker, reply=reply))
+        self._on_event(Renewed(worker=self.worker, reply=reply))
         if self._acks:
             self._wake.set()
 
@@ -258,26 +258,26 @@
             region=self._tenure.partition.region,
         )
 
-    def _heard(self, number: int | None) -> None:
-        if number is not None and number > self._answered:
-            self._answered = number
-            self._tell(Answered(worker=self.worker))
+    def _note_reply(self, number: int | None) -> None:
+        if number is not None and number > self._last_reply:
+            self._last_reply = number
+            self._on_event(Replied(worker=self.worker))
 
-    def _check_epoch(self, highest_epoch: int) -> None:
+    def _check_fenced(self, highest_epoch: int) -> None:
         if highest_epoch > self._tenure.epoch:
-            self._tell(Fenced(worker=self.worker, highest_epoch=highest_epoch))
+            self._on_event(Fenced(worker=self.worker, highest_epoch=highest_epoch))
 
-    def _lost(self) -> None:
+    def _mark_unknown(self) -> None:
         if self.adopted:
             logger.info("worker {}: held tasks unknown, adopting it again", self.worker)
         self.adopted = False
-        self._tell(Silent(worker=self.worker))
+        self._on_event(Unresponsive(worker=self.worker))
         self._wake.set()
 
     def _lease_ms(self) -> int:
         return int(self._ctx.cfg.jobs.task_lease_s * 1000)
 
 
-def _severity(action: int) -> int:
+def _rank(action: int) -> int:
     """Return the rank of an action, so that a later throttle does not replace a stop."""
     return {t.TaskAction.THROTTLE: 0, t.TaskAction.CHECKPOINT: 1, t.TaskAction.STOP: 2}[action]
--- a/rhubarbferry/scheduler/worker_partition.py
+++ b/rhubarbferry/scheduler/worker_partition.py
@@ -25,7 +25,7 @@
 from rhubarbferry.ports.ownership import RackTenure
 from rhubarbferry.rpc import Handler
 from rhubarbferry.rpc.gen import ttypes as t
-from rhubarbferry.scheduler.claim_batcher import ClaimBatcher, HomeNumbers, Order
+from rhubarbferry.scheduler.claim_batcher import ClaimBatcher, QueuedRequest, RequestNumbers
 from rhubarbferry.scheduler.context import Context
 from rhubarbferry.scheduler.event_outbox import EventOutbox
 from rhubarbferry.scheduler.messages import (
@@ -39,19 +39,19 @@
 from rhubarbferry.scheduler.partition import Partition, Phase
 from rhubarbferry.scheduler.worker_link import (
     Adopted,
-    Answered,
     Fenced,
-    News,
     Renewed,
-    Silent,
+    Replied,
     Started,
+    Unresponsive,
+    WorkerEvent,
     WorkerLink,
 )
 
-WATCH_S = 0.1
-FIRST_ROUND_S = 1.0
+WATCH_INTERVAL_S = 0.1
+MAX_ADOPTION_WAIT_S = 1.0
 
-ACTIONS = {
+REMEDY_ACTIONS = {
     Remedy.THROTTLE: t.TaskAction.THROTTLE,
     Remedy.CHECKPOINT: t.TaskAction.CHECKPOINT,
     Remedy.STOP: t.TaskAction.STOP,
@@ -96,16 +96,16 @@
         self._ledger = WorkerLedger(lease_s=jobs.task_lease_s, margin_s=margin_s)
         self._ejector = Ejector()
         self._overruns = OverrunWatch()
-        self._numbers = HomeNumbers()
+        self._request_numbers = RequestNumbers()
         self._links: dict[str, WorkerLink] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._listed: set[str] = set()
         self._leaving: set[str] = set()
         self._fenced = False
-        self._heard = asyncio.Event()
+        self._worker_reported = asyncio.Event()
         self._outbox = EventOutbox(tenure=tenure, ctx=ctx, recorded=self._recorded)
         self._batcher = ClaimBatcher(
-            gather_s=jobs.claim_batch_s, clock=ctx.clock, decide=self._decide
+            batch_window_s=jobs.claim_batch_s, clock=ctx.clock, decide=self._decide
         )
 
     # ------------------------------------------------------------ lifecycle
@@ -123,14 +123,18 @@
     async def recover(self) -> None:
         """Adopt the workers; wait a bounded time for their replies."""
         self._sync_hosts()
-        self._look_at_takeover()
+        self._update_takeover()
         try:
-            async with asyncio.timeout(min(FIRST_ROUND_S, self.ctx.cfg.jobs.task_lease_s / 2)):
-                while self._unheard():
-                    self._heard.clear()
-                    await self._heard.wait()
+            async with asyncio.timeout(
+                min(MAX_ADOPTION_WAIT_S, self.ctx.cfg.jobs.task_lease_s / 2)
+            ):
+                while self._unheard_workers():
+                    self._worker_reported.clear()
+                    await self._worker_reported.wait()
         except TimeoutError:
-            logger.warning("{}: no reply from workers: {}", self.tenure.partition, self._unheard())
+            logger.warning(
+                "{}: no reply from workers: {}", self.tenure.partition, self._unheard_workers()
+            )
         self.phase = Phase.SERVING
 
     async def serve(self) -> None:
@@ -163,26 +167,26 @@
         """Start or reserve the claimed tasks that fit on a worker."""
         if not self._owns(req.epoch):
             return t.ClaimReply(owner=False, epoch=self.tenure.epoch, results=[])
-        if not self._numbers.accept(req.home, req.home_epoch, req.number):
-            return self._claim_reply(_refuse(req.claims, "a later request has arrived"))
+        if not self._request_numbers.accept(req.home, req.home_epoch, req.number):
+            return self._claim_reply(_refuse_all(req.claims, "a later request has arrived"))
         if self.phase is not Phase.SERVING:
-            return self._claim_reply(_refuse(req.claims, f"the partition is {self.phase}"))
+            return self._claim_reply(_refuse_all(req.claims, f"the partition is {self.phase}"))
         results = await self._batcher.submit(req)
         if results is None:
-            results = _refuse(req.claims, "too many claims wait; come back")
+            results = _refuse_all(req.claims, "too many claims wait; come back")
         return self._claim_reply(results)
 
     async def settle_reservation(self, req: t.ReservationRequest) -> t.ClaimReply:
         """Start reserved tasks or release their reservations."""
         if not self._owns(req.epoch):
             return t.ClaimReply(owner=False, epoch=self.tenure.epoch, results=[])
-        if not self._numbers.accept(req.home, req.home_epoch, req.number):
+        if not self._request_numbers.accept(req.home, req.home_epoch, req.number):
             return self._claim_reply(
                 [_result(task_id, t.ClaimVerdict.REFUSED, "stale") for task_id in req.task_ids]
             )
         if not req.commit:
             for task_id in req.task_ids:
-                self._give_back(task_id)
+                self._release_reservation(task_id)
             return self._claim_reply(
                 [_result(task_id, t.ClaimVerdict.NOT_STARTED) for task_id in req.task_ids]
             )
@@ -211,21 +215,21 @@
             action = t.TaskAction.THROTTLE
         elif req.checkpoint:
             action = t.TaskAction.CHECKPOINT
-        held_here = []
+        held_ids = []
         for task_id in req.task_ids:
-            if self._give_back(task_id):
+            if self._release_reservation(task_id):
                 continue
             held = self._ledger.held(task_id)
             if held is not None and held.attempt.home == req.home:
-                held_here.append(task_id)
-                self._order(held, action)
-        return t.StopTasksReply(owner=True, epoch=self.tenure.epoch, held=held_here)
+                held_ids.append(task_id)
+                self._send_action(held, action)
+        return t.StopTasksReply(owner=True, epoch=self.tenure.epoch, held=held_ids)
 
     async def held_tasks(self, req: t.HeldTasksRequest) -> t.HeldTasksReply:
         """Reply with the tasks held for a home; refuse its earlier requests from then on."""
         if not self._owns(req.epoch):
             return t.HeldTasksReply(owner=False, epoch=self.tenure.epoch, complete=False, tasks=[])
-        if not self._numbers.accept(req.home, req.home_epoch, req.number):
+        if not self._request_numbers.accept(req.home, req.home_epoch, req.number):
             return t.HeldTasksReply(owner=True, epoch=self.tenure.epoch, complete=False, tasks=[])
         tasks = []
         for held in list(self._ledger.all_held()):
@@ -239,7 +243,7 @@
         return t.HeldTasksReply(
             owner=True,
             epoch=self.tenure.epoch,
-            complete=not unheard and not self._list_missing(),
+            complete=not unheard and not self._host_list_unread(),
             tasks=tasks,
             unheard=unheard,
             heard=self._ledger.adopted(),
@@ -248,43 +252,43 @@
 
     # ------------------------------------------------------------ decisions
 
-    async def _decide(self, batch: Sequence[Order]) -> None:
+    async def _decide(self, batch: Sequence[QueuedRequest]) -> None:
         """Place the claims of a batch and wait for the replies of the workers."""
         now = self.ctx.clock.monotonic()
         self._ledger.expire(now)
-        results: dict[int, list[t.ClaimResult]] = {id(order): [] for order in batch}
+        results: dict[int, list[t.ClaimResult]] = {id(queued): [] for queued in batch}
         to_start: list[Held] = []
-        reply_to: dict[str, int] = {}
-        for order, claim in self._in_order(batch):
-            verdict = self._place(order, claim, now)
+        reply_index: dict[str, int] = {}
+        for queued, claim in self._sorted_claims(batch):
+            verdict = self._place(queued, claim, now)
             if isinstance(verdict, Held):
                 to_start.append(verdict)
-                reply_to[claim.task_id] = id(order)
+                reply_index[claim.task_id] = id(queued)
             else:
-                results[id(order)].append(verdict)
-        self._settle_without_starts(batch, results, set(reply_to.values()))
+                results[id(queued)].append(verdict)
+        self._reply_without_starts(batch, results, set(reply_index.values()))
         for result in await self._start(to_start):
-            results[reply_to[result.task_id]].append(result)
-        for order in batch:
-            if not order.results.done():
-                order.results.set_result(results[id(order)])
+            results[reply_index[result.task_id]].append(result)
+        for queued in batch:
+            if not queued.results.done():
+                queued.results.set_result(results[id(queued)])
 
     @staticmethod
-    def _settle_without_starts(
-        batch: Sequence[Order], results: dict[int, list[t.ClaimResult]], starting: set[int]
+    def _reply_without_starts(
+        batch: Sequence[QueuedRequest], results: dict[int, list[t.ClaimResult]], starting: set[int]
     ) -> None:
-        for order in batch:
-            if id(order) not in starting and not order.results.done():
-                order.results.set_result(results[id(order)])
+        for queued in batch:
+            if id(queued) not in starting and not queued.results.done():
+                queued.results.set_result(results[id(queued)])
 
-    def _in_order(self, batch: Sequence[Order]) -> list[tuple[Order, t.Claim]]:
+    def _sorted_claims(self, batch: Sequence[QueuedRequest]) -> list[tuple[QueuedRequest, t.Claim]]:
         """Sort claims by priority, account usage in this rack and descending task size."""
         usage = self._ledger.usage()
         total = self._ledger.total()
 
-        def rank(item: tuple[Order, t.Claim]) -> tuple[int, float, int, int]:
+        def rank(item: tuple[QueuedRequest, t.Claim]) -> tuple[int, float, int, int]:
             claim = item[1]
-            share = _dominant(usage.get(claim.account, Size()), total)
+            share = _dominant_share(usage.get(claim.account, Size()), total)
             return (
                 claim.priority,
                 round(share, 2),
@@ -292,13 +296,15 @@
                 -max(claim.size.millicores, claim.size.memory_bytes >> 21),
             )
 
-        return sorted(((order, claim) for order in batch for claim in order.req.claims), key=rank)
+        return sorted(
+            ((queued, claim) for queued in batch for claim in queued.req.claims), key=rank
+        )
 
-    def _place(self, order: Order, claim: t.Claim, now: float) -> Held | t.ClaimResult:
+    def _place(self, queued: QueuedRequest, claim: t.Claim, now: float) -> Held | t.ClaimResult:
         """Place a claim; return the attempt to start, or the result if there is none."""
-        req = order.req
+        req = queued.req
         verdict = t.ClaimVerdict
-        if not self._numbers.is_latest(req.home, req.home_epoch, req.number):
+        if not self._request_numbers.is_latest(req.home, req.home_epoch, req.number):
             return _result(claim.task_id, verdict.REFUSED, "a later request has arrived")
         known = self._ledger.held(claim.task_id)
         if known is not None:
@@ -310,21 +316,21 @@
         until = now + req.reserve_ms / 1000 if req.reserve_ms > 0 else 0.0
         held = self._ledger.place(attempt, spread=spread, now=now, reserved_until=until)
         if held is None:
-            self._keep_worker(attempt, claim, now)
+            self._make_room(attempt, claim, now)
             return _result(claim.task_id, verdict.NO_ROOM, self._why_no_room(attempt))
         self._ejector.started(held.worker, attempt.job_id, now=now)
-        self._open_or_close(held.worker)
+        self._update_accepting(held.worker)
         if until:
             return _result(
                 claim.task_id, verdict.RESERVED, worker=held.worker, attempt=claim.attempt
             )
         return held
 
-    def _keep_worker(self, attempt: Attempt, claim: t.Claim, now: float) -> None:
+    def _make_room(self, attempt: Attempt, claim: t.Claim, now: float) -> None:
         if claim.priority == t.Priority.URGENT and claim.kind != t.JobKind.GANG:
             for victim in self._ledger.preempt(attempt, now=now):
                 PREEMPTED.labels(victim.attempt.account).inc()
-                self._order(victim, t.TaskAction.CHECKPOINT)
+                self._send_action(victim, t.TaskAction.CHECKPOINT)
             return
         waited_s = (claim.waited_ms or 0) / 1000
         if waited_s >= self.ctx.cfg.jobs.patience_s and claim.kind != t.JobKind.GANG:
@@ -360,12 +366,15 @@
         link = self._links.get(worker)
         attempts = [entry.attempt for entry in entries]
         if link is None or not self._may_act():
-            said = [Started(task_id=a.task_id, started=False) for a in attempts]
+            outcomes = [Started(task_id=a.task_id, started=False) for a in attempts]
         else:
-            said = await link.start(attempts)
-        return [self._settle(entry, answer) for entry, answer in zip(entries, said, strict=True)]
+            outcomes = await link.start(attempts)
+        return [
+            self._apply_start(entry, answer)
+            for entry, answer in zip(entries, outcomes, strict=True)
+        ]
 
-    def _settle(self, held: Held, answer: Started) -> t.ClaimResult:
+    def _apply_start(self, held: Held, answer: Started) -> t.ClaimResult:
         task_id, attempt = held.attempt.task_id, held.attempt.attempt
         verdict = t.ClaimVerdict
         match answer.started:
@@ -382,38 +391,38 @@
                     # The worker has since reported the task as held, which takes precedence.
                     kind = verdict.HELD
                 self._ejector.neither(held.worker, held.attempt.job_id)
-                self._open_or_close(held.worker)
+                self._update_accepting(held.worker)
         return _result(task_id, kind, answer.reason, worker=held.worker, attempt=attempt)
 
-    def _give_back(self, task_id: str) -> bool:
+    def _release_reservation(self, task_id: str) -> bool:
         held = self._ledger.held(task_id)
         if held is None or held.state != HeldState.RESERVED:
             return False
         return self._ledger.release(task_id)
 
-    def _order(self, held: Held, action: int) -> None:
+    def _send_action(self, held: Held, action: int) -> None:
         link = self._links.get(held.worker)
         if link is None or held.state == HeldState.ENDED:
             return
         held.stopping = held.stopping or action != t.TaskAction.THROTTLE
-        link.order(held.attempt.task_id, action)
+        link.send_action(held.attempt.task_id, action)
 
     # ------------------------------------------------------------ worker events
 
-    def _tell(self, news: News) -> None:
+    def _apply_event(self, event: WorkerEvent) -> None:
         """Apply an event about a worker to the ledger; called by its link."""
         now = self.ctx.clock.monotonic()
-        if news.worker not in self._links:
+        if event.worker not in self._links:
             return
-        match news:
+        match event:
             case Adopted(worker=worker, reply=reply):
                 self._adopted(worker, reply, now)
             case Renewed(worker=worker, reply=reply):
                 self._ledger.answers(worker)
                 self._renewed(worker, reply)
-            case Answered(worker=worker):
+            case Replied(worker=worker):
                 self._ledger.extend(worker, now=now)
-            case Silent(worker=worker):
+            case Unresponsive(worker=worker):
                 self._ledger.silent(worker)
             case Fenced(highest_epoch=highest):
                 self._fenced = True
@@ -421,31 +430,31 @@
                 logger.warning(
                     "{}: superseded by the owner with epoch {}", self.tenure.partition, highest
                 )
-        self._heard.set()
+        self._worker_reported.set()
 
     def _adopted(self, worker: str, reply: t.WorkerAdoptReply, now: float) -> None:
-        told = [reported(task) for task in reply.tasks]
+        reports = [reported(task) for task in reply.tasks]
         capacity = Size(
             millicores=reply.capacity.millicores,
             memory_bytes=reply.capacity.memory_bytes,
             accelerators=reply.capacity.accelerators,
         )
         self._succession.heard(worker, settled_epoch=reply.settled_epoch or 0)
-        ended = self._ledger.adopt(worker, capacity=capacity, reported=told, now=now)
-        self._look_at_takeover()
+        ended = self._ledger.adopt(worker, capacity=capacity, reported=reports, now=now)
+        self._update_takeover()
         for held in ended:
             self._ended(held)
-        for report in told:
+        for report in reports:
             if report.end is not None and self._ledger.held(report.attempt.task_id) is None:
                 self._links[worker].acknowledge(report.attempt.task_id)
-        self._open_or_close(worker)
+        self._update_accepting(worker)
 
     def _renewed(self, worker: str, reply: t.RenewReply) -> None:
         link = self._links[worker]
         for usage in reply.usage:
             self._check_usage(usage)
-        for told in reply.ended:
-            report = reported(told)
+        for message in reply.ended:
+            report = reported(message)
             task_id = report.attempt.task_id
             if self._ledger.held(task_id) is None:
                 link.acknowledge(task_id)
@@ -468,14 +477,14 @@
         )
         if remedy is not Remedy.NONE:
             OVERRUNS.labels(remedy.name).inc()
-            self._order(held, ACTIONS[remedy])
+            self._send_action(held, REMEDY_ACTIONS[remedy])
 
     def _ended(self, held: Held) -> None:
         self._overruns.forget(held.attempt.task_id)
-        self._judge(held)
+        self._update_health(held)
         self._outbox.put(held.attempt.home, task_event(held))
 
-    def _judge(self, held: Held) -> None:
+    def _update_health(self, held: Held) -> None:
         """Update the health record of a worker from the end of a task."""
         now = self.ctx.clock.monotonic()
         worker, job_id = held.worker, held.attempt.job_id
@@ -489,7 +498,7 @@
                     logger.warning("worker {} ejected because its tasks fail", worker)
             case _:
                 self._ejector.neither(worker, job_id)
-        self._open_or_close(worker)
+        self._update_accepting(worker)
 
     def _recorded(self, task_id: str) -> None:
         held = self._ledger.held(task_id)
@@ -510,12 +519,12 @@
                 self._ended(held)
             self._ledger.expire(now)
             for worker in list(self._links):
-                self._open_or_close(worker)
-            self._drop_gone(now)
-            self._look_at_takeover()
-            self._count_by_list()
+                self._update_accepting(worker)
+            self._remove_unlisted(now)
+            self._update_takeover()
+            self._update_majority_set()
             FREE.labels(str(self.tenure.partition)).set(self._ledger.free().millicores)
-            await self.ctx.clock.sleep(WATCH_S)
+            await self.ctx.clock.sleep(WATCH_INTERVAL_S)
 
     async def _follow_hosts(self) -> None:
         while True:
@@ -536,26 +545,26 @@
             if link is None:
                 self._add(host)
         for worker in self._links:
-            self._open_or_close(worker)
+            self._update_accepting(worker)
             if worker not in self._listed:
                 # The platform reports the worker as removed; its tasks end within this time.
                 now, promise_s = self.ctx.clock.monotonic(), self.ctx.cfg.ownership.promise_s
                 self._ledger.over_by(worker, until=now + promise_s + self._lease_s)
 
-    def _look_at_takeover(self) -> None:
+    def _update_takeover(self) -> None:
         """Settle tasks of unheard workers once the previous owner can no longer act."""
-        if not self._succession.waits() or self._list_missing():
+        if not self._succession.waits() or self._host_list_unread():
             return
-        never = self._ledger.never_heard()
-        listed = [worker for worker in never if worker in self._listed]
+        never_reported = self._ledger.never_heard()
+        listed = [worker for worker in never_reported if worker in self._listed]
         now = self.ctx.clock.monotonic()
         self._succession.look(unheard=listed, now=now)
         if self._succession.waits():
             return
-        for worker in never:
+        for worker in never_reported:
             self._ledger.over_by(worker, until=self._succession.settled_at())
 
-    def _count_by_list(self) -> None:
+    def _update_majority_set(self) -> None:
         """Set the workers whose majority can extend this tenure beyond its lease.
 
         The set changes only while the lease is valid: later, a set reduced to the reachable
@@ -586,7 +595,7 @@
             address=host.address,
             tenure=self._rack_tenure,
             ctx=self.ctx,
-            tell=self._tell,
+            on_event=self._apply_event,
         )
         self._links[host.id] = link
         if host.id not in self._ledger.workers():
@@ -603,7 +612,7 @@
         if task is not None:
             task.cancel()
 
-    def _drop_gone(self, now: float) -> None:
+    def _remove_unlisted(self, now: float) -> None:
         """Remove workers that are no longer listed and hold no tasks."""
         for worker in list(self._links):
             if worker in self._listed or self._ledger.state(worker) == WorkerState.LIVE:
@@ -612,7 +621,7 @@
                 self._stop_link(worker)
                 self._ejector.forget(worker)
 
-    def _open_or_close(self, worker: str) -> None:
+    def _update_accepting(self, worker: str) -> None:
         now = self.ctx.clock.monotonic()
         wanted = worker in self._listed and worker not in self._leaving
         health = self._ejector.health(worker, now=now)
@@ -626,10 +635,10 @@
     def _may_act(self) -> bool:
         return not self._fenced and self.phase is not Phase.STOPPED and self.tenure.holds()
 
-    def _unheard(self) -> list[str]:
+    def _unheard_workers(self) -> list[str]:
         return self._ledger.unheard(self.ctx.clock.monotonic())
 
-    def _list_missing(self) -> bool:
+    def _host_list_unread(self) -> bool:
         """Return whether the host list may still be unread, so that workers may exist."""
         return not self._listed and self.ctx.clock.monotonic() < self._won_at + self._lease_s
 
@@ -676,11 +685,11 @@
     )
 
 
-def _refuse(claims: Iterable[t.Claim], reason: str) -> list[t.ClaimResult]:
+def _refuse_all(claims: Iterable[t.Claim], reason: str) -> list[t.ClaimResult]:
     return [_result(claim.task_id, t.ClaimVerdict.REFUSED, reason) for claim in claims]
 
 
-def _dominant(used: Size, total: Size) -> float:
+def _dominant_share(used: Size, total: Size) -> float:
     pairs = (
         (used.millicores, total.millicores),
         (used.memory_bytes, total.memory_bytes),
--- a/tests/scheduler/test_gang_dispatch.py
+++ b/tests/scheduler/test_gang_dispatch.py
@@ -33,15 +33,15 @@
 
 
 @define(kw_only=True, eq=False)
-class FakeHost:
+class FakeHome:
     job: Job
     stopped: int = 0
     waiting: list[Job] = field(factory=list)
 
-    def waiting_gangs(self) -> list[Job]:
+    def placeable_gangs(self) -> list[Job]:
         return [self.job] if self.job.waiting() == TASKS else []
 
-    def stop_live(self, job: Job) -> None:
+    def stop_running(self, job: Job) -> None:
         self.stopped += 1
 
 
@@ -52,7 +52,7 @@
 
     async def _place(self, job: Job) -> None:
         start(job, self.starts)
-        self._note_started(job, whole=self.starts == TASKS)
+        self._record_start(job, whole=self.starts == TASKS)
 
 
 async def test_a_gang_that_starts_whole_after_a_failed_try_is_left_alone() -> None:
@@ -61,17 +61,17 @@
     The next attempt starts all of its tasks. If the gang still counted as broken, they would be
     stopped and replaced one by one without end.
     """
-    host = FakeHost(job=gang())
-    dispatcher = Dispatcher(tenure=None, ctx=None, host=host, rng=Random(1))
+    home = FakeHome(job=gang())
+    dispatcher = Dispatcher(tenure=None, ctx=None, home=home, rng=Random(1))
     dispatcher.starts = 1
-    await dispatcher.round()
-    await dispatcher.round()
-    assert host.stopped == 1
-    for index in list(host.job.live):
-        host.job.ended(index, End.STOPPED, now=0.0)
+    await dispatcher.run_round()
+    await dispatcher.run_round()
+    assert home.stopped == 1
+    for index in list(home.job.live):
+        home.job.ended(index, End.STOPPED, now=0.0)
     dispatcher.starts = TASKS
-    await dispatcher.round()
-    await dispatcher.round()
-    assert host.job.formed
-    assert host.job.counts.running == TASKS
-    assert host.stopped == 1
+    await dispatcher.run_round()
+    await dispatcher.run_round()
+    assert home.job.formed
+    assert home.job.counts.running == TASKS
+    assert home.stopped == 1
--- a/tests/scheduler/test_key_partition.py
+++ b/tests/scheduler/test_key_partition.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from rhubarbferry.scheduler.key_partition import worth_compacting
+from rhubarbferry.scheduler.key_partition import compaction_threshold
 
 
 @pytest.mark.parametrize(
-    ("kept", "segments"),
+    ("retained", "segments"),
     [(0, 512), (4096, 512), (8000, 1000), (160_000, 20_000)],
 )
-def test_snapshots_come_in_proportion_to_what_is_kept(kept: int, segments: int) -> None:
-    assert worth_compacting(kept=kept, fewest_segments=512) == segments
+def test_snapshots_come_in_proportion_to_what_is_kept(retained: int, segments: int) -> None:
+    assert compaction_threshold(retained=retained, min_segments=512) == segments
 
 
 def test_an_entry_costs_the_same_however_many_keys_are_kept() -> None:
@@ -20,6 +20,7 @@
     delay requests with keys.
     """
     rewritten = [
-        kept / worth_compacting(kept=kept, fewest_segments=512) for kept in (10_000, 100_000)
+        retained / compaction_threshold(retained=retained, min_segments=512)
+        for retained in (10_000, 100_000)
     ]
     assert rewritten[1] <= rewritten[0] * 1.01
--- a/tests/scheduler/test_lifecycle.py
+++ b/tests/scheduler/test_lifecycle.py
@@ -9,7 +9,7 @@
 from rhubarbferry.rpc.codec import LENGTH, decode_reply, encode_reply
 from rhubarbferry.rpc.gen import ttypes as t
 from rhubarbferry.rpc.services import SCHEDULER
-from rhubarbferry.scheduler.dispatch import NOT_OWNER, Dispatcher
+from rhubarbferry.scheduler.dispatch import NOT_OWNER_REPLIES, Dispatcher
 from rhubarbferry.scheduler.lifecycle import Lifecycle
 from rhubarbferry.scheduler.partition import Partition, Phase
 from rhubarbferry.scheduler.web import OperatorPages
@@ -22,12 +22,12 @@
     """Fails the recovery of each new object with the next error scripted for its partition."""
 
     script: dict = {}
-    made: list[ScriptedPartition] = []
+    created: list[ScriptedPartition] = []
 
     def __init__(self, *, tenure, ctx) -> None:
         super().__init__(tenure=tenure, ctx=ctx)
         self.closed = False
-        ScriptedPartition.made.append(self)
+        ScriptedPartition.created.append(self)
 
     def handlers(self):
         return {"get_job": self.get_job}
@@ -51,10 +51,10 @@
 @pytest.fixture
 async def lifecycle():
     ctx = make_context()
-    ScriptedPartition.script, ScriptedPartition.made = {}, []
-    made = Lifecycle(make=lambda tenure: ScriptedPartition(tenure=tenure, ctx=ctx))
-    yield made
-    await made.close()
+    ScriptedPartition.script, ScriptedPartition.created = {}, []
+    created = Lifecycle(create=lambda tenure: ScriptedPartition(tenure=tenure, ctx=ctx))
+    yield created
+    await created.close()
 
 
 def phases(lifecycle: Lifecycle) -> dict[str, str]:
@@ -71,7 +71,7 @@
     await lifecycle.won(FakeTenure(partition=TWO))
     await eventually(lambda: phases(lifecycle)[str(TWO)] == "serving")
     await eventually(lambda: "000000000007" in phases(lifecycle)[str(ONE)])
-    assert len(ScriptedPartition.made) == 2
+    assert len(ScriptedPartition.created) == 2
 
 
 async def test_a_recovery_that_fails_is_tried_again_with_a_new_object(lifecycle) -> None:
@@ -79,7 +79,7 @@
     ScriptedPartition.script[ONE] = [LogUnavailable("down"), LogUnavailable("down")]
     await lifecycle.won(FakeTenure(partition=ONE))
     await eventually(lambda: phases(lifecycle)[str(ONE)] == "serving")
-    assert [one.closed for one in ScriptedPartition.made] == [True, True, False]
+    assert [one.closed for one in ScriptedPartition.created] == [True, True, False]
 
 
 async def test_a_partition_that_can_not_be_made_is_tried_again_and_stops_no_other() -> None:
@@ -89,16 +89,16 @@
     process that takes them over. Instead, the status names the cause and creation is retried.
     """
     ctx = make_context()
-    ScriptedPartition.script, ScriptedPartition.made = {}, []
+    ScriptedPartition.script, ScriptedPartition.created = {}, []
     faults = [MemoryError("no room"), ImportError("no module")]
     gate = asyncio.Event()
 
-    def make(tenure: FakeTenure) -> ScriptedPartition:
+    def create(tenure: FakeTenure) -> ScriptedPartition:
         if tenure.partition == ONE and (faults or not gate.is_set()):
             raise faults.pop(0) if len(faults) > 1 else faults[0]
         return ScriptedPartition(tenure=tenure, ctx=ctx)
 
-    lifecycle = Lifecycle(make=make)
+    lifecycle = Lifecycle(create=create)
     try:
         await lifecycle.won(FakeTenure(partition=ONE))
         await lifecycle.won(FakeTenure(partition=TWO))
@@ -116,11 +116,11 @@
 async def test_a_partition_lost_before_it_could_be_made_is_made_no_more() -> None:
     tried: list[int] = []
 
-    def make(tenure: FakeTenure) -> ScriptedPartition:
+    def create(tenure: FakeTenure) -> ScriptedPartition:
         tried.append(tenure.epoch)
         raise ValueError("broken")
 
-    lifecycle = Lifecycle(make=make)
+    lifecycle = Lifecycle(create=create)
     await lifecycle.won(FakeTenure(partition=ONE, epoch=3))
     await eventually(lambda: len(tried) > 1)
     await lifecycle.lost(ONE, below=4)
@@ -135,7 +135,7 @@
     await lifecycle.won(FakeTenure(partition=ONE, epoch=3))
     await lifecycle.won(FakeTenure(partition=ONE, epoch=5))
     await lifecycle.lost(ONE, below=4)
-    assert [one.closed for one in ScriptedPartition.made] == [True, False]
+    assert [one.closed for one in ScriptedPartition.created] == [True, False]
     assert lifecycle.find(ONE).tenure.epoch == 5
     await lifecycle.lost(ONE, below=6)
     assert lifecycle.find(ONE) is None
@@ -154,17 +154,17 @@
 )
 async def test_calls_reach_their_partition(lifecycle, partition, epoch, verdict, answered) -> None:
     await lifecycle.won(FakeTenure(partition=ONE, epoch=4))
-    dispatcher = Dispatcher(owned=lifecycle, epoch_seen=lambda id: 9 if id == TWO else 0)
+    dispatcher = Dispatcher(owned=lifecycle, latest_epoch=lambda id: 9 if id == TWO else 0)
     req = t.JobRequest(partition=partition, epoch=epoch, job_id="j")
     reply = await dispatcher.handlers()["get_job"](req)
     assert (reply.verdict, reply.epoch) == (verdict, answered)
 
 
 def test_each_method_has_a_not_owner_reply_that_can_be_sent() -> None:
-    assert set(NOT_OWNER) == set(SCHEDULER.methods) - {"ping", "status"}
-    for method, make in NOT_OWNER.items():
-        frame = encode_reply(SCHEDULER.methods[method], 1, make(3))
-        assert decode_reply(SCHEDULER, frame[LENGTH.size :]).value == make(3)
+    assert set(NOT_OWNER_REPLIES) == set(SCHEDULER.methods) - {"ping", "status"}
+    for method, create in NOT_OWNER_REPLIES.items():
+        frame = encode_reply(SCHEDULER.methods[method], 1, create(3))
+        assert decode_reply(SCHEDULER, frame[LENGTH.size :]).value == create(3)
 
 
 @pytest.mark.parametrize(
