--- a/tests/scheduler/fakes.py
+++ b/tests/scheduler/fakes.py
@@ -26,8 +26,8 @@
 BOUND_S = 5.0
 
 
-async def eventually(condition, *, bound_s: float = BOUND_S) -> None:
-    async with asyncio.timeout(bound_s):
+async def eventually(condition, *, timeout_s: float = BOUND_S) -> None:
+    async with asyncio.timeout(timeout_s):
         while True:
             if condition():
                 return
@@ -96,7 +96,7 @@
     running: set[str] = Factory(set)
     finished: set[str] = Factory(set)
     silent: bool = False
-    asked: int = 0
+    queries: int = 0
 
 
 @define(kw_only=True)
@@ -105,7 +105,7 @@
 
     async def report(self, *, runner_id: str, address: str) -> RunnerReport:
         runner = self.runners[runner_id]
-        runner.asked += 1
+        runner.queries += 1
         if runner.silent:
             raise RunnerUnreachable(runner_id)
         return RunnerReport(
@@ -126,16 +126,16 @@
         self.id = id
         self.grants: list[t.OpenGrant] = []
         self.epochs: list[int] = []
-        self.deaf = False
-        self.asked = 0
+        self.refuses = False
+        self.queries = 0
         self.server = Server(service=GUARD, handlers={"adopt": self.adopt, "ping": self.ping})
 
     async def ping(self, req: t.PingRequest) -> t.PingReply:
         return t.PingReply(member_id=self.id)
 
     async def adopt(self, req: t.AdoptRequest) -> t.AdoptReply:
-        self.asked += 1
-        accepted = not self.deaf
+        self.queries += 1
+        accepted = not self.refuses
         if accepted:
             self.epochs.append(req.epoch)
         return t.AdoptReply(
@@ -160,13 +160,13 @@
     """An in-memory log that can fail appends.
 
     :ivar faults: errors raised by the next appends, ``None`` for a successful one.
-    :ivar stands: whether the entries of a failed append are stored nevertheless.
+    :ivar stored: whether the entries of a failed append are stored nevertheless.
     """
 
     def __init__(self, *, entries: Sequence[t.LogEntry] = ()) -> None:
         self.entries = list(entries)
         self.faults: list[LogError | None] = []
-        self.stands = False
+        self.stored = False
         self.gate: asyncio.Event | None = None
         self.compacted = 0
 
@@ -177,7 +177,7 @@
         if self.gate is not None:
             await self.gate.wait()
         fault = self.faults.pop(0) if self.faults else None
-        if fault is None or self.stands:
+        if fault is None or self.stored:
             self.entries.extend(entries)
         if fault is not None:
             raise fault
--- a/tests/scheduler/jobs_harness.py
+++ b/tests/scheduler/jobs_harness.py
@@ -24,7 +24,7 @@
 from rhubarbferry.test.worker import Run, WorkerEngine, WorkerStandIn
 
 BOUND_S = 8.0
-LOOK_S = 0.005
+POLL_INTERVAL_S = 0.005
 RACK = PartitionId.parse("worker/north/r1")
 HOME = PartitionId.parse("key/north/0")
 TIMING = Timing(connect_s=0.5, heartbeat_s=0.2, silence_s=1.0)
@@ -37,13 +37,13 @@
 )
 
 
-async def until(true: Callable[[], bool], *, bound_s: float = BOUND_S) -> None:
-    """Wait until a condition holds; fail after ``bound_s`` seconds."""
-    for _ in range(int(bound_s / LOOK_S)):
-        if true():
+async def eventually(condition: Callable[[], bool], *, timeout_s: float = BOUND_S) -> None:
+    """Wait until a condition holds; fail after ``timeout_s`` seconds."""
+    for _ in range(int(timeout_s / POLL_INTERVAL_S)):
+        if condition():
             return
-        await asyncio.sleep(LOOK_S)
-    assert true()
+        await asyncio.sleep(POLL_INTERVAL_S)
+    assert condition()
 
 
 @define(kw_only=True, eq=False)
@@ -51,14 +51,14 @@
     partition: PartitionId
     epoch: int
     held: bool = True
-    leased: bool = True
+    lease_valid: bool = True
     book: PromiseBook = field(factory=PromiseBook)
 
     def holds(self) -> bool:
-        return self.held and (self.leased or self.book.majority(SystemClock().monotonic()))
+        return self.held and (self.lease_valid or self.book.majority(SystemClock().monotonic()))
 
     def lease_holds(self) -> bool:
-        return self.held and self.leased
+        return self.held and self.lease_valid
 
     def seen(self, epoch: int) -> None:
         if epoch > self.epoch:
@@ -154,7 +154,7 @@
     log: MemoryLog | None = None
 
 
-class Bed:
+class Cluster:
     """A cluster of in-process components; use as an async context manager."""
 
     def __init__(self, *, cfg: Settings = FAST, accounts: Iterable[Account] = ()) -> None:
@@ -172,7 +172,7 @@
         self.serving: list[Serving] = []
         self.epochs: dict[PartitionId, int] = {}
 
-    async def __aenter__(self) -> Bed:
+    async def __aenter__(self) -> Cluster:
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -216,7 +216,7 @@
         )
         return worker
 
-    def leave(self, id: str) -> None:
+    def mark_leaving(self, id: str) -> None:
         self.hosts.put(evolve(self.hosts.list[id], leaving=True))
 
     async def rack(
@@ -283,12 +283,12 @@
         return await self.call(HOME, "cancel_job", req)
 
     async def job_until(
-        self, job_id: str, true: Callable[[t.JobRecord], bool], *, bound_s: float = BOUND_S
+        self, job_id: str, condition: Callable[[t.JobRecord], bool], *, timeout_s: float = BOUND_S
     ) -> t.JobRecord:
-        async with asyncio.timeout(bound_s):
+        async with asyncio.timeout(timeout_s):
             while True:
                 reply = await self.job(job_id)
-                if reply.job is not None and true(reply.job):
+                if reply.job is not None and condition(reply.job):
                     return reply.job
                 await asyncio.sleep(0.01)
 
--- a/tests/scheduler/test_cancellation_wave.py
+++ b/tests/scheduler/test_cancellation_wave.py
@@ -7,13 +7,13 @@
 from rhubarbferry.rpc.gen import ttypes as t
 from rhubarbferry.scheduler.job_home import JobHome
 from rhubarbferry.test.memory_store import MemoryStore
-from tests.scheduler.jobs_harness import HOME, Bed, FakeTenure, spec
+from tests.scheduler.jobs_harness import HOME, Cluster, FakeTenure, spec
 
 JOBS = 10_000
 MOST_WRITES = 40
 
 
-async def test_a_wave_of_cancellations_takes_few_writes() -> None:
+async def test_many_cancellations_take_few_writes() -> None:
     """A client cancels a large number of jobs at once.
 
     With one write per cancellation, the store's write rate would be exhausted for half a minute,
@@ -23,8 +23,8 @@
     store = MemoryStore(clock=clock)
     tenure = FakeTenure(partition=HOME, epoch=1)
     log = SealedLog(store=store, partition=HOME, epoch=1, writer_id="m", clock=clock)
-    async with Bed() as bed:
-        home = JobHome(tenure=tenure, ctx=bed.context("m"), log=log)
+    async with Cluster() as cluster:
+        home = JobHome(tenure=tenure, ctx=cluster.context("m"), log=log)
         for entry in await log.open():
             home.replay(entry)
         await home.recover()
--- a/tests/scheduler/test_daemon.py
+++ b/tests/scheduler/test_daemon.py
@@ -88,7 +88,7 @@
     )
 
 
-async def test_a_planned_stop_hands_over_with_what_is_on_record() -> None:
+async def test_a_graceful_stop_hands_over_recorded_state() -> None:
     """A scheduler host is replaced; the successor of its partitions keeps the state of keys."""
     clock = SystemClock()
     store = MemoryStore(clock=clock)
@@ -97,13 +97,13 @@
     everything = {"key/nan/0", "key/nan/1", "runner/nan/records"}
     pool = Pool(service=SCHEDULER)
     async with running(first) as task, asyncio.timeout(2 * BOUND_S):
-        await eventually(lambda: owned(first) == everything, bound_s=BOUND_S)
+        await eventually(lambda: owned(first) == everything, timeout_s=BOUND_S)
         reply = await pool.call(first.address, "begin_request", intent("q1", 1), timeout_s=2)
         assert reply.verdict == t.IntentVerdict.COMMITTED
         async with running(second):
-            await eventually(lambda: second.address, bound_s=BOUND_S)
+            await eventually(lambda: second.address, timeout_s=BOUND_S)
             first.stop()
-            await eventually(lambda: owned(second) == everything, bound_s=BOUND_S)
+            await eventually(lambda: owned(second) == everything, timeout_s=BOUND_S)
             assert await task == 0
             reply = await pool.call(second.address, "begin_request", intent("q2", 1), timeout_s=2)
             assert reply.verdict in (t.IntentVerdict.RUNNING, t.IntentVerdict.UNKNOWN)
--- a/tests/scheduler/test_gang_dispatch.py
+++ b/tests/scheduler/test_gang_dispatch.py
@@ -55,7 +55,7 @@
         self._record_start(job, whole=self.starts == TASKS)
 
 
-async def test_a_gang_that_starts_whole_after_a_failed_try_is_left_alone() -> None:
+async def test_a_gang_that_starts_after_a_failed_attempt_is_not_stopped() -> None:
     """A gang starts only in part because a worker fails, and is then stopped.
 
     The next attempt starts all of its tasks. If the gang still counted as broken, they would be
--- a/tests/scheduler/test_intents.py
+++ b/tests/scheduler/test_intents.py
@@ -25,13 +25,13 @@
 
 
 class FakeClock:
-    """A clock with short sleeps that block while ``goes_on`` is not set."""
+    """A clock with short sleeps that block while ``may_continue`` is not set."""
 
     def __init__(self) -> None:
         self.now = 1000.0
-        self.turns = 0
-        self.goes_on = asyncio.Event()
-        self.goes_on.set()
+        self.sleeps = 0
+        self.may_continue = asyncio.Event()
+        self.may_continue.set()
 
     def monotonic(self) -> float:
         return self.now
@@ -40,12 +40,12 @@
         return self.now
 
     async def sleep(self, seconds: float) -> None:
-        self.turns += 1
+        self.sleeps += 1
         await asyncio.sleep(0.01)
-        await self.goes_on.wait()
+        await self.may_continue.wait()
 
 
-class Bench:
+class Harness:
     """A key partition that serves only intents and can be restarted after a crash."""
 
     def __init__(self) -> None:
@@ -78,8 +78,8 @@
 
 
 @pytest.fixture
-async def bench():
-    made = Bench()
+async def harness():
+    made = Harness()
     yield made
     await made.crash()
 
@@ -137,43 +137,45 @@
         (O.DONE, "other", V.MISMATCH),
     ],
 )
-async def test_a_second_request_with_a_key(bench, crash, outcome, fingerprint, verdict) -> None:
+async def test_a_repeated_key_gets_the_recorded_outcome(
+    harness, crash, outcome, fingerprint, verdict
+) -> None:
     """A client repeats a request with the same key, because it received no reply.
 
     It must receive the outcome of the first request, even from a new owner of the key. If the
     request ran twice, a customer could be charged twice.
     """
-    registry = await bench.start()
+    registry = await harness.start()
     assert (await registry.begin(begin_request())).verdict == V.COMMITTED
     if outcome is not None:
         assert (await registry.finish(finish_request(outcome))).recorded
     if crash:
-        await bench.crash()
-        registry = await bench.start()
+        await harness.crash()
+        registry = await harness.start()
     reply = await registry.begin(begin_request("q2", fingerprint=fingerprint))
     assert reply.verdict == verdict
     if verdict == V.RECORDED:
         assert (reply.answer.status, reply.answer.body) == (201, b"ok")
 
 
-async def test_the_intent_is_on_record_before_the_caller_is_told(bench) -> None:
+async def test_an_intent_is_recorded_before_the_reply(harness) -> None:
     """The owner fails right after replying "committed"; its successor must find the intent."""
-    registry = await bench.start()
-    bench.log.gate = asyncio.Event()
+    registry = await harness.start()
+    harness.log.gate = asyncio.Event()
     first = asyncio.create_task(registry.begin(begin_request()))
     await eventually(lambda: registry.depth() == 1)
     second = asyncio.create_task(registry.begin(begin_request("q2")))
     await asyncio.sleep(0)
     assert not first.done() and not second.done()
-    bench.log.gate.set()
+    harness.log.gate.set()
     async with asyncio.timeout(BOUND_S):
         assert (await first).verdict == V.COMMITTED
         assert (await second).verdict == V.RUNNING
-    assert len(bench.log.entries) == 1
+    assert len(harness.log.entries) == 1
 
 
 @pytest.mark.parametrize(
-    ("fault", "stands", "verdict"),
+    ("fault", "stored", "verdict"),
     [
         (LogUnavailable("down"), False, V.REFUSED),
         (LogUnclear("lost reply"), False, V.REFUSED),
@@ -182,17 +184,17 @@
     ],
     ids=["store down", "unclear, not standing", "unclear, standing", "fenced"],
 )
-async def test_a_failed_append_commits_nothing(bench, fault, stands, verdict) -> None:
+async def test_a_failed_append_commits_nothing(harness, fault, stored, verdict) -> None:
     """The store is unavailable, its reply is lost, or a later owner has sealed the log.
 
     The request is refused as "not run". When the store is available again, the key must be free,
     and only one request may be allowed to run, whether or not the failed write was stored.
     """
-    registry = await bench.start()
-    bench.log.faults, bench.log.stands = [fault], stands
+    registry = await harness.start()
+    harness.log.faults, harness.log.stored = [fault], stored
     # Block the background task that writes the cancellation. On a busy machine 10 ms can pass
     # between two lines of this test, so that it would free the key before the second request.
-    bench.clock.goes_on.clear()
+    harness.clock.may_continue.clear()
     reply = await registry.begin(begin_request())
     assert reply.verdict == verdict
     if verdict == V.NOT_OWNER:
@@ -201,49 +203,51 @@
     assert reply.retry_after_ms > 0
     if isinstance(fault, LogUnclear):
         assert (await registry.begin(begin_request("q2"))).verdict == V.REFUSED
-    bench.log.stands = False
-    bench.clock.goes_on.set()
-    turns = bench.clock.turns
-    await eventually(lambda: bench.clock.turns > turns + 2)
+    harness.log.stored = False
+    harness.clock.may_continue.set()
+    sleeps = harness.clock.sleeps
+    await eventually(lambda: harness.clock.sleeps > sleeps + 2)
     assert (await registry.begin(begin_request("q2"))).verdict == V.COMMITTED
-    await bench.crash()
-    registry = await bench.start()
+    await harness.crash()
+    registry = await harness.start()
     assert (await registry.begin(begin_request("q3"))).verdict == V.RUNNING
 
 
-async def test_an_owner_without_a_lease_refuses_at_once(bench) -> None:
+async def test_an_owner_without_a_lease_refuses_immediately(harness) -> None:
     """The store is down for longer than a lease; requests are refused immediately as not run."""
-    registry = await bench.start()
-    bench.tenure.held = False
+    registry = await harness.start()
+    harness.tenure.held = False
     reply = await registry.begin(begin_request())
     assert (reply.verdict, reply.retry_after_ms > 0) == (V.REFUSED, True)
     assert not (await registry.finish(finish_request())).recorded
-    assert bench.log.entries == []
+    assert harness.log.entries == []
 
 
 @pytest.mark.parametrize("case", ["expired", "frontend dead", "expired, then taken over"])
-async def test_a_request_nobody_answers_for_is_unknown_and_never_runs_again(bench, case) -> None:
+async def test_a_request_without_an_outcome_becomes_unknown_and_never_runs_again(
+    harness, case
+) -> None:
     """A frontend fails with a request in progress and never reports the outcome."""
-    registry = await bench.start()
+    registry = await harness.start()
     await registry.begin(begin_request())
     match case:
         case "frontend dead":
-            bench.view.frontends = []
+            harness.view.frontends = []
         case _:
-            bench.clock.now += 8
-    turns = bench.clock.turns
-    await eventually(lambda: bench.clock.turns > turns + 3)
+            harness.clock.now += 8
+    sleeps = harness.clock.sleeps
+    await eventually(lambda: harness.clock.sleeps > sleeps + 3)
     if case == "expired, then taken over":
-        await bench.crash()
-        registry = await bench.start()
+        await harness.crash()
+        registry = await harness.start()
     assert (await registry.begin(begin_request("q2"))).verdict == V.UNKNOWN
     assert (await registry.finish(finish_request())).recorded
     assert (await registry.begin(begin_request("q2"))).verdict == V.RECORDED
 
 
-async def test_an_outcome_of_another_request_changes_nothing(bench) -> None:
+async def test_an_outcome_of_another_request_is_ignored(harness) -> None:
     """A late "not run" of an earlier request must not free the key for a second run."""
-    registry = await bench.start()
+    registry = await harness.start()
     await registry.begin(begin_request())
     await registry.finish(finish_request(O.NOT_RUN))
     await registry.begin(begin_request("q2"))
@@ -251,9 +255,9 @@
     assert (await registry.begin(begin_request("q3"))).verdict == V.RUNNING
 
 
-async def test_a_withdrawn_request_commits_nothing_when_it_comes_late(bench) -> None:
+async def test_a_late_begin_of_a_withdrawn_request_commits_nothing(harness) -> None:
     """A request on a slow connection arrives after the frontend has reported it as "not run"."""
-    registry = await bench.start()
+    registry = await harness.start()
     await registry.finish(finish_request(O.NOT_RUN))
     assert (await registry.begin(begin_request())).verdict == V.REFUSED
     assert (await registry.begin(begin_request("q2"))).verdict == V.COMMITTED
@@ -262,65 +266,65 @@
 @pytest.mark.parametrize(
     ("fault", "verdict"), [(None, V.RUNNING), (LogUnavailable("down"), V.COMMITTED)]
 )
-async def test_a_duplicate_waits_for_the_record_of_the_first(bench, fault, verdict) -> None:
+async def test_a_duplicate_waits_until_the_first_is_recorded(harness, fault, verdict) -> None:
     """Two requests with the same key arrive at the same time through two frontends.
 
     If the second were refused as "not run" while the first is being recorded, its client could
     send the request under another key although the first one runs.
     """
-    registry = await bench.start()
-    bench.log.gate = asyncio.Event()
-    bench.log.faults = [fault]
+    registry = await harness.start()
+    harness.log.gate = asyncio.Event()
+    harness.log.faults = [fault]
     first = asyncio.create_task(registry.begin(begin_request("q1")))
     await eventually(lambda: registry.depth() == 1)
     second = asyncio.create_task(registry.begin(begin_request("q2")))
     await asyncio.sleep(0)
-    bench.log.gate.set()
+    harness.log.gate.set()
     assert (await first).verdict == (V.COMMITTED if fault is None else V.REFUSED)
     assert (await second).verdict == verdict
 
 
-async def test_a_caller_that_goes_away_leaves_no_half_recorded_intent(bench) -> None:
+async def test_a_disconnect_does_not_interrupt_recording_an_intent(harness) -> None:
     """The connection of a frontend breaks while its intent is being recorded."""
-    registry = await bench.start()
-    bench.log.gate = asyncio.Event()
+    registry = await harness.start()
+    harness.log.gate = asyncio.Event()
     first = asyncio.create_task(registry.begin(begin_request()))
     await eventually(lambda: registry.depth() == 1)
     first.cancel()
     await asyncio.gather(first, return_exceptions=True)
-    bench.log.gate.set()
+    harness.log.gate.set()
     await eventually(lambda: registry.depth() == 0)
     assert (await registry.begin(begin_request("q2"))).verdict == V.RUNNING
 
 
-async def test_compaction_keeps_the_state(bench) -> None:
-    registry = await bench.start()
+async def test_compaction_keeps_the_state(harness) -> None:
+    registry = await harness.start()
     for number in range(40):
         await registry.begin(begin_request(f"q{number}", key=f"k{number}"))
     await registry.begin(begin_request())
     await registry.finish(finish_request(body=b"kept"))
     for number in range(20):
         await registry.begin(begin_request(f"z{number}", key=f"z{number}"))
-    await eventually(lambda: bench.log.compacted > 0)
-    await bench.crash()
-    registry = await bench.start()
+    await eventually(lambda: harness.log.compacted > 0)
+    await harness.crash()
+    registry = await harness.start()
     reply = await registry.begin(begin_request("q2"))
     assert (reply.verdict, reply.answer.body) == (V.RECORDED, b"kept")
     assert (await registry.begin(begin_request("x", key="k3"))).verdict == V.RUNNING
 
 
-async def test_a_full_account_is_refused_rather_than_forgotten(bench) -> None:
+async def test_a_full_account_is_refused_instead_of_dropping_keys(harness) -> None:
     """An account uses more keys than are retained before the retention time has passed.
 
     If a key were dropped early, a request with it could run a second time.
     """
     rules = IntentRules(kept_per_account=2, least_retention_s=60.0)
-    registry = await bench.start(rules)
+    registry = await harness.start(rules)
     for number in range(2):
         await registry.begin(begin_request(f"q{number}", key=f"k{number}"))
         req = finish_request(request_id=f"q{number}")
         req.key = f"k{number}"
         await registry.finish(req)
     assert (await registry.begin(begin_request())).verdict == V.REFUSED
-    bench.clock.now += 61
+    harness.clock.now += 61
     assert (await registry.begin(begin_request())).verdict == V.COMMITTED
--- a/tests/scheduler/test_key_partition.py
+++ b/tests/scheduler/test_key_partition.py
@@ -9,11 +9,13 @@
     ("retained", "segments"),
     [(0, 512), (4096, 512), (8000, 1000), (160_000, 20_000)],
 )
-def test_snapshots_come_in_proportion_to_what_is_kept(retained: int, segments: int) -> None:
+def test_the_compaction_threshold_grows_with_the_retained_entries(
+    retained: int, segments: int
+) -> None:
     assert compaction_threshold(retained=retained, min_segments=512) == segments
 
 
-def test_an_entry_costs_the_same_however_many_keys_are_kept() -> None:
+def test_the_compaction_cost_per_entry_is_constant() -> None:
     """Each snapshot rewrites all retained keys.
 
     With many keys, a snapshot every 512 segments would use most of the store's write rate and
--- a/tests/scheduler/test_lifecycle.py
+++ b/tests/scheduler/test_lifecycle.py
@@ -74,7 +74,7 @@
     assert len(ScriptedPartition.created) == 2
 
 
-async def test_a_recovery_that_fails_is_tried_again_with_a_new_object(lifecycle) -> None:
+async def test_a_failed_recovery_is_retried_with_a_new_object(lifecycle) -> None:
     """The store is unavailable for a short time while a partition is taken over."""
     ScriptedPartition.script[ONE] = [LogUnavailable("down"), LogUnavailable("down")]
     await lifecycle.won(FakeTenure(partition=ONE))
@@ -82,7 +82,7 @@
     assert [one.closed for one in ScriptedPartition.created] == [True, True, False]
 
 
-async def test_a_partition_that_can_not_be_made_is_tried_again_and_stops_no_other() -> None:
+async def test_a_failed_creation_is_retried_and_affects_no_other_partition() -> None:
     """A module of a partition kind can't be imported while its host is short of memory.
 
     If the error propagated, it would end the process with all of its partitions, and then each
@@ -113,7 +113,7 @@
         await lifecycle.close()
 
 
-async def test_a_partition_lost_before_it_could_be_made_is_made_no_more() -> None:
+async def test_the_creation_of_a_lost_partition_is_not_retried() -> None:
     tried: list[int] = []
 
     def create(tenure: FakeTenure) -> ScriptedPartition:
@@ -130,7 +130,7 @@
     assert len(tried) == seen
 
 
-async def test_a_late_loss_of_an_old_epoch_leaves_the_new_tenure(lifecycle) -> None:
+async def test_a_late_loss_of_an_old_epoch_keeps_the_new_tenure(lifecycle) -> None:
     """A partition is lost and won again, and the loss is processed after the second win."""
     await lifecycle.won(FakeTenure(partition=ONE, epoch=3))
     await lifecycle.won(FakeTenure(partition=ONE, epoch=5))
@@ -152,7 +152,9 @@
     ],
     ids=["same epoch", "stale caller", "later owner known", "owned elsewhere", "no partition"],
 )
-async def test_calls_reach_their_partition(lifecycle, partition, epoch, verdict, answered) -> None:
+async def test_calls_are_routed_to_their_partition(
+    lifecycle, partition, epoch, verdict, answered
+) -> None:
     await lifecycle.won(FakeTenure(partition=ONE, epoch=4))
     dispatcher = Dispatcher(owned=lifecycle, latest_epoch=lambda id: 9 if id == TWO else 0)
     req = t.JobRequest(partition=partition, epoch=epoch, job_id="j")
@@ -160,7 +162,7 @@
     assert (reply.verdict, reply.epoch) == (verdict, answered)
 
 
-def test_each_method_has_a_not_owner_reply_that_can_be_sent() -> None:
+def test_each_method_has_a_serializable_not_owner_reply() -> None:
     assert set(NOT_OWNER_REPLIES) == set(SCHEDULER.methods) - {"ping", "status"}
     for method, create in NOT_OWNER_REPLIES.items():
         frame = encode_reply(SCHEDULER.methods[method], 1, create(3))
