--- a/rhubarbferry/scheduler/adoption.py
+++ b/rhubarbferry/scheduler/adoption.py
@@ -35,7 +35,7 @@
         self._region = tenure.partition.region
         self._acknowledged: set[str] = set()
 
-    def holders(self) -> tuple[Guard, ...]:
+    def possible_holders(self) -> tuple[Guard, ...]:
         """Return all processes that may hold grants: the guard set and newer frontends."""
         found = {guard.id: guard for guard in self._ctx.ownership.guards(self._region)}
         for member in self._ctx.ownership.members(Role.FRONTEND, self._region):
@@ -44,7 +44,7 @@
 
     def all_acknowledged(self) -> bool:
         """Return whether every process that may hold grants has reported them."""
-        return all(holder.id in self._acknowledged for holder in self.holders())
+        return all(holder.id in self._acknowledged for holder in self.possible_holders())
 
     def majority_acknowledged(self) -> bool:
         """Return whether more than half of the guard set has acknowledged the epoch."""
@@ -79,7 +79,9 @@
 
     async def adopt_pending(self) -> None:
         """Send one adoption request to each guard that has not acknowledged yet."""
-        pending = [holder for holder in self.holders() if holder.id not in self._acknowledged]
+        pending = [
+            holder for holder in self.possible_holders() if holder.id not in self._acknowledged
+        ]
         await asyncio.gather(*(self._adopt(holder) for holder in pending))
 
     async def _adopt(self, guard: Guard) -> None:
--- a/rhubarbferry/scheduler/job_home.py
+++ b/rhubarbferry/scheduler/job_home.py
@@ -50,7 +50,7 @@
 
 
 class JobHome(KeyComponent):
-    """Jobs of one key partition.
+    """Manage the jobs of one key partition.
 
     Each step is recorded in the log before it takes effect: a job is accepted after its
     acceptance is recorded, a task is claimed after its dispatch is recorded, and a worker may
@@ -420,8 +420,10 @@
             if other.digest is not None and other.partition.region == lane.partition.region
         }
         assert lane.room is not None
-        mine = domains.get(lane.name)
-        lane.room.domain = frozenset(name for name, domain in domains.items() if domain == mine)
+        lane_domain = domains.get(lane.name)
+        lane.room.domain = frozenset(
+            name for name, domain in domains.items() if domain == lane_domain
+        )
         lane.room.domains = max(1, len(set(domains.values())))
 
     async def record_dispatch(self, picked: Sequence[Picked]) -> bool:
@@ -454,7 +456,7 @@
                 self._requeue(item.job)
 
     def drop_cancelled(self, picked: Sequence[Picked]) -> list[Picked]:
-        """Return the tasks of jobs that were not cancelled meanwhile; put back the others."""
+        """Return the tasks of jobs that were not cancelled meanwhile; requeue the others."""
         self.requeue([item for item in picked if item.job.cancelled], dispatched=True)
         return [item for item in picked if not item.job.cancelled]
 
@@ -476,9 +478,9 @@
         match result.verdict:
             case t.ClaimVerdict.STARTED:
                 # After a takeover the first start time may be lost, although the job ran before.
-                first_id = job.first_start is None and not job.may_have_run()
+                is_first = job.first_start is None and not job.may_have_run()
                 job.started(item.index, worker=result.worker_id or "", now=now)
-                if first_id and job.first_start is not None:
+                if is_first and job.first_start is not None:
                     waited_s = max(0.0, now - job.since)
                     JOB_WAITS.labels(job.spec.account, str(job.spec.priority)).observe(waited_s)
                     objective = objective_of(self.ctx.cell.current(), job.spec.account)
@@ -545,12 +547,12 @@
     def partition_removed(self, lane: Lane) -> None:
         """Settle the tasks of a partition that no longer exists."""
         self._share.put_digest(lane.name, UsageDigest(taken_at=self.ctx.clock.monotonic(), used={}))
-        nothing = t.HeldTasksReply(
+        empty_reply = t.HeldTasksReply(
             owner=True, epoch=lane.epoch + 1, complete=True, tasks=[], over=True
         )
         for job in list(self._unfinished.values()):
             if job.finished is None:
-                self._reconcile_job(job, lane, set(), nothing)
+                self._reconcile_job(job, lane, set(), empty_reply)
 
     def apply_digest(self, lane: Lane, digest: t.PartitionDigest, requested_at: float) -> None:
         """Apply the usage and the capacity reported by a partition."""
@@ -600,21 +602,21 @@
         return all(lane.ever_complete for lane in self._lanes.values())
 
     async def _finish_jobs(self) -> None:
-        over = [
+        finished = [
             job
             for job in self._unfinished.values()
             if not job.open() and job.id not in self._committing
         ][:MAX_ENTRIES_PER_APPEND]
-        if not over:
+        if not finished:
             return
         at, now = self.ctx.clock.wall(), self.ctx.clock.monotonic()
         try:
-            await self._append([records.finished(job, at=at, now=now) for job in over])
+            await self._append([records.finished(job, at=at, now=now) for job in finished])
         except LogUnclear:
             pass
         except LogError:
             return
-        for job in over:
+        for job in finished:
             job.restore_finished(job.phase(), None)
             self._retain_finished(job)
 
@@ -685,8 +687,8 @@
         During a store outage no process can take over. "Not owner" would make the caller retry
         until its deadline, although an immediate refusal is possible.
         """
-        ours = self.ready and epoch == self.tenure.epoch and not self._fenced
-        return ours and not self.tenure.holds()
+        is_current = self.ready and epoch == self.tenure.epoch and not self._fenced
+        return is_current and not self.tenure.holds()
 
     def _add(self, job: Job) -> None:
         self._jobs[job.id] = job
--- a/rhubarbferry/scheduler/job_lane.py
+++ b/rhubarbferry/scheduler/job_lane.py
@@ -56,7 +56,7 @@
         ...
 
     def drop_cancelled(self, picked: Sequence[Picked]) -> list[Picked]:
-        """Return the tasks that still are to be claimed."""
+        """Return the tasks whose jobs were not cancelled; requeue the others."""
         ...
 
     def requeue(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
--- a/rhubarbferry/scheduler/runner_probes.py
+++ b/rhubarbferry/scheduler/runner_probes.py
@@ -10,7 +10,7 @@
 from rhubarbferry.ports.runners import RunnerReports, RunnerUnreachable
 
 MAX_CONCURRENT_PROBES = 32
-ROUNDS_PER_FULL_ROUND = 5
+FULL_PROBE_EVERY_N_ROUNDS = 5
 MIN_PAUSE_S = 0.25
 
 
@@ -54,7 +54,7 @@
         while True:
             self._wake.clear()
             round_number += 1
-            full_round = round_number % ROUNDS_PER_FULL_ROUND == 0
+            full_round = round_number % FULL_PROBE_EVERY_N_ROUNDS == 0
             runners = self._ledger.runners.values() if full_round else self._ledger.to_ask()
             await self.probe(tuple(runners))
             await self._until_next_round(reports_valid_from())
--- a/rhubarbferry/scheduler/worker_link.py
+++ b/rhubarbferry/scheduler/worker_link.py
@@ -21,7 +21,7 @@
 
 ADOPTIONS = Counter("rhubarbferry_worker_adoptions_total", "Adoptions of workers", ["result"])
 HEARTBEATS = Counter("rhubarbferry_worker_heartbeats_total", "Heartbeats to workers", ["result"])
-STARTS = Counter("rhubarbferry_task_starts_total", "Starts of tasks, by verdict", ["verdict"])
+TASK_STARTS = Counter("rhubarbferry_task_starts_total", "Starts of tasks, by verdict", ["verdict"])
 
 
 @frozen(kw_only=True, slots=True)
@@ -166,7 +166,7 @@
     def _started(self, task_id: str, verdicts: dict[str, int]) -> Started:
         verdict = verdicts.get(task_id)
         name = "MISSING" if verdict is None else t.StartVerdict(verdict).name
-        STARTS.labels(name).inc()
+        TASK_STARTS.labels(name).inc()
         match verdict:
             case t.StartVerdict.STARTED | t.StartVerdict.ALREADY_HELD:
                 return Started(task_id=task_id, started=True)
--- a/rhubarbferry/scheduler/worker_partition.py
+++ b/rhubarbferry/scheduler/worker_partition.py
@@ -58,15 +58,15 @@
 }
 
 CLAIMS = Counter("rhubarbferry_claims_total", "Claims decided, by verdict", ["verdict"])
-PREEMPTED = Counter(
+TASKS_PREEMPTED = Counter(
     "rhubarbferry_tasks_preempted_total", "Tasks told to give way to urgent ones", ["account"]
 )
-OVERRUNS = Counter(
+TASK_OVERRUNS = Counter(
     "rhubarbferry_task_overruns_total", "Orders to tasks that use too much", ["remedy"]
 )
-LAPSED = Counter("rhubarbferry_tasks_lapsed_total", "Tasks ended by a lease that lapsed")
-EJECTIONS = Counter("rhubarbferry_workers_ejected_total", "Workers taken out of use")
-FREE = Gauge("rhubarbferry_free_millicores", "Free processors of a rack", ["partition"])
+TASKS_LAPSED = Counter("rhubarbferry_tasks_lapsed_total", "Tasks ended by a lease that lapsed")
+WORKER_EJECTIONS = Counter("rhubarbferry_workers_ejected_total", "Workers taken out of use")
+FREE_MILLICORES = Gauge("rhubarbferry_free_millicores", "Free processors of a rack", ["partition"])
 
 
 class WorkerPartition(Partition):
@@ -329,7 +329,7 @@
     def _make_room(self, attempt: Attempt, claim: t.Claim, now: float) -> None:
         if claim.priority == t.Priority.URGENT and claim.kind != t.JobKind.GANG:
             for victim in self._ledger.preempt(attempt, now=now):
-                PREEMPTED.labels(victim.attempt.account).inc()
+                TASKS_PREEMPTED.labels(victim.attempt.account).inc()
                 self._send_action(victim, t.TaskAction.CHECKPOINT)
             return
         waited_s = (claim.waited_ms or 0) / 1000
@@ -476,7 +476,7 @@
             now=self.ctx.clock.monotonic(),
         )
         if remedy is not Remedy.NONE:
-            OVERRUNS.labels(remedy.name).inc()
+            TASK_OVERRUNS.labels(remedy.name).inc()
             self._send_action(held, REMEDY_ACTIONS[remedy])
 
     def _ended(self, held: Held) -> None:
@@ -494,7 +494,7 @@
             case End.FAILED:
                 workers = len(self._links)
                 if self._ejector.failed(worker, job_id, now=now, hosts=workers):
-                    EJECTIONS.inc()
+                    WORKER_EJECTIONS.inc()
                     logger.warning("worker {} ejected because its tasks fail", worker)
             case _:
                 self._ejector.neither(worker, job_id)
@@ -515,7 +515,7 @@
         while True:
             now = self.ctx.clock.monotonic()
             for held in self._ledger.lapse(now):
-                LAPSED.inc()
+                TASKS_LAPSED.inc()
                 self._ended(held)
             self._ledger.expire(now)
             for worker in list(self._links):
@@ -523,7 +523,7 @@
             self._remove_unlisted(now)
             self._update_takeover()
             self._update_majority_set()
-            FREE.labels(str(self.tenure.partition)).set(self._ledger.free().millicores)
+            FREE_MILLICORES.labels(str(self.tenure.partition)).set(self._ledger.free().millicores)
             await self.ctx.clock.sleep(WATCH_INTERVAL_S)
 
     async def _follow_hosts(self) -> None:
--- a/tests/scheduler/test_job_home.py
+++ b/tests/scheduler/test_job_home.py
@@ -375,8 +375,8 @@
         await eventually(lambda: any(entry.job_finished for entry in home.log.entries))
         await cluster.stop(home)
         await cluster.home(home.log)
-        over_at = cluster.clock.monotonic()
-        await eventually(lambda: cluster.clock.monotonic() > over_at + 0.1)
+        restarted_at = cluster.clock.monotonic()
+        await eventually(lambda: cluster.clock.monotonic() > restarted_at + 0.1)
         after = await cluster.job_until(JOB, lambda job: job.phase == t.JobPhase.DONE)
         assert after.waited_ms == pytest.approx(before.waited_ms, abs=10)
 
--- a/tests/scheduler/test_runner_partition.py
+++ b/tests/scheduler/test_runner_partition.py
@@ -251,7 +251,7 @@
     )
 
 
-def later(seconds: float) -> float:
+def loop_time_after(seconds: float) -> float:
     return asyncio.get_running_loop().time() + seconds
 
 
@@ -273,7 +273,7 @@
         waiting = asyncio.create_task(harness.partition.grant(grant_request("new")))
         await eventually(lambda: harness.reports.runners["r1"].queries > 0)
         await eventually(lambda: harness.partition.depth() == 1)
-        end = later(0.6)
+        end = loop_time_after(0.6)
         while asyncio.get_running_loop().time() < end:
             assert not waiting.done()
             await asyncio.sleep(0.02)
@@ -294,7 +294,7 @@
         harness.guards[2].refuses = True
 
     async with serving(guards=3, prepare=prepare) as harness, asyncio.timeout(BOUND_S):
-        began = later(0)
+        began = loop_time_after(0)
         waiting = asyncio.create_task(harness.partition.grant(grant_request("new")))
         await eventually(lambda: harness.partition.phase is Phase.SERVING)
         harness.reports.runners["r1"].running.add("unheard")
@@ -303,7 +303,7 @@
         harness.reports.runners["r1"].running.clear()
         assert (await waiting).verdict == t.GrantVerdict.GRANTED
         usable_s = harness.partition.ctx.cfg.requests.grant_usable_s
-        assert later(0) - began >= usable_s
+        assert loop_time_after(0) - began >= usable_s
 
 
 async def test_nothing_is_granted_before_a_majority_of_guards_has_acknowledged() -> None:
@@ -318,7 +318,7 @@
     async with serving(guards=3, prepare=prepare) as harness, asyncio.timeout(BOUND_S):
         waiting = asyncio.create_task(harness.partition.grant(grant_request("new")))
         await eventually(lambda: harness.guards[0].epochs == [1])
-        end = later(0.4)
+        end = loop_time_after(0.4)
         while asyncio.get_running_loop().time() < end:
             assert harness.partition.phase is Phase.RECOVERING
             await asyncio.sleep(0.02)
--- a/tests/scheduler/test_worker_partition.py
+++ b/tests/scheduler/test_worker_partition.py
@@ -157,8 +157,8 @@
     async with Cluster() as cluster:
         for number in range(4):
             await cluster.worker(f"w{number}")
-        sick = cluster.workers["w0"]
-        sick.engine.faults.fail_all = True
+        failing = cluster.workers["w0"]
+        failing.engine.faults.fail_all = True
         await cluster.rack()
         await cluster.home()
         phases = []
@@ -166,7 +166,7 @@
             await cluster.submit(f"north.0.j{number}", spec(idempotent=False, run_ms=10))
             job = await cluster.job_until(f"north.0.j{number}", lambda job: job.phase >= 2)
             phases.append(job.phase)
-        assert phases.count(t.JobPhase.FAILED) == len(sick.engine.record.runs) <= 4
+        assert phases.count(t.JobPhase.FAILED) == len(failing.engine.record.runs) <= 4
 
 
 async def test_an_unresponsive_worker_delays_only_its_own_tasks() -> None:
@@ -215,9 +215,9 @@
         await eventually(lambda: len(cluster.runs()) == 1)
         await eventually(lambda: rack.tenure.book.held(cluster.clock.monotonic()) == 3)
         rack.tenure.lease_valid = False
-        asked = reached.engine._number
+        first_number = reached.engine._number
         # After this number of heartbeats both the task lease and the promise have expired.
-        await eventually(lambda: reached.engine._number > asked + 20)
+        await eventually(lambda: reached.engine._number > first_number + 20)
         assert rack.tenure.holds()
         assert cluster.runs()[0].ended_at is None
         for worker in others:
