--- a/rhubarbferry/scheduler/adoption.py
+++ b/rhubarbferry/scheduler/adoption.py
@@ -1,4 +1,4 @@
-"""Raise the epoch at the guards of a runner partition and learn what grants they hold."""
+"""Fence earlier owners at the guards of a runner partition and collect their open grants."""
 
 from __future__ import annotations
 
@@ -12,75 +12,79 @@
 from rhubarbferry.rpc.gen.ttypes import AdoptReply, AdoptRequest, OpenGrant
 from rhubarbferry.scheduler.context import Context
 
-CALL_S = 0.5
-RETRY_S = 0.1
-FOLLOW_S = 0.5
+CALL_TIMEOUT_S = 0.5
+RETRY_INTERVAL_S = 0.1
+POLL_INTERVAL_S = 0.5
 
-TakeGrants = Callable[[Guard, Sequence[OpenGrant]], None]
+OnGrants = Callable[[Guard, Sequence[OpenGrant]], None]
 
 
 class Adoption:
-    """Ask every guard (frontend of the region) once for its open grants.
+    """Send the new epoch to every guard (frontend of the region) and collect its open grants.
 
-    A guard that has acknowledged an epoch refuses grants of lower ones. So once a majority has,
-    the earlier owner can hold no majority of promises, and acts no more.
+    A guard that has acknowledged an epoch refuses grants of lower epochs. Once a majority has
+    acknowledged, an earlier owner can no longer hold a majority of promises, so it stops acting.
 
-    :param take: called with the open grants of each guard, as it is heard.
+    :param on_grants: callback that receives the open grants of each guard when the guard replies.
     """
 
-    def __init__(self, *, tenure: Tenure, ctx: Context, take: TakeGrants) -> None:
+    def __init__(self, *, tenure: Tenure, ctx: Context, on_grants: OnGrants) -> None:
         self._tenure = tenure
         self._ctx = ctx
-        self._take = take
+        self._on_grants = on_grants
         self._region = tenure.partition.region
-        self._heard: set[str] = set()
+        self._acknowledged: set[str] = set()
 
-    def holders(self) -> tuple[Guard, ...]:
-        """Return who may hold grants: the guard set and the frontends too new to be in it."""
+    def possible_holders(self) -> tuple[Guard, ...]:
+        """Return all processes that may hold grants: the guard set and newer frontends."""
         found = {guard.id: guard for guard in self._ctx.ownership.guards(self._region)}
         for member in self._ctx.ownership.members(Role.FRONTEND, self._region):
             found.setdefault(member.id, Guard(id=member.id, address=member.address))
         return tuple(found.values())
 
-    def all_heard(self) -> bool:
-        """Tell whether all who may hold grants have told them."""
-        return all(holder.id in self._heard for holder in self.holders())
+    def all_acknowledged(self) -> bool:
+        """Return whether every process that may hold grants has reported them."""
+        return all(holder.id in self._acknowledged for holder in self.possible_holders())
 
-    def majority_heard(self) -> bool:
-        """Tell whether more than half of the guard set has acknowledged the epoch."""
+    def majority_acknowledged(self) -> bool:
+        """Return whether more than half of the guard set has acknowledged the epoch."""
         guards = self._ctx.ownership.guards(self._region)
-        heard = sum(1 for guard in guards if guard.id in self._heard)
-        return not guards or 2 * heard > len(guards)
+        acknowledged = sum(1 for guard in guards if guard.id in self._acknowledged)
+        return not guards or 2 * acknowledged > len(guards)
 
-    async def until_majority(self, *, give_up_s: float) -> None:
-        """Return once a majority has acknowledged.
+    async def wait_for_majority(self, *, max_wait_s: float) -> None:
+        """Wait until a majority of the guard set has acknowledged the epoch.
 
-        When that many guards are really dead no majority can be had, and the service would
-        stop for good. After ``give_up_s`` no earlier owner may act any more and no request of
-        it can still run, so it is safe to go on without.
+        If half of the guards or more have failed, no majority can be reached and the service
+        would stay unavailable. After ``max_wait_s`` seconds no earlier owner may act and none of
+        its requests can still be running, so proceeding without a majority is safe.
         """
         clock = self._ctx.clock
-        give_up_at = clock.monotonic() + give_up_s
-        await self.ask_unheard()
-        while not self.majority_heard():
-            if clock.monotonic() >= give_up_at:
-                logger.warning("{}: decides without its guards", self._tenure.partition)
+        deadline = clock.monotonic() + max_wait_s
+        await self.adopt_pending()
+        while not self.majority_acknowledged():
+            if clock.monotonic() >= deadline:
+                logger.warning(
+                    "{}: proceeding without a majority of guards", self._tenure.partition
+                )
                 return
-            await clock.sleep(RETRY_S)
-            await self.ask_unheard()
+            await clock.sleep(RETRY_INTERVAL_S)
+            await self.adopt_pending()
 
-    async def follow(self) -> None:
-        """Go on with guards that are new or were not heard, until cancelled."""
+    async def poll_pending(self) -> None:
+        """Retry guards that are new or have not acknowledged, until cancelled."""
         while True:
-            await self._ctx.clock.sleep(FOLLOW_S)
-            await self.ask_unheard()
+            await self._ctx.clock.sleep(POLL_INTERVAL_S)
+            await self.adopt_pending()
 
-    async def ask_unheard(self) -> None:
-        """Ask everyone who has not answered yet, once."""
-        unheard = [holder for holder in self.holders() if holder.id not in self._heard]
-        await asyncio.gather(*(self._ask(holder) for holder in unheard))
+    async def adopt_pending(self) -> None:
+        """Send one adoption request to each guard that has not acknowledged yet."""
+        pending = [
+            holder for holder in self.possible_holders() if holder.id not in self._acknowledged
+        ]
+        await asyncio.gather(*(self._adopt(holder) for holder in pending))
 
-    async def _ask(self, guard: Guard) -> None:
+    async def _adopt(self, guard: Guard) -> None:
         req = AdoptRequest(
             partition=str(self._tenure.partition),
             epoch=self._tenure.epoch,
@@ -88,11 +92,11 @@
         )
         try:
             reply: AdoptReply = await self._ctx.guards.call(
-                guard.address, "adopt", req, timeout_s=CALL_S, region=self._region
+                guard.address, "adopt", req, timeout_s=CALL_TIMEOUT_S, region=self._region
             )
         except RpcError:
             return
         if not reply.accepted or reply.guard_id not in (None, guard.id):
             return
-        self._heard.add(guard.id)
-        self._take(guard, reply.grants)
+        self._acknowledged.add(guard.id)
+        self._on_grants(guard, reply.grants)
--- a/rhubarbferry/scheduler/daemon.py
+++ b/rhubarbferry/scheduler/daemon.py
@@ -1,4 +1,4 @@
-"""The scheduler process: ports, node, RPC server and partitions put together."""
+"""The scheduler daemon: connects ports, coordination node, RPC server and partitions."""
 
 from __future__ import annotations
 
@@ -31,24 +31,24 @@
 from rhubarbferry.scheduler.registry import Registry
 from rhubarbferry.scheduler.web import OperatorPages
 
-FAILED = 1
+EXIT_FAILURE = 1
 
 
 class PolledHostList(HostList, Protocol):
-    """A host list that is read in the background."""
+    """A host list that is refreshed in the background."""
 
     async def start(self) -> None:
-        """Read it once, then go on in the background."""
+        """Read the list once, then keep refreshing it in the background."""
         ...
 
     async def close(self) -> None:
-        """Stop reading."""
+        """Stop refreshing."""
         ...
 
 
 @frozen(kw_only=True)
 class Ports:
-    """The outside of a scheduler; tests bring their own."""
+    """The external dependencies of a scheduler process; tests substitute their own."""
 
     clock: Clock
     store: Store
@@ -59,7 +59,7 @@
 
 
 def system_ports(cfg: Settings) -> Ports:
-    """Return the ports to the platform that ``cfg`` names."""
+    """Return ports connected to the platform services configured in ``cfg``."""
     from rhubarbferry.adapters.cell_store import open_cell_store
     from rhubarbferry.adapters.hosts import HttpHostList
     from rhubarbferry.adapters.runners import HttpRunnerReports
@@ -76,14 +76,14 @@
 
 
 class SchedulerDaemon:
-    """One scheduler: start, run until told to stop, hand over."""
+    """A scheduler process: start, serve until stopped, hand partitions over."""
 
     def __init__(self, *, cfg: Settings, ports: Ports) -> None:
         self._cfg = cfg
         self._ports = ports
         self._pools = [Pool(service=service) for service in (SCHEDULER, GUARD, WORKER)]
-        self._lifecycle = Lifecycle(make=self._make)
-        self._pages = OperatorPages(ready=lambda: self._ready)
+        self._lifecycle = Lifecycle(create=self._create_partition)
+        self._operator_pages = OperatorPages(ready=lambda: self._ready)
         self._ready = False
         self._draining = False
         self._stopping = asyncio.Event()
@@ -96,36 +96,36 @@
         try:
             await self._start()
         except BaseException:
-            # The node may have won partitions already, and nobody would decide for them.
+            # The node may already own partitions, which would stay without a serving owner.
             await self._close()
             raise
         stopping = asyncio.create_task(self._stopping.wait())
-        vital = [
-            asyncio.create_task(self._follow_events()),
+        vital_tasks = [
+            asyncio.create_task(self._process_events()),
             asyncio.create_task(self._node.wait()),
         ]
         try:
-            await asyncio.wait({stopping, *vital}, return_when=asyncio.FIRST_COMPLETED)
-            failed = [task for task in vital if task.done()]
+            await asyncio.wait({stopping, *vital_tasks}, return_when=asyncio.FIRST_COMPLETED)
+            failed = [task for task in vital_tasks if task.done()]
             if failed:
-                # Without one of these the process would hold its lease and decide nothing.
-                logger.error("stops: {!r}", failed[0].exception())
-                return FAILED
+                # If one of these tasks ends, the process would keep its lease without serving.
+                logger.error("stopping, a vital task has ended: {!r}", failed[0].exception())
+                return EXIT_FAILURE
             await self._drain()
             return 0
         finally:
-            for task in (stopping, *vital):
+            for task in (stopping, *vital_tasks):
                 task.cancel()
-            await asyncio.gather(stopping, *vital, return_exceptions=True)
+            await asyncio.gather(stopping, *vital_tasks, return_exceptions=True)
             await self._close()
 
     @property
     def address(self) -> str:
-        """Return ``ip:port`` of the RPC server, empty before it listens."""
+        """Return ``ip:port`` of the RPC server, or an empty string before it listens."""
         return "" if self._server is None else self._server.address
 
     def stop(self) -> None:
-        """Ask for a planned stop; :meth:`run` then drains and returns."""
+        """Request a graceful stop; :meth:`run` then drains and returns."""
         self._stopping.set()
 
     # ------------------------------------------------------------ start
@@ -134,10 +134,10 @@
         from rhubarbferry.coordination.node import Node
 
         process = self._cfg.process
-        # The server listens first, since the member record carries its address.
+        # The server listens first, because the member record contains its address.
         self._server = Server(service=SCHEDULER, handlers=self._handlers())
         await self._server.start(process.listen_ip, process.rpc_port)
-        await self._pages.start(process.listen_ip, process.http_port)
+        await self._operator_pages.start(process.listen_ip, process.http_port)
         self._node = Node(
             cfg=self._cfg,
             role=Role.SCHEDULER,
@@ -145,7 +145,7 @@
             store=self._ports.store,
             hosts=self._ports.hosts,
             address=process.advertise_rpc or self._server.address,
-            http_address=process.advertise_http or self._pages.address,
+            http_address=process.advertise_http or self._operator_pages.address,
             budget=self._ports.budget,
         )
         await self._ports.hosts.start()
@@ -155,17 +155,17 @@
             cell=self._node.cell, clock=self._ports.clock, registry=self._ports.registry
         )
         self._ready = True
-        self._announce()
+        self._print_addresses()
 
-    def _announce(self) -> None:
+    def _print_addresses(self) -> None:
         assert self._server is not None
         line = {
             "address": self._server.address,
-            "http_address": self._pages.address,
+            "http_address": self._operator_pages.address,
             "member": self._member_id(),
         }
         print(json.dumps(line), flush=True)
-        logger.info("scheduler {} serves {}", self._member_id(), self._server.address)
+        logger.info("scheduler {} serving on {}", self._member_id(), self._server.address)
 
     def _context(self) -> Context:
         schedulers, guards, workers = self._pools
@@ -182,17 +182,17 @@
             workers=workers,
         )
 
-    def _make(self, tenure: Any) -> Partition:
+    def _create_partition(self, tenure: Any) -> Partition:
         assert self._registry is not None
-        return self._registry.make(tenure)
+        return self._registry.create(tenure)
 
     def _handlers(self) -> Mapping[str, Handler]:
-        dispatcher = Dispatcher(owned=self._lifecycle, epoch_seen=self._epoch_seen)
+        dispatcher = Dispatcher(owned=self._lifecycle, latest_epoch=self._latest_epoch)
         return {"ping": self._ping, "status": self._status, **dispatcher.handlers()}
 
     # ------------------------------------------------------------ run
 
-    async def _follow_events(self) -> None:
+    async def _process_events(self) -> None:
         from rhubarbferry.coordination.node import Lost, Won
 
         while True:
@@ -209,7 +209,7 @@
         return self.status()
 
     def status(self) -> StatusReply:
-        """Return what this process says about itself."""
+        """Return the status of this process and of its partitions."""
         text = "" if self._node is None else self._node.config_text
         revision = 0 if self._node is None else self._node.cell.current().revision
         return StatusReply(
@@ -221,8 +221,8 @@
             config_text=text.encode(),
         )
 
-    def _epoch_seen(self, partition: PartitionId) -> int:
-        # The server listens before there is a node, so calls may come before that.
+    def _latest_epoch(self, partition: PartitionId) -> int:
+        # The server starts before the node, so calls may arrive while there is no node yet.
         owner = None if self._node is None else self._node.ownership.owner(partition)
         return 0 if owner is None else int(owner.epoch)
 
@@ -232,7 +232,7 @@
     # ------------------------------------------------------------ stop
 
     async def _drain(self) -> None:
-        """Hand over in order: no new work here, finish, then give the partitions away."""
+        """Hand over: refuse new work, finish work in progress, then release the partitions."""
         logger.info("draining")
         self._ready = False
         self._draining = True
@@ -254,7 +254,7 @@
             await self._node.stop()
         if self._server is not None:
             await self._server.close()
-        await self._pages.close()
+        await self._operator_pages.close()
         for pool in self._pools:
             await pool.close()
         await self._ports.reports.close()
@@ -265,10 +265,10 @@
 async def run(cfg: Settings) -> int:
     """Run a scheduler until SIGTERM or SIGINT; return the exit code.
 
-    Once it serves, one JSON line on standard output names its addresses.
+    When the process is ready, it prints one JSON line with its addresses to standard output.
     """
     daemon = SchedulerDaemon(cfg=cfg, ports=system_ports(cfg))
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, daemon.stop)
     return await daemon.run()
--- a/rhubarbferry/scheduler/key_partition.py
+++ b/rhubarbferry/scheduler/key_partition.py
@@ -1,4 +1,4 @@
-"""The owner of one slice of keys: intents of requests and jobs, kept on one log."""
+"""The owner of one range of keys: request intents and jobs, kept in one log."""
 
 from __future__ import annotations
 
@@ -15,34 +15,35 @@
 from rhubarbferry.scheduler.key_component import KeyComponent
 from rhubarbferry.scheduler.partition import Partition, Phase
 
-COMPACT_SEGMENTS = 512
+MIN_COMPACT_SEGMENTS = 512
 ENTRIES_PER_SEGMENT = 8
-COMPACT_CHECK_S = 2.0
-REPLAY_SLICE = 2000
-DRAIN_S = 3.0
+COMPACT_CHECK_INTERVAL_S = 2.0
+REPLAY_YIELD_ENTRIES = 2000
+DRAIN_TIMEOUT_S = 3.0
 
 
-def worth_compacting(*, kept: int, fewest_segments: int) -> int:
-    """Return how many segments must stand before the next snapshot is made.
+def compaction_threshold(*, retained: int, min_segments: int) -> int:
+    """Return the number of log segments at which the next snapshot is made.
 
-    A snapshot writes all that is kept. Made every so many segments, whatever is kept, it would
-    cost more for each entry the more keys are kept; in proportion to what is kept, an entry
-    costs the same however many there are.
+    A snapshot rewrites all retained entries. With a fixed number of segments between snapshots
+    the cost per entry would grow with the number of retained entries. A number in proportion to
+    the retained entries keeps the cost per entry constant.
 
-    :param kept: entries in the last snapshot.
+    :param retained: number of entries in the last snapshot.
+    :param min_segments: minimum number of segments between snapshots.
     """
-    return max(fewest_segments, kept // ENTRIES_PER_SEGMENT)
+    return max(min_segments, retained // ENTRIES_PER_SEGMENT)
 
 
-MakeComponent = Callable[[EntryLog], KeyComponent]
+ComponentFactory = Callable[[EntryLog], KeyComponent]
 
 
 class KeyPartition(Partition):
-    """State rebuilt from the partition's log, and kept by it.
+    """A partition whose state is recorded in, and rebuilt from, its log.
 
     :param log: the partition's log, not opened yet.
-    :param components: makers of the kinds of state that share it.
-    :param compact_segments: fewest segments that are worth a snapshot.
+    :param components: factories of the components that share the log.
+    :param compact_segments: minimum number of segments before a snapshot is made.
     """
 
     def __init__(
@@ -51,24 +52,24 @@
         tenure: Tenure,
         ctx: Context,
         log: EntryLog,
-        components: Sequence[MakeComponent],
-        compact_segments: int = COMPACT_SEGMENTS,
+        components: Sequence[ComponentFactory],
+        compact_segments: int = MIN_COMPACT_SEGMENTS,
     ) -> None:
         super().__init__(tenure=tenure, ctx=ctx)
         self.log = log
-        self.components = [make(log) for make in components]
+        self.components = [create(log) for create in components]
         self._compact_segments = compact_segments
-        self._worth_compacting = compact_segments
+        self._compaction_threshold = compact_segments
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return the methods of all components."""
-        merged: dict[str, Handler] = {}
+        """Return the RPC handlers of all components."""
+        handlers: dict[str, Handler] = {}
         for component in self.components:
-            merged.update(component.handlers())
-        return merged
+            handlers.update(component.handlers())
+        return handlers
 
     def depth(self) -> int:
-        """Return what waits in all components."""
+        """Return the number of pending work items of all components."""
         return sum(component.depth() for component in self.components)
 
     async def recover(self) -> None:
@@ -77,33 +78,35 @@
         for index, entry in enumerate(entries):
             for component in self.components:
                 component.replay(entry)
-            if index % REPLAY_SLICE == 0:
-                # A long log must not hold up the heartbeats and the lease of the process.
+            if index % REPLAY_YIELD_ENTRIES == 0:
+                # Replaying a long log must not delay heartbeats and lease renewals of the process.
                 await asyncio.sleep(0)
         for component in self.components:
             await component.recover()
 
     async def serve(self) -> None:
-        """Answer for the keys, until cancelled."""
+        """Serve requests for the keys until cancelled."""
         for component in self.components:
             component.ready = True
         self.phase = Phase.SERVING
         async with asyncio.TaskGroup() as tasks:
             for component in self.components:
                 tasks.create_task(component.serve())
-            tasks.create_task(self._compact_forever())
+            tasks.create_task(self._compact_periodically())
 
     async def drain(self) -> None:
-        """Take nothing new, and let what is being recorded end."""
+        """Refuse new requests and wait for appends in progress."""
         self._stop(Phase.DRAINING)
         try:
-            async with asyncio.timeout(DRAIN_S):
+            async with asyncio.timeout(DRAIN_TIMEOUT_S):
                 await asyncio.gather(*(component.drain() for component in self.components))
         except TimeoutError:
-            logger.warning("{}: appends did not end in {} s", self.tenure.partition, DRAIN_S)
+            logger.warning(
+                "{}: appends still in progress after {} s", self.tenure.partition, DRAIN_TIMEOUT_S
+            )
 
     async def close(self) -> None:
-        """Answer and write nothing any more."""
+        """Stop replying and writing."""
         self._stop(Phase.STOPPED)
         await self.log.close()
 
@@ -112,24 +115,24 @@
         for component in self.components:
             component.ready = False
 
-    async def _compact_forever(self) -> None:
+    async def _compact_periodically(self) -> None:
         while True:
-            await self.ctx.clock.sleep(COMPACT_CHECK_S)
+            await self.ctx.clock.sleep(COMPACT_CHECK_INTERVAL_S)
             settled = all(component.settled() for component in self.components)
-            if settled and self.log.size() >= self._worth_compacting:
+            if settled and self.log.size() >= self._compaction_threshold:
                 await self._compact()
 
     async def _compact(self) -> None:
-        kept = self._snapshot()
-        self._worth_compacting = worth_compacting(
-            kept=len(kept), fewest_segments=self._compact_segments
+        retained = self._snapshot()
+        self._compaction_threshold = compaction_threshold(
+            retained=len(retained), min_segments=self._compact_segments
         )
         try:
-            await self.log.compact(kept)
+            await self.log.compact(retained)
         except LogFenced:
             self._stop(Phase.STOPPED)
         except LogError as exc:
-            logger.debug("{}: not compacted now: {}", self.tenure.partition, exc)
+            logger.debug("{}: log compaction failed: {}", self.tenure.partition, exc)
 
     def _snapshot(self) -> list[LogEntry]:
         return [entry for component in self.components for entry in component.snapshot()]
--- a/rhubarbferry/scheduler/runner_list.py
+++ b/rhubarbferry/scheduler/runner_list.py
@@ -1,4 +1,4 @@
-"""The runners of one partition, by the platform's list of hosts and the configuration."""
+"""The runners of one partition, from the platform's host list and the configuration."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class RunnerList:
-    """Keep the runners of a ledger as the platform lists them.
+    """Synchronize the runners of a ledger with the platform's host list.
 
-    :ivar word_from: when a runner that was not heard before must be asked, at the earliest, for
-        its word to count.
+    :ivar reports_valid_from: time on the monotonic clock; the first report of a runner is accepted
+        only if its probe was sent at this time or later.
     """
 
     def __init__(
@@ -24,23 +24,23 @@
         self._ledger = ledger
         self._ejector = ejector
         self._slots = 0
-        self.word_from = ctx.clock.monotonic()
+        self.reports_valid_from = ctx.clock.monotonic()
 
     def outdated(self) -> bool:
-        """Tell whether the configured slots have changed since the last :meth:`sync`."""
+        """Return whether the configured slots have changed since the last :meth:`sync`."""
         return self._configured_slots() != self._slots
 
     def sync(self) -> None:
-        """Take in runners that have come, changed or gone."""
+        """Add, update and remove runners according to the host list."""
         slots = self._slots = self._configured_slots()
-        listed = {host.id: host for host in self._ctx.hosts.hosts() if self._is_mine(host)}
+        listed = {host.id: host for host in self._ctx.hosts.hosts() if self._matches(host)}
         for host in listed.values():
             known = host.id in self._ledger.runners
             runner = self._ledger.put_runner(
                 id=host.id, address=host.address, slots=slots, leaving=host.leaving
             )
             if not known or runner.said_slots is None:
-                self._block(runner)
+                self._block_until_reported(runner)
         for id in [id for id in self._ledger.runners if id not in listed]:
             self._ledger.drop_runner(id)
             self._ejector.forget(id)
@@ -49,21 +49,21 @@
         service = self._ctx.cell.current().services.get(self._partition.name)
         return 0 if service is None else service.slots
 
-    def _block(self, runner: Runner) -> None:
-        """Count a runner that has not been heard as full.
+    def _block_until_reported(self, runner: Runner) -> None:
+        """Treat a runner that has not reported yet as fully occupied.
 
-        An earlier owner may have used it, with its requests known to nobody who answered.
+        An earlier owner may have granted its slots to requests that no responding guard reported.
         """
         if runner.blocked_until is not None:
             return
         now = self._ctx.clock.monotonic()
         longest_s = self._ctx.cfg.ownership.longest_request_s
-        self._ledger.block(runner.id, until=now + longest_s, word_from=self.word_from)
+        self._ledger.block(runner.id, until=now + longest_s, word_from=self.reports_valid_from)
 
-    def _is_mine(self, host: Host) -> bool:
-        mine = self._partition
+    def _matches(self, host: Host) -> bool:
+        partition = self._partition
         return (
             host.kind is HostKind.RUNNER
-            and host.region == mine.region
-            and host.service == mine.name
+            and host.region == partition.region
+            and host.service == partition.name
         )
--- a/rhubarbferry/scheduler/slot_ends.py
+++ b/rhubarbferry/scheduler/slot_ends.py
@@ -1,4 +1,4 @@
-"""Ends of grants in a runner partition: slots free again, accounts settled, runners judged."""
+"""The end of grants in a runner partition: free slots, settle charges, rate runners."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from rhubarbferry.rpc.gen.ttypes import GrantEnd, OpenGrant, Release
 from rhubarbferry.scheduler import metrics
 
-ENDS = {
+SLOT_ENDS = {
     GrantEnd.DONE: SlotEnd.DONE,
     GrantEnd.NOT_SENT: SlotEnd.NOT_SENT,
     GrantEnd.REFUSED_BY_RUNNER: SlotEnd.REFUSED_BY_RUNNER,
@@ -27,7 +27,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Charge:
-    """What an account was charged for a slot when it got it."""
+    """The estimated use that an account was charged when a slot was granted."""
 
     account: str
     seconds: float
@@ -35,10 +35,10 @@
 
 
 class SlotEnds:
-    """What each account is charged for its slots, until they are free again.
+    """Handle the end of grants and keep the charge of each grant until then.
 
-    :param name: of the partition, for log lines.
-    :param grant_usable_s: how long a grant that was not used yet may still be.
+    :param name: name of the partition, for log messages.
+    :param grant_usable_s: seconds during which an unused grant may still be used.
     """
 
     def __init__(
@@ -60,39 +60,42 @@
         self._charges: dict[int, Charge] = {}
 
     def charge(self, lease: SlotLease, seconds: float) -> None:
-        """Note what an account was charged for a slot that it gets now."""
+        """Record the charge for a grant that is made now."""
         charge = Charge(account=lease.account, seconds=seconds, since=lease.granted_at)
         self._charges[lease.grant_id] = charge
 
-    def release(self, item: Release) -> bool:
-        """Take a slot back; tell whether its runner should be asked about it."""
+    def release(self, release_message: Release) -> bool:
+        """Release a slot; return whether its runner should be probed about it."""
         now = self._clock.monotonic()
-        end = ENDS[item.end]
+        end = SLOT_ENDS[release_message.end]
         metrics.RELEASES.labels(end.value).inc()
-        grant_id = item.grant_id
+        grant_id = release_message.grant_id
         if grant_id not in self._ledger.leases:
-            # A slot held on the runner's word since its frontend was not heard of until now.
-            stranger = self._ledger.find(runner_id=item.runner_id, request_id=item.request_id)
-            if stranger is None or stranger.frontend_id:
+            # The grant was known only from the runner's report, without its frontend.
+            unattributed = self._ledger.find(
+                runner_id=release_message.runner_id, request_id=release_message.request_id
+            )
+            if unattributed is None or unattributed.frontend_id:
                 return False
-            grant_id = stranger.grant_id
+            grant_id = unattributed.grant_id
         lease = self._ledger.release(grant_id, end, now=now)
         if lease is None:
             return False
-        self._judge_runner(item, end, now)
+        self._rate_runner(release_message, end, now)
         if grant_id not in self._ledger.leases:
             self._settle([lease])
         return end in RUNNER_FAILURES
 
     def adopt(self, guard: Guard, grants: Sequence[OpenGrant]) -> None:
-        """Take over the open grants of earlier owners that a guard holds."""
+        """Take over open grants of earlier owners that a guard has reported."""
         now = self._clock.monotonic()
         for grant in grants:
             if grant.grant_id in self._ledger.leases:
                 continue
             usable_s = 0.0 if grant.sent else self._grant_usable_s
-            # The guard also lists requests whose end it doesn't know and has told an earlier
-            # owner of. No release comes for them again, so the runner's word has to end them.
+            # The list includes requests whose end the guard does not know and which it has already
+            # released to an earlier owner as such. They are not released again, so the runner's
+            # report must end them.
             lease = SlotLease(
                 grant_id=grant.grant_id,
                 request_id=grant.request_id,
@@ -109,34 +112,41 @@
             self._queue.resume(grant.account)
             metrics.ADOPTED_GRANTS.inc()
 
-    def hear(self, word: RunnerWord) -> None:
-        """Free what a runner says it does not run any more."""
-        freed = self._ledger.hear(word, now=self._clock.monotonic())
+    def apply_report(self, report: RunnerWord) -> None:
+        """Free the slots of requests that, by a runner's report, no longer run."""
+        freed = self._ledger.hear(report, now=self._clock.monotonic())
         metrics.SLOTS_FREED.labels("runner").inc(len(freed))
         self._settle(freed)
 
     def expire(self, now: float) -> None:
-        """Free the slots whose requests must have ended."""
+        """Free the slots of requests that must have ended by their deadline."""
         expired = self._ledger.expire(now=now)
         metrics.SLOTS_FREED.labels("deadline").inc(len(expired))
         self._settle(expired)
 
-    def _judge_runner(self, item: Release, end: SlotEnd, now: float) -> None:
-        service_s = item.service_ms / 1000
+    def _rate_runner(self, release_message: Release, end: SlotEnd, now: float) -> None:
+        service_s = release_message.service_ms / 1000
         if end is SlotEnd.DONE:
             self._queue.times.add(service_s)
-            self._ledger.served(item.runner_id, service_s)
-            self._ejector.succeeded(item.runner_id, item.request_id, now=now)
+            self._ledger.served(release_message.runner_id, service_s)
+            self._ejector.succeeded(release_message.runner_id, release_message.request_id, now=now)
         elif end is SlotEnd.NOT_SENT:
-            self._ejector.neither(item.runner_id, item.request_id)
+            self._ejector.neither(release_message.runner_id, release_message.request_id)
         elif self._ejector.failed(
-            item.runner_id, item.request_id, now=now, hosts=len(self._ledger.runners)
+            release_message.runner_id,
+            release_message.request_id,
+            now=now,
+            hosts=len(self._ledger.runners),
         ):
             metrics.EJECTIONS.inc()
-            logger.warning("{}: runner {} fails requests, ejected", self._name, item.runner_id)
+            logger.warning(
+                "{}: runner {} ejected because its requests fail",
+                self._name,
+                release_message.runner_id,
+            )
 
     def _settle(self, leases: Iterable[SlotLease]) -> None:
-        """Settle the accounts of slots that are free now."""
+        """Replace the charges of freed slots by their actual use."""
         now = self._clock.monotonic()
         for lease in leases:
             self._ejector.neither(lease.runner_id, lease.request_id)
--- a/tests/scheduler/jobs_harness.py
+++ b/tests/scheduler/jobs_harness.py
@@ -1,4 +1,4 @@
-"""A rack of workers, the partitions that use it, and callers, all in one process over TCP."""
+"""A small cluster for tests: workers, partitions and clients in one process, over TCP."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from rhubarbferry.test.worker import Run, WorkerEngine, WorkerStandIn
 
 BOUND_S = 8.0
-LOOK_S = 0.005
+POLL_INTERVAL_S = 0.005
 RACK = PartitionId.parse("worker/north/r1")
 HOME = PartitionId.parse("key/north/0")
 TIMING = Timing(connect_s=0.5, heartbeat_s=0.2, silence_s=1.0)
@@ -37,13 +37,13 @@
 )
 
 
-async def until(true: Callable[[], bool], *, bound_s: float = BOUND_S) -> None:
-    """Return when a condition holds; fail when it doesn't within the bound."""
-    for _ in range(int(bound_s / LOOK_S)):
-        if true():
+async def eventually(condition: Callable[[], bool], *, timeout_s: float = BOUND_S) -> None:
+    """Wait until a condition holds; fail after ``timeout_s`` seconds."""
+    for _ in range(int(timeout_s / POLL_INTERVAL_S)):
+        if condition():
             return
-        await asyncio.sleep(LOOK_S)
-    assert true()
+        await asyncio.sleep(POLL_INTERVAL_S)
+    assert condition()
 
 
 @define(kw_only=True, eq=False)
@@ -51,14 +51,14 @@
     partition: PartitionId
     epoch: int
     held: bool = True
-    leased: bool = True
+    lease_valid: bool = True
     book: PromiseBook = field(factory=PromiseBook)
 
     def holds(self) -> bool:
-        return self.held and (self.leased or self.book.majority(SystemClock().monotonic()))
+        return self.held and (self.lease_valid or self.book.majority(SystemClock().monotonic()))
 
     def lease_holds(self) -> bool:
-        return self.held and self.leased
+        return self.held and self.lease_valid
 
     def seen(self, epoch: int) -> None:
         if epoch > self.epoch:
@@ -110,7 +110,7 @@
 
 
 class MemoryLog:
-    """The records of one key partition; kept when its owner goes."""
+    """An in-memory log of one key partition that outlives the owner of the partition."""
 
     def __init__(self, entries: list[t.LogEntry] | None = None) -> None:
         self.entries: list[t.LogEntry] = [] if entries is None else entries
@@ -133,7 +133,7 @@
         self.entries.extend(entries)
         if self.unclear:
             raise LogUnclear("the reply was lost")
-        # Runs one step of the loop after the caller has gone on, as a compaction may.
+        # Runs one event loop step after the append, as a compaction may.
         asyncio.get_running_loop().call_soon(self.after_append)
 
     async def compact(self, entries: Iterable[t.LogEntry]) -> None:
@@ -145,7 +145,7 @@
 
 @define(kw_only=True, eq=False)
 class Serving:
-    """A partition or component that is being served, and what to stop with it."""
+    """A served partition or component and the resources to stop with it."""
 
     state: JobHome | WorkerPartition
     tenure: FakeTenure
@@ -154,8 +154,8 @@
     log: MemoryLog | None = None
 
 
-class Bed:
-    """The test bed; use as an async context manager."""
+class Cluster:
+    """A cluster of in-process components; use as an async context manager."""
 
     def __init__(self, *, cfg: Settings = FAST, accounts: Iterable[Account] = ()) -> None:
         self.cfg = cfg
@@ -172,7 +172,7 @@
         self.serving: list[Serving] = []
         self.epochs: dict[PartitionId, int] = {}
 
-    async def __aenter__(self) -> Bed:
+    async def __aenter__(self) -> Cluster:
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -216,7 +216,7 @@
         )
         return worker
 
-    def leave(self, id: str) -> None:
+    def mark_leaving(self, id: str) -> None:
         self.hosts.put(evolve(self.hosts.list[id], leaving=True))
 
     async def rack(
@@ -253,7 +253,7 @@
         return serving
 
     async def stop(self, serving: Serving) -> None:
-        """End an owner as a crash does: nothing more is sent, nothing is handed over."""
+        """Stop an owner as a crash would, without draining or handing over."""
         if serving in self.serving:
             self.serving.remove(serving)
         serving.tenure.held = False
@@ -283,12 +283,12 @@
         return await self.call(HOME, "cancel_job", req)
 
     async def job_until(
-        self, job_id: str, true: Callable[[t.JobRecord], bool], *, bound_s: float = BOUND_S
+        self, job_id: str, condition: Callable[[t.JobRecord], bool], *, timeout_s: float = BOUND_S
     ) -> t.JobRecord:
-        async with asyncio.timeout(bound_s):
+        async with asyncio.timeout(timeout_s):
             while True:
                 reply = await self.job(job_id)
-                if reply.job is not None and true(reply.job):
+                if reply.job is not None and condition(reply.job):
                     return reply.job
                 await asyncio.sleep(0.01)
 
@@ -330,17 +330,19 @@
 
 
 def task_of(run: Run) -> str:
-    """Return the task of a run, without its attempt."""
+    """Return the id of a run's task, without the attempt number."""
     return run.task_id.rsplit("/", 1)[0]
 
 
 def assert_no_overlap(runs: Iterable[Run]) -> None:
-    """Fail when two attempts of one task ran at the same time, as the workers saw it."""
+    """Fail if the workers ran two attempts of one task at the same time."""
     by_task: dict[str, list[Run]] = {}
     for run in runs:
         by_task.setdefault(task_of(run), []).append(run)
     for task, attempts in by_task.items():
         attempts.sort(key=lambda run: run.started_at)
         for first, second in zip(attempts, attempts[1:], strict=False):
-            assert first.ended_at is not None, f"{task} runs twice"
-            assert first.ended_at <= second.started_at, f"{task} overlaps itself"
+            assert (
+                first.ended_at is not None
+            ), f"{task} still runs while another attempt was started"
+            assert first.ended_at <= second.started_at, f"attempts of {task} overlap"
--- a/tests/scheduler/test_key_partition.py
+++ b/tests/scheduler/test_key_partition.py
@@ -2,23 +2,27 @@
 
 import pytest
 
-from rhubarbferry.scheduler.key_partition import worth_compacting
+from rhubarbferry.scheduler.key_partition import compaction_threshold
 
 
 @pytest.mark.parametrize(
-    ("kept", "segments"),
+    ("retained", "segments"),
     [(0, 512), (4096, 512), (8000, 1000), (160_000, 20_000)],
 )
-def test_snapshots_come_in_proportion_to_what_is_kept(kept: int, segments: int) -> None:
-    assert worth_compacting(kept=kept, fewest_segments=512) == segments
+def test_the_compaction_threshold_grows_with_the_retained_entries(
+    retained: int, segments: int
+) -> None:
+    assert compaction_threshold(retained=retained, min_segments=512) == segments
 
 
-def test_an_entry_costs_the_same_however_many_keys_are_kept() -> None:
-    """Many keys are kept, and each snapshot writes all of them.
+def test_the_compaction_cost_per_entry_is_constant() -> None:
+    """Each snapshot rewrites all retained keys.
 
-    Made every 512 segments it would take most of the store's rate, and keyed requests wait.
+    With many keys, a snapshot every 512 segments would use most of the store's write rate and
+    delay requests with keys.
     """
     rewritten = [
-        kept / worth_compacting(kept=kept, fewest_segments=512) for kept in (10_000, 100_000)
+        retained / compaction_threshold(retained=retained, min_segments=512)
+        for retained in (10_000, 100_000)
     ]
     assert rewritten[1] <= rewritten[0] * 1.01
