--- a/rhubarbferry/test/__init__.py
+++ b/rhubarbferry/test/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what is outside, and fault injectors; public, so that others can use them."""
+"""Stand-ins for external systems and fault injectors, for use in any test suite."""
--- a/rhubarbferry/test/fake_clock.py
+++ b/rhubarbferry/test/fake_clock.py
@@ -1,4 +1,4 @@
-"""A clock that goes on only when a test says so."""
+"""A clock whose time advances only when a test advances it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FakeClock:
-    """Implements ``ports.clock.Clock``; ``advance`` wakes those who sleep, in order."""
+    """Implement ``ports.clock.Clock``; ``advance`` wakes sleeping tasks in deadline order."""
 
     def __init__(self, *, now: float = 1000.0) -> None:
         self._now = now
@@ -18,21 +18,21 @@
         self._sleepers: list[tuple[float, int, asyncio.Future[None]]] = []
 
     def monotonic(self) -> float:
-        """Return the time that was reached by ``advance``."""
+        """Return the current fake time."""
         return self._now
 
     def wall(self) -> float:
-        """Return the same as a time of day."""
+        """Return the current fake time as wall-clock time."""
         return self._now
 
     async def sleep(self, seconds: float) -> None:
-        """Return once ``advance`` has reached the end."""
+        """Block until the fake time has advanced by ``seconds``."""
         fut = asyncio.get_running_loop().create_future()
         heapq.heappush(self._sleepers, (self._now + seconds, next(self._numbers), fut))
         await fut
 
     async def advance(self, seconds: float) -> None:
-        """Go on, stopping at each end of a sleep to let the woken tasks run."""
+        """Advance the time, pausing at each sleep deadline so that the woken tasks can run."""
         until = self._now + seconds
         await settle()
         while self._sleepers and self._sleepers[0][0] <= until:
@@ -45,18 +45,18 @@
         await settle()
 
     def wake(self) -> None:
-        """Wake all whose sleep has ended; the caller lets them run."""
+        """Wake all tasks whose sleep has ended, without running them."""
         while self._sleepers and self._sleepers[0][0] <= self._now:
             _, _, fut = heapq.heappop(self._sleepers)
             if not fut.done():
                 fut.set_result(None)
 
     def jump(self, seconds: float) -> None:
-        """Let time pass without running anything, as for a process that is stopped."""
+        """Advance the time without running any task, as for a suspended process."""
         self._now += seconds
 
 
 async def settle() -> None:
-    """Let all tasks run that can."""
+    """Let all ready tasks run."""
     for _ in range(SETTLE_ROUNDS):
         await asyncio.sleep(0)
--- a/rhubarbferry/test/hosts.py
+++ b/rhubarbferry/test/hosts.py
@@ -1,8 +1,8 @@
-"""The platform's host list for tests and demos.
+"""Stand-in for the platform's host list, for tests and demos.
 
 Run ``python -m rhubarbferry.test.hosts --port N``. ``GET /hosts`` answers in the HTTP service
 discovery format of Prometheus, ``PUT /hosts`` replaces the list, ``POST /faults`` sets faults and
-``GET /counters`` tells how often the list was read.
+``GET /counters`` returns the number of reads.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 @frozen(kw_only=True)
 class HostFaults:
-    """What goes wrong until told otherwise.
+    """Faults to inject; they stay active until they are replaced.
 
-    :param down: refuse reads with 503.
-    :param slow_s: seconds before an answer.
-    :param garbage: answer with something that is no list.
-    :param stale: go on answering with the list as it is now.
+    :param down: answer reads with 503.
+    :param slow_s: delay of each answer in seconds.
+    :param garbage: answer with a malformed body.
+    :param stale: keep answering with the list as it was when the fault was set.
     """
 
     down: bool = False
@@ -43,7 +43,7 @@
 
 @define(kw_only=True)
 class HostsStandIn:
-    """The list, its faults and its counters."""
+    """The host list with its faults and counters."""
 
     groups: list[dict[str, Any]]
     shown: list[dict[str, Any]]
@@ -52,12 +52,12 @@
 
     @classmethod
     def of(cls, *hosts: Host) -> HostsStandIn:
-        """Return a stand-in with these hosts."""
+        """Return a stand-in that lists these hosts."""
         groups = [group_of(host) for host in hosts]
         return cls(groups=groups, shown=groups)
 
     def put(self, groups: list[dict[str, Any]]) -> None:
-        """Replace the list; readers see it unless it is stale."""
+        """Replace the list; readers see the change unless the ``stale`` fault is set."""
         self.groups = groups
         if not self.faults.stale:
             self.shown = groups
@@ -109,7 +109,7 @@
 
 
 def group_of(host: Host) -> dict[str, Any]:
-    """Return a host as a group of the list."""
+    """Return the target group that represents a host."""
     labels = {
         "id": host.id,
         "kind": host.kind.value,
--- a/rhubarbferry/test/machines.py
+++ b/rhubarbferry/test/machines.py
@@ -1,4 +1,4 @@
-"""Settings of the state machines: the same runs in CI, many more by ``make fuzz``."""
+"""Hypothesis settings for state machine tests: seeded runs in CI, random ones in ``make fuzz``."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 def machine_settings(*, examples: int, steps: int) -> settings:
     """Return settings for ``run_state_machine_as_test``.
 
-    :param examples: runs in CI, from a fixed seed; fuzzing does more, each time others.
-    :param steps: longest run.
+    :param examples: number of runs in CI, from a fixed seed; ``make fuzz`` multiplies it and uses
+        new random seeds.
+    :param steps: maximum number of steps of a run.
     """
     fuzz = os.environ.get("HYPOTHESIS_PROFILE") == "fuzz"
     return settings(
--- a/rhubarbferry/test/memory_store.py
+++ b/rhubarbferry/test/memory_store.py
@@ -1,4 +1,4 @@
-"""A working store in memory, with faults: for unit tests and as the stand-in's engine."""
+"""In-memory store with fault injection, for unit tests and as the engine of the store stand-in."""
 
 from __future__ import annotations
 
@@ -46,15 +46,16 @@
 
 
 class MemoryStore:
-    """The store port over an engine in this process.
+    """Implement the store port over an engine in this process.
 
-    Two stores over one engine are two clients of one service, each with faults of its own:
+    Two stores over one engine act as two clients of one service, each with its own faults:
     ``MemoryStore(clock=clock, engine=first.engine, gate=first.gate)``.
 
-    :param clock: time of leases, rates and delays.
-    :param engine: the state; a new one by default.
-    :param faults: what goes wrong; may be changed at any time.
-    :param rates: calls allowed a second, unless ``gate`` is given.
+    :param clock: time source of leases, rate limits and delays.
+    :param engine: the stored state; a new one by default.
+    :param faults: faults to inject; may be changed at any time.
+    :param rates: rate limits; ignored if ``gate`` is given.
+    :param gate: a rate limiter shared with other stores.
     """
 
     def __init__(
@@ -73,11 +74,12 @@
         self.counters = StoreCounters()
 
     async def call(self, kind: CallKind, act: Callable[[], T], *, size: int = 0) -> T:
-        """Carry out one call: count it, apply the faults, expire leases, then ``act``.
+        """Execute one call: count it, apply the faults, expire leases, then run ``act``.
 
-        :param act: what takes effect, at one instant.
-        :raises StoreUnavailable: when it failed before its effect.
-        :raises StoreUnclear: when its reply is lost.
+        :param act: the operation; it takes effect at one instant.
+        :param size: number of bytes that the call sends.
+        :raises StoreUnavailable: if the call failed before it took effect.
+        :raises StoreUnclear: if the reply was lost.
         """
         self._admit(kind)
         self.counters.bytes_in += size
@@ -95,13 +97,13 @@
         return result
 
     async def get(self, key: str) -> KeyValue | None:
-        """Return the key, or ``None``."""
+        """Return the key-value pair, or ``None`` if the key does not exist."""
         back = self.faults.stale_revisions
         found = await self.call(CallKind.GET, lambda: self.engine.get(key, back=back))
         return found.kv if found else None
 
     async def list(self, prefix: str, *, limit: int = 0) -> Listing:
-        """Return the keys under a prefix."""
+        """Return the key-value pairs under a prefix."""
         back = self.faults.stale_revisions
 
         def act() -> Listing:
@@ -118,11 +120,11 @@
     async def put_if(
         self, key: str, value: bytes, *, mod_revision: int, lease_id: int = 0
     ) -> int | None:
-        """Write a key whose last write must be ``mod_revision``."""
+        """Write a key whose modification revision must be ``mod_revision``."""
         return await self._put(key, value, mod_revision, lease_id)
 
     async def delete_if(self, key: str, *, mod_revision: int) -> bool:
-        """Delete a key whose last write must be ``mod_revision``."""
+        """Delete a key whose modification revision must be ``mod_revision``."""
         compare = Compare(key=key, target=Target.MOD, number=mod_revision)
         result = await self._txn(compare, Delete(key=key))
         return result.succeeded and result.deleted > 0
@@ -134,13 +136,13 @@
         return result.deleted
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Open a lease."""
+        """Grant a lease and return its ID."""
         return await self.call(
             CallKind.GRANT_LEASE, lambda: self.engine.grant(ttl_s, self.clock.monotonic())
         )
 
     async def keep_alive(self, lease_id: int) -> float:
-        """Extend a lease; return its seconds, counted from before the call."""
+        """Renew a lease and return its remaining seconds, counted from the start of the call."""
         begun = self.clock.monotonic()
         ttl = await self.call(
             CallKind.KEEP_ALIVE,
@@ -151,13 +153,13 @@
         return ttl - (self.clock.monotonic() - begun)
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease."""
+        """Revoke a lease."""
         await self.call(CallKind.REVOKE_LEASE, lambda: self.engine.revoke(lease_id))
 
     async def watch(
         self, prefix: str, *, from_revision: int
     ) -> AsyncGenerator[tuple[WatchEvent, ...], None]:
-        """Yield changes under a prefix."""
+        """Yield the changes under a prefix."""
         async for events in self.watch_range(prefix, prefix_end(prefix), from_revision):
             if events:
                 yield events
@@ -165,9 +167,10 @@
     async def watch_range(
         self, start: str, end: str, from_revision: int, *, idle_s: float = 0.0
     ) -> AsyncGenerator[tuple[WatchEvent, ...], None]:
-        """Yield changes in ``[start, end)``, and ``()`` after each ``idle_s`` without one.
+        """Yield the changes in ``[start, end)``, and ``()`` after each ``idle_s`` without a
+        change.
 
-        Time may be a test's own, so the wait looks at the state in short steps.
+        The clock may be a fake one, so the wait polls the state at short real-time intervals.
         """
         try:
             self._admit(CallKind.WATCH)
@@ -190,7 +193,7 @@
                 await asyncio.sleep(LOOK_S)
 
     async def close(self) -> None:
-        """Do nothing: there are no connections."""
+        """Do nothing, as there are no connections to close."""
 
     def _changes(self, start: str, end: str, from_revision: int) -> tuple[WatchEvent, ...]:
         if from_revision > self.engine.revision:
--- a/rhubarbferry/test/platform_store.py
+++ b/rhubarbferry/test/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store, in its own form, over the engine of the other stand-in."""
+"""Stand-in for the platform's store with the platform's HTTP interface, over the store engine."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from rhubarbferry.test.memory_store import prefix_end
 from rhubarbferry.test.store_engine import Compacted, Compare, Delete, Engine, Put, Target
 
-# How often a waiting watch looks for changes.
+# Interval at which a waiting watch polls for changes.
 LOOK_S = 0.005
 PAGE_ITEMS = 500
 MAX_ENTRIES = 32
@@ -26,16 +26,16 @@
 
 @define(kw_only=True, eq=False)
 class Trouble:
-    """What goes wrong now.
-
-    :param down: every call is turned away with 503.
-    :param over_rate: every call is turned away with 429.
-    :param lose_every: of so many writes one is carried out and not answered; 0 for none.
-    :param late_s: such a write is carried out only after this time.
-    :param answer_s: seconds that each answer takes.
-    :param no_history: watches are told that their history is gone.
-    :param deaf: watches hear of no change, and are answered with the present revision.
-    :param no_bare_conditions: transactions that change nothing are refused with 400.
+    """Faults to inject.
+
+    :param down: reject every call with 503.
+    :param over_rate: reject every call with 429.
+    :param lose_every: apply every n-th write but send no reply to it; 0 disables the fault.
+    :param late_s: delay in seconds before a write without a reply is applied.
+    :param answer_s: delay of each answer in seconds.
+    :param no_history: answer watches with 410, as if their history were compacted.
+    :param deaf: answer watches without events but with the current revision.
+    :param no_bare_conditions: reject transactions without writes or removals with 400.
     """
 
     down: bool = False
@@ -50,7 +50,7 @@
 
 @define(kw_only=True, eq=False)
 class PlatformStoreStandIn:
-    """The store: keys, leases, watches by long poll."""
+    """Store stand-in with keys, leases and long-poll watches."""
 
     engine: Engine = field(factory=Engine)
     trouble: Trouble = field(factory=Trouble)
@@ -73,11 +73,11 @@
         )
 
     def put(self, key: str, value: Any) -> None:
-        """Write as the operator and the hosts do."""
+        """Write a key without access control, as the operator and the hosts do."""
         self.engine.txn([], [Put(key=key, value=json.dumps(value).encode())])
 
     def remove(self, key: str) -> None:
-        """Remove as the operator and the hosts do."""
+        """Remove a key without access control, as the operator and the hosts do."""
         self.engine.txn([], [Delete(key=key)])
 
     def keys(self, prefix: str) -> list[str]:
@@ -213,7 +213,7 @@
 
 
 class _Unanswered(Response):
-    """Announce a body and end without it, so that the caller has no whole answer."""
+    """Response that announces a body and closes the connection without sending it."""
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         headers = [(b"content-length", b"2"), (b"connection", b"close")]
--- a/rhubarbferry/test/platform_worker.py
+++ b/rhubarbferry/test/platform_worker.py
@@ -1,4 +1,4 @@
-"""A stand-in for a host that runs tasks and for the policy service, in the platform's form."""
+"""Stand-ins for a host that runs tasks and for the platform's policy service."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 from rhubarbferry.test.platform_store import PlatformStoreStandIn
 
 LOOK_S = 0.01
-# Longest lease that a host grants.
+# Maximum duration of the lease that a host grants.
 LEASE_MS = 6000
-# Tail of a serving task that has its host for itself; each other task adds its pace in percent.
+# Tail latency of a serving task without other tasks on its host; each other task adds its speed in
+# percent to it, as milliseconds.
 SERVED_ALONE_MS = 50
 
 
 @define(kw_only=True, eq=False)
 class Run:
-    """A run of a task.
+    """One run of a task.
 
-    :param ends_at: steady time at which its work is done.
-    :param pace: share of its speed, in percent, as last ordered.
+    :param ends_at: monotonic time at which the run completes.
+    :param pace: speed in percent of the full speed, as last set by the scheduler.
+    :param how: reason of the end, empty while the task runs.
     """
 
     task: str
@@ -40,13 +42,13 @@
 
 @define(kw_only=True, eq=False)
 class PlatformWorkerStandIn:
-    """One host.
+    """Stand-in for one host.
 
-    :param work_s: how long each task works.
-    :param fails: tasks that end as failed.
-    :param serving: tasks whose users' tail latency grows with the pace of all others here.
-    :ivar history: every run that began here.
-    :ivar over: task names of starts that the host had no room for.
+    :param work_s: duration of each run in seconds.
+    :param fails: tasks whose runs end as failed.
+    :param serving: tasks whose reported tail latency grows with the speed of all other tasks on
+        the host.
+    :ivar history: every run that was started on this host.
     """
 
     id: str
@@ -79,7 +81,7 @@
         )
 
     def register(self, address: str, *, state: str = "ready") -> None:
-        """Write the entry in the host list."""
+        """Write the entry of this host to the host list."""
         entry = {
             "service": self.service,
             "addr": address,
@@ -129,7 +131,8 @@
         return body, None
 
     def _figure(self, run: Run) -> int:
-        """Return the tail of a serving task in ms: above its goal while others fill the host."""
+        """Return the tail latency of a serving task in ms."""
+        speed."""
         if run.task not in self.serving:
             return 0
         filling = [other.pace for other in self._running.values() if other is not run]
@@ -204,7 +207,7 @@
 
 @define(kw_only=True, eq=False)
 class PlatformPolicyStandIn:
-    """The policy service: approves all hosts but those in ``denied``."""
+    """Stand-in for the policy service; approves all hosts except those in ``denied``."""
 
     denied: set[str] = field(factory=set)
     decision_s: float = 0.01
--- a/rhubarbferry/test/processes.py
+++ b/rhubarbferry/test/processes.py
@@ -1,4 +1,4 @@
-"""A whole cell as separate processes on this machine, for tests of failures and for measurement.
+"""Run a whole cell as separate local processes, for failure tests and benchmarks.
 
 Only tests and benchmarks start processes; the daemons never do.
 """
@@ -61,13 +61,14 @@
 
 
 class ProcessFailed(Exception):
-    """A process ended or printed no address in time; the message holds its last lines."""
+    """A process exited or printed no address in time; the message contains its last log lines."""
 
 
 @define(kw_only=True)
 class Process:
-    """One process that was started here.
+    """A child process.
 
+    :param errors: file that receives its standard error.
     :param line: the JSON line that it printed once it listened.
     """
 
@@ -78,55 +79,57 @@
 
     @property
     def address(self) -> str:
-        """``ip:port`` of its main server."""
+        """Return the ``ip:port`` of its main server."""
         return self.line["address"]
 
     @property
     def http(self) -> str:
-        """Base of its HTTP interface."""
+        """Return the base URL of its HTTP interface."""
         return f"http://{self.line.get('http_address', self.line['address'])}"
 
     @property
     def running(self) -> bool:
-        """Whether it has not ended."""
+        """Return whether the process is still running."""
         return self.child.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, unless the process has ended."""
+        """Send a signal unless the process has exited."""
         if self.running:
-            # It may have ended just now, before the loop was told.
+            # The process may have exited without the event loop having been notified yet.
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.child.pid, number)
 
     async def kill(self) -> None:
-        """End it at once, as a crash does."""
+        """Kill the process with SIGKILL, as a crash does."""
         self.signal(signal.SIGKILL)
         await self.child.wait()
 
     async def terminate(self, within_s: float = STOP_S) -> int:
-        """Ask it to stop; return its exit code.
+        """Send SIGTERM and return the exit code.
 
-        :raises TimeoutError: when it has not ended in time.
+        :raises TimeoutError: if the process has not exited in time.
         """
         self.signal(signal.SIGTERM)
         async with asyncio.timeout(within_s):
             return await self.child.wait()
 
     def last_lines(self, count: int = 15) -> str:
-        """Return the end of what it wrote to standard error."""
+        """Return the last lines of its standard error."""
         return "\n".join(self.errors.read_text(errors="replace").splitlines()[-count:])
 
 
 @frozen(kw_only=True)
 class Shape:
-    """How large the cell is.
-
-    :param frontends: in each region of ``frontend_regions``.
-    :param schedulers: in each region.
-    :param racks: in each region, of ``workers`` each.
-    :param relayed: names of processes that others reach through a relay; see
+    """Size and layout of a cell.
+
+    :param frontends: number in each of ``frontend_regions``.
+    :param schedulers: number in each region.
+    :param racks: number in each region.
+    :param workers: number in each rack.
+    :param runners: number in each region.
+    :param relayed: names of processes that are reached through a relay; see
         :attr:`ProcessCell.links`.
-    :param overrides: further INI text for the settings of all daemons.
+    :param overrides: additional INI text for the settings of all daemons.
     """
 
     regions: tuple[str, ...] = ("attiki",)
@@ -150,10 +153,10 @@
 class ProcessCell:
     """The processes of one cell.
 
-    :param dir: an empty folder for settings and outputs.
-    :ivar links: by name of a relayed process, the link before it: before the RPC server of a
-        daemon, before the server of a runner or worker as the host list tells it. A daemon has
-        another at ``<name>/store``, through which it alone reaches the store.
+    :param dir: an empty directory for settings and outputs.
+    :ivar links: relay links by process name: in front of the RPC server of a daemon, or in front
+        of the server of a runner or worker as published in the host list. A daemon has a second
+        link at ``<name>/store``, which carries only its own traffic to the store.
     """
 
     dir: Path
@@ -179,7 +182,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Stop all processes; end those that do not stop in time."""
+        """Terminate all processes; kill those that do not exit in time."""
         for process in self.processes.values():
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGTERM)
@@ -192,7 +195,7 @@
         await self.session.close()
 
     def named(self, prefix: str) -> list[Process]:
-        """Return the processes whose names begin with ``prefix``, in order."""
+        """Return the processes whose names start with ``prefix``, sorted by name."""
         return [self.processes[n] for n in sorted(self.processes) if n.startswith(prefix)]
 
     async def start_daemon(
@@ -205,15 +208,17 @@
         domain: str = "",
         peers: str = "",
     ) -> Process:
-        """Start one more frontend or scheduler.
+        """Start an additional frontend or scheduler.
 
-        :param store: ``ip:port`` to reach the store at, when not its own (a relay, say).
-        :param peers: RPC addresses to ask for the configuration during an outage.
+        :param store: ``ip:port`` of the store; by default the store of this cell.
+        :param domain: failure domain; by default the first one of the region.
+        :param peers: RPC addresses from which to request the configuration during a store outage.
         """
         relayed = name in self.shape.relayed
         store = store or self.processes["store"].address
         if relayed:
-            # Its own port is known only once it listens; nobody has its address before.
+            # The port of the daemon is known only once it listens; its address is not published
+            # before.
             store = (await self._link(f"{name}/store", store)).address
             await self._link(name, NOT_YET)
         text = SETTINGS.format(
@@ -238,7 +243,7 @@
         return link
 
     async def start(self, name: str, *argv: str) -> Process:
-        """Start a module of Python and wait for its first line."""
+        """Run a Python module as a process and wait for its first output line."""
         errors = self.dir / f"{name}.err"
         with errors.open("w") as sink:
             child = await asyncio.create_subprocess_exec(
@@ -263,14 +268,14 @@
     # ------------------------------------------------------------ stand-ins
 
     async def set_faults(self, name: str, **faults: object) -> None:
-        """Change the named faults of a stand-in; the others stay."""
+        """Change the given faults of a stand-in; the other faults stay unchanged."""
         process = self.processes[name]
         base = process.line.get("control", process.address)
         async with self.session.post(f"http://{base}/faults", json=faults) as answer:
             answer.raise_for_status()
 
     async def record(self, name: str) -> dict[str, Any]:
-        """Return what a runner or worker has recorded."""
+        """Return the record of a runner or worker."""
         process = self.processes[name]
         base = process.line.get("control", process.address)
         async with self.session.get(f"http://{base}/record") as answer:
@@ -278,18 +283,18 @@
             return found
 
     async def records(self, prefix: str) -> list[dict[str, Any]]:
-        """Return the records of all stand-ins whose names begin with ``prefix``."""
+        """Return the records of all running stand-ins whose names start with ``prefix``."""
         return [await self.record(p.name) for p in self.named(prefix) if p.running]
 
     async def mark_leaving(self, name: str) -> None:
-        """Have the host list say that a runner or worker leaves."""
+        """Mark a runner or worker as leaving in the host list."""
         for host in self.hosts:
             if host["labels"]["id"] == name:
                 host["labels"]["state"] = "leaving"
         await self.publish_hosts()
 
     async def publish_hosts(self) -> None:
-        """Send ``hosts`` to the host list."""
+        """Publish ``hosts`` to the host list."""
         url = f"{self.processes['hosts'].http}/hosts"
         async with self.session.put(url, json=self.hosts) as answer:
             answer.raise_for_status()
@@ -304,7 +309,7 @@
         headers: Mapping[str, str] | None = None,
         body: bytes = b"",
     ) -> Answer:
-        """Send one request to the service and return the whole answer."""
+        """Send one request to the service and return the complete answer."""
         url = f"{self.processes[frontend].http}/v1/services/{SERVICE}{path}"
         asked = {"Client-Account": "kryogonia", **(headers or {})}
         async with self.session.post(url, headers=asked, data=body) as answer:
@@ -317,20 +322,20 @@
             )
 
     async def submit(self, frontend: str, **job: object) -> tuple[int, dict[str, Any]]:
-        """Submit a job; return the status and the document."""
+        """Submit a job; return the status and the JSON document."""
         url = f"{self.processes[frontend].http}/v1/jobs"
         async with self.session.post(url, json=job) as answer:
             return answer.status, await answer.json(content_type=None)
 
     async def job(self, frontend: str, job_id: str) -> dict[str, Any]:
-        """Return the document of a job, empty while it can't be had."""
+        """Return the JSON document of a job, or an empty one if it is not available."""
         url = f"{self.processes[frontend].http}/v1/jobs/{job_id}"
         async with self.session.get(url) as answer:
             document: dict[str, Any] = await answer.json(content_type=None)
             return document if answer.ok else {}
 
     async def until_served(self, frontend: str, within_s: float = START_S) -> float:
-        """Send requests until one is done; return the seconds that took."""
+        """Send requests until one succeeds; return the elapsed seconds."""
         loop = asyncio.get_running_loop()
         begun = loop.time()
         async with asyncio.timeout(within_s):
@@ -432,7 +437,7 @@
             await store.close()
 
     def open_store(self) -> Any:
-        """Return a client of the store, for tests that look into it or edit."""
+        """Return a store client, for tests that read or write the store directly."""
         from rhubarbferry.adapters.etcd import EtcdStore
         from rhubarbferry.conf.settings import StoreSettings
         from rhubarbferry.ports.clock import SystemClock
@@ -445,7 +450,7 @@
         )
 
     def cell_text(self) -> str:
-        """Return the configuration of the cell."""
+        """Return the configuration of the cell as INI text."""
         return CELL.format(
             regions=", ".join(self.shape.regions),
             key_partitions=self.shape.key_partitions,
@@ -468,7 +473,7 @@
 
 @frozen(kw_only=True)
 class Answer:
-    """One whole answer to a request."""
+    """The complete answer to a request."""
 
     status: int
     outcome: str
--- a/rhubarbferry/test/relay.py
+++ b/rhubarbferry/test/relay.py
@@ -1,12 +1,12 @@
-"""A TCP relay that cuts, silences and delays: the fault injector between processes.
+"""A TCP relay that cuts, silences and delays connections, to inject faults between processes.
 
-In a test: ``relay = Relay(); link = await relay.open("127.0.0.1:9000")`` gives a link whose
-``address`` stands for the target; ``link.set(Mode.SILENT)`` changes what it does.
+In a test, ``relay = Relay(); link = await relay.open("127.0.0.1:9000")`` creates a link; clients
+connect to ``link.address`` instead of the target, and ``link.set(Mode.SILENT)`` changes the mode.
 
-As a process: ``python -m rhubarbferry.test.relay --to ip:port [--to ip:port ...]``. It prints
-``{"address": control, "links": [{"id": 0, "listen": ..., "to": ...}]}``; the control port takes
+As a process, ``python -m rhubarbferry.test.relay --to ip:port [--to ip:port ...]`` prints
+``{"address": control, "links": [{"id": 0, "listen": ..., "to": ...}]}``. The control port accepts
 one JSON line per command, ``{"link": 0, "mode": "cut", "scope": "all", "delay_s": 0,
-"bytes_per_s": 0}``, and answers one JSON line each.
+"bytes_per_s": 0}``, and answers each with one JSON line.
 """
 
 from __future__ import annotations
@@ -23,17 +23,18 @@
 from rhubarbferry.rpc.framing import split_address
 
 CHUNK_BYTES = 64 * 1024
-# What a link of limited bandwidth carries at once, as a time.
+# A link of limited bandwidth forwards chunks of at most this transmission time.
 SLICE_S = 0.05
 CONNECT_S = 5.0
 
 
 class Mode(StrEnum):
-    """What a link does with connections.
+    """How a link treats connections.
 
-    ``CUT_TO`` and ``CUT_FROM`` drop the bytes of one direction (towards, from the target), ``CUT``
-    those of both and takes no new connections; ``SILENT`` drops the bytes of both and goes on
-    taking connections without opening any to the target; ``RESET`` resets all at once.
+    ``CUT_TO`` and ``CUT_FROM`` drop the bytes of one direction (to and from the target). ``CUT``
+    drops the bytes of both directions and rejects new connections. ``SILENT`` drops the bytes of
+    both directions and accepts new connections without connecting to the target. ``RESET`` resets
+    all connections at once.
     """
 
     PASS = "pass"
@@ -45,7 +46,7 @@
 
 
 class Scope(StrEnum):
-    """Which connections a change is for; the others keep their mode."""
+    """The connections to which a change applies; the others keep their mode."""
 
     ALL = "all"
     EXISTING = "existing"
@@ -54,10 +55,10 @@
 
 @frozen(kw_only=True)
 class Rule:
-    """What happens to the bytes of a connection.
+    """How the bytes of a connection are treated.
 
-    :param delay_s: holds each chunk back.
-    :param bytes_per_s: bandwidth of the link in each direction, 0 for no limit.
+    :param delay_s: delay of each chunk in seconds.
+    :param bytes_per_s: bandwidth of the link in each direction; 0 for no limit.
     """
 
     mode: Mode = Mode.PASS
@@ -65,7 +66,7 @@
     bytes_per_s: float = 0.0
 
     def chunk_bytes(self) -> int:
-        """Return how many bytes go out at once."""
+        """Return the maximum size of a forwarded chunk."""
         if not self.bytes_per_s:
             return CHUNK_BYTES
         return max(1, min(CHUNK_BYTES, int(self.bytes_per_s * SLICE_S)))
@@ -73,7 +74,7 @@
 
 @frozen(kw_only=True)
 class Command:
-    """One line on the control port."""
+    """A command on the control port."""
 
     link: int
     mode: Mode = Mode.PASS
@@ -84,7 +85,7 @@
 
 @define(kw_only=True, eq=False)
 class _Pair:
-    """One connection on both sides; ``target`` is missing on silent ones."""
+    """The two sides of a relayed connection; ``target`` is ``None`` on silent ones."""
 
     rule: Rule
     client: asyncio.StreamWriter
@@ -98,11 +99,11 @@
 
 
 class Link:
-    """One listener that relays to one target.
+    """A listener that relays connections to one target.
 
     :param target: ``ip:port``.
-    :ivar address: ``ip:port`` to connect to instead.
-    :ivar accepted: how many connections came in.
+    :ivar address: ``ip:port`` to which clients connect instead of the target.
+    :ivar accepted: number of accepted connections.
     """
 
     def __init__(self, *, target: str) -> None:
@@ -116,7 +117,7 @@
         self._server: asyncio.Server | None = None
 
     async def open(self, *, ip: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen; port 0 takes a free one."""
+        """Start to listen; port 0 selects a free port."""
         self._server = await asyncio.start_server(self._accept, ip, port)
         host, bound = self._server.sockets[0].getsockname()
         self.address = f"{host}:{bound}"
@@ -129,10 +130,10 @@
         delay_s: float = 0.0,
         bytes_per_s: float = 0.0,
     ) -> None:
-        """Change what happens to connections.
+        """Change how connections are treated.
 
-        Bytes that were dropped are lost to the stream, so a connection that lost some is reset
-        when it is to pass again: no TCP would deliver the rest without them.
+        Dropped bytes are missing from the stream, and TCP never delivers the bytes after a gap. A
+        connection that lost bytes is therefore reset when its mode returns to ``PASS``.
         """
         rule = Rule(mode=mode, delay_s=delay_s, bytes_per_s=bytes_per_s)
         if scope is not Scope.EXISTING:
@@ -146,7 +147,7 @@
                 pair.reset()
 
     def connections(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._pairs)
 
     async def close(self) -> None:
@@ -215,7 +216,7 @@
             writer.write_eof()
 
     async def _transmit(self, direction: Mode, duration_s: float) -> None:
-        """Wait while a chunk is on the link, behind those of the link's other connections."""
+        """Wait for the transmission time of a chunk, queued behind the link's earlier chunks."""
         now = asyncio.get_running_loop().time()
         begin = max(now, self._busy_until.get(direction, now))
         self._busy_until[direction] = begin + duration_s
@@ -223,7 +224,7 @@
 
 
 class Relay:
-    """Several links."""
+    """A set of links."""
 
     def __init__(self) -> None:
         self.links: list[Link] = []
@@ -241,7 +242,7 @@
             await link.close()
 
     async def control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Carry out the commands of one control connection."""
+        """Execute the commands of one control connection."""
         converter = cattrs.Converter(forbid_extra_keys=True)
         try:
             while line := await reader.readline():
--- a/rhubarbferry/test/runner.py
+++ b/rhubarbferry/test/runner.py
@@ -1,10 +1,11 @@
-"""A backend server for tests and demos: it runs requests, keeps exact records, shows faults.
+"""Backend server for tests and demos: executes requests, records them and injects faults.
 
-Run ``python -m rhubarbferry.test.runner --port N --id ID --service S``. What it records is the
-oracle of the tests: it never asks the daemons, and a record is written before an answer goes out.
+Run ``python -m rhubarbferry.test.runner --port N --id ID --service S``. Tests use its record as
+their oracle: it is independent of the daemons, and each entry is written before the answer is
+sent.
 
-Request headers that steer one request: ``Work-Ms`` (how long it runs), ``Answer-Bytes`` (padding
-after the first line of the answer), ``Answer-Chunked: true`` (no ``Content-Length``).
+Request headers control a single request: ``Work-Ms`` sets its duration, ``Answer-Bytes`` the
+padding after the first line of the answer, and ``Answer-Chunked: true`` omits ``Content-Length``.
 """
 
 from __future__ import annotations
@@ -29,17 +30,17 @@
 RECENT = 4096
 CHUNK_BYTES = 64 * 1024
 MAX_DELAY_MS = 600_000
-# Between two looks at whether runs may end.
+# Interval at which held requests check whether the ``hold`` fault was cleared.
 HOLD_POLL_S = 0.01
 
 
 @define(kw_only=True)
 class Execution:
-    """One request as this server ran it.
+    """One request as executed by this server.
 
-    :param complete: whether the whole request body came; when not, nothing was run.
-    :param started: seconds on the monotonic clock; ``started_wall`` since the Unix epoch.
-    :param ended: 0 while it runs.
+    :param complete: whether the whole request body was received; if not, nothing was executed.
+    :param started: start on the monotonic clock in seconds; ``started_wall`` is in Unix time.
+    :param ended: end on the monotonic clock in seconds; 0 while the request runs.
     """
 
     request_id: str
@@ -59,18 +60,18 @@
 
 @frozen(kw_only=True)
 class Faults:
-    """What goes wrong until told otherwise.
-
-    :param delay_ms: added to the run of each request.
-    :param hold: no run ends as long as this is set.
-    :param late_ms: waited after the run has ended, before the answer goes out.
-    :param truncate: send half of the announced bytes, then close.
-    :param fail: run, then answer 500.
-    :param drain: refuse new requests before execution and say so in the status.
-    :param refuse: refuse new requests before execution, without saying so in the status.
-    :param wrong_id: echo another request's id.
-    :param hang_up: run, then close without an answer.
-    :param no_status: accept status requests and never answer them.
+    """Faults to inject; they stay active until they are replaced.
+
+    :param delay_ms: additional duration of each request.
+    :param hold: let no request finish while this is set.
+    :param late_ms: delay between the end of the execution and the answer.
+    :param truncate: send half of the announced bytes, then close the connection.
+    :param fail: execute the request, then answer 500.
+    :param drain: reject new requests before execution and report ``leaving`` in the status.
+    :param refuse: reject new requests before execution without reporting it in the status.
+    :param wrong_id: answer with a wrong request ID.
+    :param hang_up: execute the request, then close the connection without an answer.
+    :param no_status: accept status requests without ever answering them.
     """
 
     delay_ms: int = 0
@@ -87,7 +88,7 @@
 
 @define(kw_only=True)
 class Counts:
-    """Sums since the start."""
+    """Counters since the start of the server."""
 
     executions: int = 0
     refused: int = 0
@@ -110,7 +111,7 @@
 def answer_head(
     *, request_id: str, runner: str, method: str, path: str, body_hash: str, body_bytes: int
 ) -> bytes:
-    """Return the first line of an answer, by which a wrong answer can be told."""
+    """Return the first line of an answer, which identifies the request and the runner."""
     head = {
         "request_id": request_id,
         "runner": runner,
@@ -123,10 +124,11 @@
 
 
 class Runner:
-    """The server.
+    """HTTP server with a limited number of slots and connections.
 
-    :param slots: requests run at a time; one more is refused before execution.
-    :param connections: connections kept at a time; one more is closed.
+    :param slots: maximum number of concurrent requests; further ones are rejected before
+        execution.
+    :param connections: maximum number of open connections; further ones are closed.
     """
 
     def __init__(
@@ -147,16 +149,16 @@
 
     @property
     def record(self) -> list[Execution]:
-        """All requests whose headers came, in order of arrival."""
+        """Return all requests whose headers were received, in order of arrival."""
         return self._state.record
 
     @property
     def counts(self) -> Counts:
-        """Sums since the start."""
+        """Return the counters since the start of the server."""
         return self._state.counts
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen; ``port`` 0 takes a free one. ``address`` then says which."""
+        """Start to listen; ``port`` 0 selects a free port. ``address`` is set afterwards."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._handler, host, port, backlog=256)
         bound = self._server.sockets[0].getsockname()
@@ -181,14 +183,15 @@
         self.died.set()
 
     def set_faults(self, **changes: Any) -> None:
-        """Replace single faults; see :class:`Faults`."""
+        """Replace the given faults; see :class:`Faults`."""
         self._state.faults = attrs.evolve(self._state.faults, **changes)
 
     def go_silent(self, *, execute: bool = True) -> int:
-        """Let all present connections take bytes and give none; new ones work.
+        """Make all current connections accept bytes without ever answering; new ones work
+        normally.
 
-        :param execute: whether what comes on them is still run.
-        :returns: how many connections that are.
+        :param execute: whether requests on the silent connections are still executed.
+        :returns: the number of silent connections.
         """
         conns = set(self._handler.connections)
         self._silent |= conns
@@ -197,7 +200,7 @@
         return len(conns)
 
     def status(self) -> dict[str, Any]:
-        """Return what ``GET /rhubarbferry/status`` answers."""
+        """Return the answer to ``GET /rhubarbferry/status``."""
         return {
             "id": self.id,
             "slots": self.slots,
@@ -235,7 +238,7 @@
         return True
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the record and the sums as plain JSON."""
+        """Return the record and the counters as JSON-compatible values."""
         return {
             "id": self.id,
             "service": self.service,
@@ -297,7 +300,8 @@
         if len(self.record) >= MAX_RECORDS:
             raise RuntimeError("the record is full; start the runner again")
         self.record.append(execution)
-        # The slot is taken from the headers on, as the body is part of the work.
+        # The slot is occupied as soon as the headers arrive, as reading the body is part of the
+        # work.
         self._state.running[id(execution)] = execution
         self.counts.concurrent_max = max(self.counts.concurrent_max, len(self._state.running))
         try:
@@ -322,7 +326,7 @@
         execution.body_hash = digest.hexdigest()
         self.counts.executions += 1
         work_ms = _number(req.headers, "Work-Ms") + self._state.faults.delay_ms
-        # Shielded from the connection: work that has begun goes on when its caller has gone.
+        # Shielded from cancellation: work that has begun continues after its caller disconnected.
         await asyncio.shield(self._run_for(min(work_ms, MAX_DELAY_MS) / 1000))
 
     async def _run_for(self, seconds: float) -> None:
@@ -402,7 +406,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the server until SIGTERM or until it is told to die."""
+    """Serve until SIGTERM or until the ``die`` command arrives."""
     parser = argparse.ArgumentParser(description="backend server for tests and demos")
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0)
--- a/rhubarbferry/test/serving.py
+++ b/rhubarbferry/test/serving.py
@@ -1,4 +1,4 @@
-"""Run a stand-in's HTTP application on a free port, in a test's loop or as a process."""
+"""Serve the HTTP application of a stand-in, in the event loop of a test or as a process."""
 
 from __future__ import annotations
 
@@ -19,22 +19,23 @@
 
 
 class _Server(HttpServer):
-    """A server that tells when it listens."""
+    """HTTP server that sets an event once it listens."""
 
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
         self.listening = asyncio.Event()
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        """Start as usual, then tell."""
+        """Start the server, then set the event."""
         await super().startup(sockets=sockets)
         self.listening.set()
 
 
 def bind(*, ip: str = "127.0.0.1", port: int = 0) -> socket.socket:
-    """Return a bound socket; port 0 takes a free one."""
-    # asyncio switches Nagle's algorithm off only on sockets that name TCP as their protocol.
-    # Without that each answer in two pieces waits some 40 ms for a delayed acknowledgement.
+    """Return a bound TCP socket; port 0 selects a free port."""
+    # asyncio disables Nagle's algorithm only on sockets created with the TCP protocol number. With
+    # the algorithm enabled, an answer sent in two segments is delayed by about 40 ms until the
+    # delayed acknowledgement arrives.
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((ip, port))
@@ -42,7 +43,7 @@
 
 
 def address_of(sock: socket.socket) -> str:
-    """Return ``ip:port`` of a bound socket."""
+    """Return the ``ip:port`` of a bound socket."""
     ip, port = sock.getsockname()
     return f"{ip}:{port}"
 
@@ -56,7 +57,7 @@
 
 @asynccontextmanager
 async def serving(app: Starlette, *, ip: str = "127.0.0.1", port: int = 0) -> AsyncIterator[str]:
-    """Serve ``app`` in this loop; yield ``ip:port``."""
+    """Serve ``app`` in the running event loop and yield its ``ip:port``."""
     sock = bind(ip=ip, port=port)
     server = _server(app)
     task = asyncio.create_task(server.serve(sockets=[sock]))
--- a/rhubarbferry/test/store.py
+++ b/rhubarbferry/test/store.py
@@ -1,8 +1,8 @@
-"""A stand-in for the platform's store: a subset of the etcd v3 JSON gateway, with faults.
+"""Stand-in for the platform's store: a subset of the etcd v3 JSON gateway, with fault injection.
 
-``python -m rhubarbferry.test.store --port 0`` prints one JSON line with its address.
-``POST /faults`` sets fields of :class:`StoreFaults` (and ``{"drop_watches": true}`` ends all
-watches), ``GET /counters`` returns what was counted, ``GET /dump`` the keys.
+``python -m rhubarbferry.test.store --port 0`` prints one JSON line with its address. ``POST
+/faults`` sets fields of :class:`StoreFaults` (and ``{"drop_watches": true}`` ends all watches),
+``GET /counters`` returns the call counters and ``GET /dump`` all keys.
 """
 
 from __future__ import annotations
@@ -53,10 +53,10 @@
 
 
 class LostReply(Response):
-    """Announce a body and close the connection without it."""
+    """Response that announces a body and closes the connection without sending it."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Send the head only."""
+        """Send only the response head."""
         headers = [(b"content-length", b"2"), (b"connection", b"close")]
         await send({"type": "http.response.start", "status": OK, "headers": headers})
 
@@ -127,16 +127,16 @@
 
 
 class StoreGateway:
-    """The HTTP interface over a :class:`MemoryStore`.
+    """HTTP interface of a :class:`MemoryStore`.
 
-    :param store: the state and its faults.
+    :param store: the stored state and its faults.
     """
 
     def __init__(self, *, store: MemoryStore) -> None:
         self.store = store
 
     def app(self) -> Starlette:
-        """Return the application."""
+        """Return the HTTP application."""
         posts: dict[str, Callable[[Json], Awaitable[Json]]] = {
             "/v3/kv/range": self._range,
             "/v3/kv/txn": self._txn,
--- a/rhubarbferry/test/store_engine.py
+++ b/rhubarbferry/test/store_engine.py
@@ -1,4 +1,4 @@
-"""Keys, revisions, leases and history of the store stand-in: no I/O and no clock of its own."""
+"""Keys, revisions, leases and history of the store stand-in, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Target(StrEnum):
-    """What a comparison looks at."""
+    """The attribute of a key that a comparison checks."""
 
     MOD = "MOD"
     CREATE = "CREATE"
@@ -32,7 +32,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Compare:
-    """A key must have ``number`` as its revision or version; 0 means that there is no key."""
+    """Condition that an attribute of a key equals ``number``; 0 means that the key is absent."""
 
     key: str
     target: Target
@@ -50,7 +50,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Delete:
-    """Delete the keys in ``[key, end)``, or ``key`` alone when ``end`` is empty."""
+    """Delete the keys in ``[key, end)``, or only ``key`` if ``end`` is empty."""
 
     key: str
     end: str = ""
@@ -58,7 +58,7 @@
 
 @frozen(kw_only=True, slots=True)
 class TxnResult:
-    """What a transaction did; ``deleted`` counts keys over all its operations."""
+    """Result of a transaction; ``deleted`` counts the keys deleted by all its operations."""
 
     succeeded: bool
     revision: int
@@ -67,7 +67,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Stored:
-    """A key with its number of writes since it was created."""
+    """A key-value pair with its version, the number of writes since the key was created."""
 
     kv: KeyValue
     version: int
@@ -75,7 +75,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Change:
-    """One change, with what stood before it."""
+    """One change of a key, with the states before and after it."""
 
     revision: int
     key: str
@@ -84,12 +84,15 @@
 
 
 class Compacted(Exception):
-    """The history does not reach back to the revision asked for."""
+    """The history no longer contains the requested revision."""
 
 
 @define(kw_only=True, slots=True)
 class Lease:
-    """A lease and the keys that hang on it."""
+    """A lease and its attached keys.
+
+    :param ends: time at which the lease expires.
+    """
 
     ttl_s: float
     ends: float
@@ -101,9 +104,9 @@
 
 
 class Engine:
-    """The state of the store; every method takes the present time in seconds.
+    """State of the store; time-dependent methods take the current time in seconds.
 
-    :param history: changes kept for watches and for answers out of the past.
+    :param history: number of changes kept for watches and for reads of past revisions.
     """
 
     def __init__(self, *, history: int = HISTORY_EVENTS) -> None:
@@ -114,28 +117,28 @@
         self._next_lease = 7_000_000
 
     def expire(self, now: float) -> None:
-        """Delete the keys of leases that have lapsed."""
+        """Remove the expired leases and their keys."""
         lapsed = [lease_id for lease_id, lease in self.leases.items() if lease.ends <= now]
         for lease_id in lapsed:
             self._end_lease(lease_id)
 
     def next_lapse(self) -> float | None:
-        """Return when the next lease lapses."""
+        """Return the time at which the next lease expires."""
         return min((lease.ends for lease in self.leases.values()), default=None)
 
     def read(self, start: str, end: str, *, limit: int = 0, back: int = 0) -> Sequence[Stored]:
-        """Return the keys in ``[start, end)``, as they were ``back`` revisions ago."""
+        """Return the keys in ``[start, end)`` as of ``back`` revisions ago."""
         items = self._as_of(self.revision - back) if back else self._items
         found = [items[key] for key in items.irange(start, end, inclusive=(True, False))]
         return found[:limit] if limit else found
 
     def get(self, key: str, *, back: int = 0) -> Stored | None:
-        """Return one key, as it was ``back`` revisions ago."""
+        """Return one key as of ``back`` revisions ago."""
         items = self._as_of(self.revision - back) if back else self._items
         return items.get(key)
 
     def txn(self, compares: Sequence[Compare], ops: Sequence[Put | Delete]) -> TxnResult:
-        """Carry out all of ``ops`` under one revision when all comparisons hold."""
+        """Apply all ``ops`` under one revision if all comparisons match."""
         if not all(self._holds(compare) for compare in compares):
             return TxnResult(succeeded=False, revision=self.revision)
         for op in ops:
@@ -152,13 +155,13 @@
         return TxnResult(succeeded=True, revision=self.revision, deleted=deleted)
 
     def grant(self, ttl_s: float, now: float) -> int:
-        """Open a lease; return its id."""
+        """Grant a lease and return its ID."""
         self._next_lease += 1
         self.leases[self._next_lease] = Lease(ttl_s=ttl_s, ends=now + ttl_s)
         return self._next_lease
 
     def keep_alive(self, lease_id: int, now: float) -> float | None:
-        """Extend a lease; return its seconds, or ``None`` when it is gone."""
+        """Renew a lease and return its TTL, or ``None`` if it does not exist."""
         lease = self.leases.get(lease_id)
         if lease is None:
             return None
@@ -166,16 +169,16 @@
         return lease.ttl_s
 
     def revoke(self, lease_id: int) -> bool:
-        """End a lease; tell whether there was one."""
+        """Revoke a lease; return whether it existed."""
         if lease_id not in self.leases:
             return False
         self._end_lease(lease_id)
         return True
 
     def changes(self, start: str, end: str, from_revision: int) -> Sequence[WatchEvent]:
-        """Return the changes in ``[start, end)`` from a revision on.
+        """Return the changes in ``[start, end)`` since a revision, inclusive.
 
-        :raises Compacted: when the history does not reach back so far.
+        :raises Compacted: if the history no longer contains that revision.
         """
         oldest = self._history[0].revision if self._history else self.revision + 1
         if from_revision <= oldest and self._forgot():
--- a/rhubarbferry/test/store_faults.py
+++ b/rhubarbferry/test/store_faults.py
@@ -1,4 +1,4 @@
-"""Faults, rates and counters of the store stand-in."""
+"""Faults, rate limits and counters of the store stand-in."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CallKind(StrEnum):
-    """Kinds of calls that are counted."""
+    """Kinds of store calls, as counted."""
 
     GET = "get"
     LIST = "list"
@@ -26,23 +26,23 @@
 
     @property
     def writes(self) -> bool:
-        """Tell whether the call counts against the rate of writes."""
+        """Return whether the call counts against the write rate."""
         return self not in (CallKind.GET, CallKind.LIST, CallKind.WATCH)
 
 
 @define(kw_only=True, slots=True)
 class StoreFaults:
-    """What goes wrong now; every field may be changed at any time.
-
-    :param down: refuse every call before it takes effect and end all watches.
-    :param slow_s: seconds before a call takes effect.
-    :param slow_reply_s: seconds between the effect of a call and its reply.
-    :param lose_replies: replies to the next writes are lost after they took effect.
-    :param lose_every: the reply to every k-th write is lost as well; 0 for none.
-    :param fail_next: the next calls fail before they take effect.
-    :param watch_drops: watches begun before this number was raised end.
-    :param silent_watches: watches stay open and say nothing.
-    :param stale_revisions: reads are answered as of so many revisions ago.
+    """Faults to inject; every field may be changed at any time.
+
+    :param down: reject every call before it takes effect and end all watches.
+    :param slow_s: delay in seconds before a call takes effect.
+    :param slow_reply_s: delay in seconds between the effect of a call and its reply.
+    :param lose_replies: number of next writes that take effect but whose replies are lost.
+    :param lose_every: also lose the reply to every n-th write; 0 disables the fault.
+    :param fail_next: number of next calls that fail before they take effect.
+    :param watch_drops: generation number; watches opened before its last increase end.
+    :param silent_watches: keep watches open without sending anything.
+    :param stale_revisions: answer reads from this many revisions ago.
     """
 
     down: bool = False
@@ -57,11 +57,11 @@
     _writes: int = field(default=0, init=False)
 
     def drop_watches(self) -> None:
-        """End all watches that are open now."""
+        """End all open watches."""
         self.watch_drops += 1
 
     def takes_failure(self) -> bool:
-        """Tell whether this call fails before its effect; use up one such fault."""
+        """Return whether this call fails before it takes effect; consume one such fault."""
         if self.down:
             return True
         if not self.fail_next:
@@ -70,7 +70,7 @@
         return True
 
     def takes_reply(self) -> bool:
-        """Tell whether the reply to this write is lost; use up one such fault."""
+        """Return whether the reply to this write is lost; consume one such fault."""
         self._writes += 1
         if self.lose_every and self._writes % self.lose_every == 0:
             return True
@@ -82,7 +82,7 @@
 
 @frozen(kw_only=True, slots=True)
 class StoreRates:
-    """Calls allowed within a second; 0 for no limit."""
+    """Maximum number of calls per second; 0 for no limit."""
 
     writes_per_s: int = 400
     reads_per_s: int = 2000
@@ -90,7 +90,7 @@
 
 @define(kw_only=True, slots=True)
 class StoreCounters:
-    """What the store has counted; a waiting watch is one call."""
+    """Call counters; an open watch counts as one call."""
 
     calls: Counter[CallKind] = field(factory=Counter)
     rate_limited: int = 0
@@ -99,17 +99,17 @@
 
     @property
     def writes(self) -> int:
-        """Return all calls that count as writes."""
+        """Return the number of calls that count as writes."""
         return sum(count for kind, count in self.calls.items() if kind.writes)
 
     @property
     def reads(self) -> int:
-        """Return all calls that count as reads."""
+        """Return the number of calls that count as reads."""
         return sum(count for kind, count in self.calls.items() if not kind.writes)
 
 
 class RateGate:
-    """Refuse calls over a rate, within a sliding window of one second."""
+    """Rate limiter with a sliding window of one second."""
 
     def __init__(self, *, rates: StoreRates) -> None:
         self.rates = rates
@@ -119,7 +119,7 @@
     def admit(self, kind: CallKind, now: float) -> None:
         """Count a call.
 
-        :raises StoreRateLimited: when it is over the rate.
+        :raises StoreRateLimited: if the call exceeds the rate.
         """
         limit = self.rates.writes_per_s if kind.writes else self.rates.reads_per_s
         times = self._writes if kind.writes else self._reads
--- a/rhubarbferry/test/worker.py
+++ b/rhubarbferry/test/worker.py
@@ -1,7 +1,7 @@
-"""A stand-in for one worker: runs tasks on paper, under leases, and records what it saw.
+"""Stand-in for a worker: simulates tasks under leases and records what happened.
 
-Its record is what tests of failures judge by: every start and end with times, attempt and epoch,
-and the largest sums of sizes that it ever carried.
+Failure tests use its record as their oracle: every start and end with times, attempt and epoch,
+and the peak of the total resources in use.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 @define(kw_only=True, slots=True)
 class Faults:
-    """What goes wrong on purpose.
-
-    :param fail_all: every task fails as soon as it starts.
-    :param pause_s: answer nothing for this long; leases run on meanwhile.
-    :param lose_replies: the next so many calls take effect, but are never answered.
-    :param usage_factor: used size over declared size.
-    :param usage_lag_s: age of the usage that is reported.
-    :param ignore_orders: tasks go on when told to throttle, checkpoint or stop.
-    :param die: end the process at once.
+    """Faults to inject.
+
+    :param fail_all: make every task fail as soon as it starts.
+    :param pause_s: answer no calls for this many seconds; leases keep expiring meanwhile.
+    :param lose_replies: number of next calls that take effect but are never answered.
+    :param usage_factor: ratio of reported usage to declared size.
+    :param usage_lag_s: age of the reported usage in seconds.
+    :param ignore_orders: ignore orders to throttle, checkpoint or stop a task.
+    :param die: exit the process at once.
     """
 
     fail_all: bool = False
@@ -50,7 +50,7 @@
 
 @define(kw_only=True, slots=True)
 class Run:
-    """One start of one task, as recorded; times are seconds on ``CLOCK_MONOTONIC``."""
+    """One recorded start of a task; times are seconds on ``CLOCK_MONOTONIC``."""
 
     worker: str
     task_id: str
@@ -66,11 +66,11 @@
 
 @define(kw_only=True, slots=True)
 class Record:
-    """All that the worker saw.
+    """Everything that the worker recorded.
 
-    :param used: the sum of the sizes it carries.
-    :param max_used: the largest value of each sum at any moment.
-    :param refused: starts that it refused, by verdict.
+    :param used: the total size of its running tasks.
+    :param max_used: the peak of each resource in ``used``.
+    :param refused: number of rejected starts by verdict.
     """
 
     runs: list[Run] = Factory(list)
@@ -89,7 +89,7 @@
 
 
 def size_of(resources: t.Resources) -> Size:
-    """Return the size that a message carries."""
+    """Convert a resources message to a size."""
     return Size(
         millicores=resources.millicores,
         memory_bytes=resources.memory_bytes,
@@ -106,11 +106,11 @@
 
 
 class WorkerEngine:
-    """The worker without its sockets.
+    """The worker logic without its server.
 
-    :param id: its name.
-    :param capacity: what it holds.
-    :param clock: its own clock, by which leases lapse.
+    :param id: the worker ID.
+    :param capacity: its total resources.
+    :param clock: its own clock, by which leases expire.
     """
 
     def __init__(self, *, id: str, capacity: Size, clock: Clock) -> None:
@@ -123,13 +123,14 @@
         self._epochs: dict[str, int] = {}
         self._settled: dict[str, int] = {}
         self._answered_at: dict[int, float] = {}
-        # A worker that was restarted must not take an answer of its former self for its own.
+        # Start the numbers at the current time, so that a restarted worker does not accept the
+        # number of a reply that its previous process sent.
         self._number = int(clock.monotonic() * 1000)
         self._floor: dict[str, int] = {}
         self._longest_lease_s = 0.0
 
     def adopt(self, req: t.WorkerAdoptRequest) -> t.WorkerAdoptReply:
-        """Raise the epoch and say what is held; older requests are void from here on."""
+        """Accept a new owner and return the held tasks; older requests become invalid."""
         self.tick()
         accepted = self._accepts(req.partition, req.epoch)
         number = self._answer()
@@ -146,7 +147,7 @@
         )
 
     def start(self, req: t.StartRequest) -> t.StartReply:
-        """Start tasks, each with a verdict of its own."""
+        """Start tasks; return a verdict for each."""
         self.tick()
         lease_until = self._lease_until(req.partition, req.answered, req.lease_ms)
         current = self._accepts(req.partition, req.epoch) and lease_until is not None
@@ -162,7 +163,7 @@
         )
 
     def renew(self, req: t.RenewRequest) -> t.RenewReply:
-        """Extend the leases, take acknowledgements and orders, tell what has ended."""
+        """Extend the leases, apply acknowledgements and orders, and return the ended tasks."""
         self.tick()
         accepted = self._accepts(req.partition, req.epoch)
         lease_until = self._lease_until(req.partition, req.answered, req.lease_ms)
@@ -182,13 +183,14 @@
         )
 
     def tick(self) -> None:
-        """End what has run its time and what has outlived its lease."""
+        """End the tasks that have completed and those whose lease has expired."""
         now = self._clock.monotonic()
         for held in self._held.values():
             if held.end is not None:
                 continue
             if held.lease_until <= min(now, held.ends_at):
-                # Also after this process was stopped: the host ends a task with its lease.
+                # Applies also after this process was suspended: a host ends a task together with
+                # its lease.
                 self._end(held, t.TaskEnd.LEASE_LAPSED, held.lease_until)
             elif held.ends_at <= now:
                 self._end(held, t.TaskEnd.DONE, held.ends_at)
@@ -205,7 +207,7 @@
         return epoch == highest
 
     def _lease_until(self, partition: str, answered: int | None, lease_ms: int) -> float | None:
-        """Return when a lease of this request ends, or ``None`` when the request is too old."""
+        """Return when a lease of this request expires, or ``None`` if the request is outdated."""
         now = self._clock.monotonic()
         if answered is None:
             return now + lease_ms / 1000
@@ -317,7 +319,7 @@
 class WorkerStandIn:
     """The worker with its RPC server.
 
-    :param engine: what it decides.
+    :param engine: the worker logic.
     """
 
     def __init__(self, *, engine: WorkerEngine, clock: Clock) -> None:
@@ -329,22 +331,22 @@
 
     @property
     def address(self) -> str:
-        """``ip:port`` once it listens."""
+        """Return the ``ip:port`` of the server once it listens."""
         return self._server.address
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen and let time pass for the tasks."""
+        """Start to listen and to advance the tasks periodically."""
         await self._server.start(host, port)
         self._ticker = asyncio.create_task(self._tick())
 
     async def close(self) -> None:
-        """Stop listening; all tasks are gone with it."""
+        """Stop listening; all tasks are lost."""
         if self._ticker is not None:
             self._ticker.cancel()
         await self._server.close()
 
     def set_faults(self, changes: Mapping[str, Any]) -> None:
-        """Change the named faults; the others stay."""
+        """Change the given faults; the other faults stay unchanged."""
         known = {a.name for a in fields(Faults)}
         for name, value in changes.items():
             if name not in known:
@@ -388,7 +390,7 @@
 
 
 async def _control(stand_in: WorkerStandIn, host: str, port: int) -> Any:
-    """Serve ``GET /record`` and ``POST /faults``; return the running server and its port."""
+    """Serve ``GET /record`` and ``POST /faults``; return the running application."""
     from aiohttp import web
 
     async def record(_: web.Request) -> web.Response:
--- a/rhubarbferry/test/worker_fleet.py
+++ b/rhubarbferry/test/worker_fleet.py
@@ -1,7 +1,7 @@
-"""Many worker stand-ins in one process, so that a cell of full size fits on one machine.
+"""Many worker stand-ins in one process, so that a full-size cell fits on one host.
 
-Run ``python -m rhubarbferry.test.worker_fleet --count N --prefix NAME``. Each worker listens on a
-port of its own and is told apart by it, as the workers of a real cell are.
+Run ``python -m rhubarbferry.test.worker_fleet --count N --prefix NAME``. Each worker listens on
+its own port and has its own address, as in a real cell.
 """
 
 from __future__ import annotations
@@ -24,7 +24,10 @@
 class WorkerFleet:
     """Worker stand-ins that share one event loop.
 
-    :param accelerators: of the workers in turn.
+    The workers have 2 and 3 accelerators in turn.
+
+    :param count: number of workers.
+    :param prefix: prefix of the worker IDs.
     """
 
     def __init__(
@@ -48,7 +51,7 @@
         ]
 
     async def start(self, host: str) -> list[dict[str, str]]:
-        """Listen; return id and address of each worker."""
+        """Start all servers; return the ID and address of each worker."""
         for worker in self.workers:
             await worker.start(host, 0)
         return [{"id": w.engine.id, "address": w.address} for w in self.workers]
@@ -59,7 +62,7 @@
             await worker.close()
 
     def summary(self) -> dict[str, Any]:
-        """Return sums over all workers, and each run in short, for judging afterwards."""
+        """Return totals over all workers and a short form of each run, for evaluation by tests."""
         runs: list[Run] = []
         over = []
         for worker in self.workers:
