--- a/rhubarbferry/test/fake_clock.py
+++ b/rhubarbferry/test/fake_clock.py
@@ -14,8 +14,8 @@
 
     def __init__(self, *, now: float = 1000.0) -> None:
         self._now = now
-        self._numbers = itertools.count()
-        self._sleepers: list[tuple[float, int, asyncio.Future[None]]] = []
+        self._sequence = itertools.count()
+        self._sleeping: list[tuple[float, int, asyncio.Future[None]]] = []
 
     def monotonic(self) -> float:
         """Return the current fake time."""
@@ -27,29 +27,29 @@
 
     async def sleep(self, seconds: float) -> None:
         """Block until the fake time has advanced by ``seconds``."""
-        fut = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._sleepers, (self._now + seconds, next(self._numbers), fut))
-        await fut
+        future = asyncio.get_running_loop().create_future()
+        heapq.heappush(self._sleeping, (self._now + seconds, next(self._sequence), future))
+        await future
 
     async def advance(self, seconds: float) -> None:
         """Advance the time, pausing at each sleep deadline so that the woken tasks can run."""
-        until = self._now + seconds
+        end_time = self._now + seconds
         await settle()
-        while self._sleepers and self._sleepers[0][0] <= until:
-            end, _, fut = heapq.heappop(self._sleepers)
-            if not fut.done():
-                self._now = max(self._now, end)
-                fut.set_result(None)
+        while self._sleeping and self._sleeping[0][0] <= end_time:
+            wake_time, _, future = heapq.heappop(self._sleeping)
+            if not future.done():
+                self._now = max(self._now, wake_time)
+                future.set_result(None)
                 await settle()
-        self._now = until
+        self._now = end_time
         await settle()
 
     def wake(self) -> None:
         """Wake all tasks whose sleep has ended, without running them."""
-        while self._sleepers and self._sleepers[0][0] <= self._now:
-            _, _, fut = heapq.heappop(self._sleepers)
-            if not fut.done():
-                fut.set_result(None)
+        while self._sleeping and self._sleeping[0][0] <= self._now:
+            _, _, future = heapq.heappop(self._sleeping)
+            if not future.done():
+                future.set_result(None)
 
     def jump(self, seconds: float) -> None:
         """Advance the time without running any task, as for a suspended process."""
--- a/rhubarbferry/test/hosts.py
+++ b/rhubarbferry/test/hosts.py
@@ -22,7 +22,7 @@
 from rhubarbferry.ports.hosts import Host
 from rhubarbferry.test.serving import serve_process
 
-GARBAGE = b'{"targets": ["no list'
+MALFORMED_BODY = b'{"targets": ["no list'
 
 
 @frozen(kw_only=True)
@@ -46,7 +46,7 @@
     """The host list with its faults and counters."""
 
     groups: list[dict[str, Any]]
-    shown: list[dict[str, Any]]
+    served_groups: list[dict[str, Any]]
     faults: HostFaults = HostFaults()
     reads: int = 0
 
@@ -54,49 +54,49 @@
     def of(cls, *hosts: Host) -> HostsStandIn:
         """Return a stand-in that lists these hosts."""
         groups = [group_of(host) for host in hosts]
-        return cls(groups=groups, shown=groups)
+        return cls(groups=groups, served_groups=groups)
 
     def put(self, groups: list[dict[str, Any]]) -> None:
         """Replace the list; readers see the change unless the ``stale`` fault is set."""
         self.groups = groups
         if not self.faults.stale:
-            self.shown = groups
+            self.served_groups = groups
 
     def set_faults(self, faults: HostFaults) -> None:
         """Replace the faults."""
         self.faults = faults
         if not faults.stale:
-            self.shown = self.groups
+            self.served_groups = self.groups
 
     def app(self) -> Starlette:
         """Return the HTTP application."""
         return Starlette(
             routes=[
-                Route("/hosts", self._get, methods=["GET"]),
-                Route("/hosts", self._put, methods=["PUT"]),
-                Route("/faults", self._faults, methods=["POST"]),
-                Route("/counters", self._counters, methods=["GET"]),
+                Route("/hosts", self._serve_list, methods=["GET"]),
+                Route("/hosts", self._replace_list, methods=["PUT"]),
+                Route("/faults", self._replace_faults, methods=["POST"]),
+                Route("/counters", self._serve_counters, methods=["GET"]),
             ]
         )
 
-    async def _get(self, req: Request) -> Response:
+    async def _serve_list(self, req: Request) -> Response:
         self.reads += 1
         if self.faults.slow_s:
             await asyncio.sleep(self.faults.slow_s)
         if self.faults.down:
             return Response(status_code=503)
         if self.faults.garbage:
-            return Response(GARBAGE, media_type="application/json")
-        return JSONResponse(self.shown)
+            return Response(MALFORMED_BODY, media_type="application/json")
+        return JSONResponse(self.served_groups)
 
-    async def _put(self, req: Request) -> Response:
+    async def _replace_list(self, req: Request) -> Response:
         groups = await req.json()
         if not isinstance(groups, list):
-            return Response("a list of groups is wanted", status_code=400)
+            return Response("the body must be a list of target groups", status_code=400)
         self.put(groups)
         return JSONResponse({"hosts": len(groups)})
 
-    async def _faults(self, req: Request) -> Response:
+    async def _replace_faults(self, req: Request) -> Response:
         converter = cattrs.Converter(forbid_extra_keys=True)
         try:
             self.set_faults(converter.structure(await req.json(), HostFaults))
@@ -104,7 +104,7 @@
             return Response(f"unknown faults: {exc!r}", status_code=400)
         return JSONResponse(asdict(self.faults))
 
-    async def _counters(self, req: Request) -> Response:
+    async def _serve_counters(self, req: Request) -> Response:
         return JSONResponse({"reads": self.reads})
 
 
@@ -127,10 +127,10 @@
     parser = argparse.ArgumentParser(description="The platform's host list, for tests.")
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0)
-    parser.add_argument("--hosts", default="[]", help="the list as JSON")
+    parser.add_argument("--hosts", default="[]", help="initial list as JSON")
     args = parser.parse_args()
     groups = json.loads(args.hosts)
-    stand_in = HostsStandIn(groups=groups, shown=groups)
+    stand_in = HostsStandIn(groups=groups, served_groups=groups)
     asyncio.run(serve_process(stand_in.app(), ip=args.host, port=args.port))
 
 
--- a/rhubarbferry/test/memory_store.py
+++ b/rhubarbferry/test/memory_store.py
@@ -35,7 +35,7 @@
 )
 
 T = TypeVar("T")
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 def prefix_end(prefix: str) -> str:
@@ -73,10 +73,10 @@
         self.gate = gate or RateGate(rates=rates or StoreRates())
         self.counters = StoreCounters()
 
-    async def call(self, kind: CallKind, act: Callable[[], T], *, size: int = 0) -> T:
-        """Execute one call: count it, apply the faults, expire leases, then run ``act``.
+    async def call(self, kind: CallKind, operation: Callable[[], T], *, size: int = 0) -> T:
+        """Execute one call: count it, apply the faults, expire leases, then run ``operation``.
 
-        :param act: the operation; it takes effect at one instant.
+        :param operation: the function to run; it takes effect at one instant.
         :param size: number of bytes that the call sends.
         :raises StoreUnavailable: if the call failed before it took effect.
         :raises StoreUnclear: if the reply was lost.
@@ -85,15 +85,15 @@
         self.counters.bytes_in += size
         if self.faults.slow_s:
             await self.clock.sleep(self.faults.slow_s)
-        if self.faults.takes_failure():
-            raise StoreUnavailable("the store is down; try again after a pause")
+        if self.faults.consume_failure():
+            raise StoreUnavailable("the store is down; try again later")
         self.engine.expire(self.clock.monotonic())
-        result = act()
+        result = operation()
         if self.faults.slow_reply_s:
             await self.clock.sleep(self.faults.slow_reply_s)
-        if kind.writes and self.faults.takes_reply():
+        if kind.writes and self.faults.consume_lost_reply():
             self.counters.replies_lost += 1
-            raise StoreUnclear("the reply was lost; read back before repeating")
+            raise StoreUnclear("the reply was lost; read the key before retrying")
         return result
 
     async def get(self, key: str) -> KeyValue | None:
@@ -106,12 +106,12 @@
         """Return the key-value pairs under a prefix."""
         back = self.faults.stale_revisions
 
-        def act() -> Listing:
+        def operation() -> Listing:
             found = self.engine.read(prefix, prefix_end(prefix), limit=limit, back=back)
             items = tuple(item.kv for item in found)
             return Listing(revision=self.engine.revision - back, items=items)
 
-        return await self.call(CallKind.LIST, act)
+        return await self.call(CallKind.LIST, operation)
 
     async def create(self, key: str, value: bytes, *, lease_id: int = 0) -> int | None:
         """Write a key that must not exist."""
@@ -143,14 +143,14 @@
 
     async def keep_alive(self, lease_id: int) -> float:
         """Renew a lease and return its remaining seconds, counted from the start of the call."""
-        begun = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         ttl = await self.call(
             CallKind.KEEP_ALIVE,
             lambda: self.engine.keep_alive(lease_id, self.clock.monotonic()),
         )
         if ttl is None:
             raise LeaseLost(f"lease {lease_id} has lapsed; grant a new one")
-        return ttl - (self.clock.monotonic() - begun)
+        return ttl - (self.clock.monotonic() - started_at)
 
     async def revoke_lease(self, lease_id: int) -> None:
         """Revoke a lease."""
@@ -175,22 +175,22 @@
         try:
             self._admit(CallKind.WATCH)
         except StoreRateLimited as exc:
-            raise WatchBroken(f"no watch was begun: {exc}") from exc
-        drops = self.faults.watch_drops
+            raise WatchBroken(f"the watch was not opened: {exc}") from exc
+        initial_drops = self.faults.watch_drops
         next_revision = from_revision
-        said = self.clock.monotonic()
+        last_yield_at = self.clock.monotonic()
         while True:
-            if self.faults.down or self.faults.watch_drops != drops:
+            if self.faults.down or self.faults.watch_drops != initial_drops:
                 raise WatchBroken("the watch ended; read the prefix again, then watch")
             self.engine.expire(self.clock.monotonic())
             events = self._changes(start, end, next_revision)
-            idle = idle_s > 0 and self.clock.monotonic() - said >= idle_s
-            if (events or idle) and not self.faults.silent_watches:
+            idle_elapsed = idle_s > 0 and self.clock.monotonic() - last_yield_at >= idle_s
+            if (events or idle_elapsed) and not self.faults.silent_watches:
                 next_revision = self.engine.revision + 1
-                said = self.clock.monotonic()
+                last_yield_at = self.clock.monotonic()
                 yield tuple(events)
             else:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def close(self) -> None:
         """Do nothing, as there are no connections to close."""
@@ -211,8 +211,10 @@
             self.counters.rate_limited += 1
             raise
 
-    async def _put(self, key: str, value: bytes, number: int, lease_id: int) -> int | None:
-        compare = Compare(key=key, target=Target.MOD, number=number)
+    async def _put(
+        self, key: str, value: bytes, expected_revision: int, lease_id: int
+    ) -> int | None:
+        compare = Compare(key=key, target=Target.MOD, number=expected_revision)
         result = await self._txn(compare, Put(key=key, value=value, lease_id=lease_id))
         return result.revision if result.succeeded else None
 
--- a/rhubarbferry/test/platform_store.py
+++ b/rhubarbferry/test/platform_store.py
@@ -19,13 +19,13 @@
 from rhubarbferry.test.store_engine import Compacted, Compare, Delete, Engine, Put, Target
 
 # Interval at which a waiting watch polls for changes.
-LOOK_S = 0.005
-PAGE_ITEMS = 500
-MAX_ENTRIES = 32
+POLL_INTERVAL_S = 0.005
+MAX_PAGE_ITEMS = 500
+MAX_TXN_ENTRIES = 32
 
 
 @define(kw_only=True, eq=False)
-class Trouble:
+class PlatformStoreFaults:
     """Faults to inject.
 
     :param down: reject every call with 503.
@@ -53,7 +53,7 @@
     """Store stand-in with keys, leases and long-poll watches."""
 
     engine: Engine = field(factory=Engine)
-    trouble: Trouble = field(factory=Trouble)
+    trouble: PlatformStoreFaults = field(factory=PlatformStoreFaults)
     clock: SystemClock = field(factory=SystemClock)
     calls: dict[str, int] = field(factory=dict)
     _writes: int = 0
@@ -88,7 +88,7 @@
     def _expire(self) -> None:
         self.engine.expire(self.clock.monotonic())
 
-    async def _enter(self, call: str) -> Response | None:
+    async def _admit(self, call: str) -> Response | None:
         self.calls[call] = self.calls.get(call, 0) + 1
         await asyncio.sleep(self.trouble.answer_s)
         self._expire()
@@ -97,22 +97,22 @@
         return Response(status_code=503) if self.trouble.down else None
 
     async def _key(self, request: Request) -> Response:
-        refused = await self._enter("key")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("key")
+        if rejection is not None:
+            return rejection
         stored = self.engine.get(request.query_params["key"])
         if stored is None:
             return JSONResponse({"at": self.engine.revision}, status_code=404)
         return JSONResponse({**_item(stored.kv), "at": self.engine.revision})
 
     async def _range(self, request: Request) -> Response:
-        refused = await self._enter("range")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("range")
+        if rejection is not None:
+            return rejection
         prefix = request.query_params["prefix"]
         start = request.query_params.get("after", "")
         found = self.engine.read(max(prefix, start + "\0" if start else ""), prefix_end(prefix))
-        page = found[:PAGE_ITEMS]
+        page = found[:MAX_PAGE_ITEMS]
         return JSONResponse(
             {
                 "items": [_item(stored.kv) for stored in page],
@@ -122,9 +122,9 @@
         )
 
     async def _watch(self, request: Request) -> Response:
-        refused = await self._enter("watch")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("watch")
+        if rejection is not None:
+            return rejection
         prefix = request.query_params["prefix"]
         after = int(request.query_params["after"])
         end = self.clock.monotonic() + int(request.query_params["waitMs"]) / 1000
@@ -142,25 +142,25 @@
                 return JSONResponse(
                     {"events": [_event(event) for event in events], "at": self.engine.revision}
                 )
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _txn(self, request: Request) -> Response:
         body = await request.json()
-        refused = await self._enter("txn")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("txn")
+        if rejection is not None:
+            return rejection
         self._writes += 1
         if self.trouble.lose_every and self._writes % self.trouble.lose_every == 0:
             await asyncio.sleep(self.trouble.late_s)
-            self._carry_out(body)
-            return _Unanswered()
-        return self._carry_out(body)
+            self._apply(body)
+            return _TruncatedResponse()
+        return self._apply(body)
 
-    def _carry_out(self, body: Any) -> Response:
+    def _apply(self, body: Any) -> Response:
         expect = body.get("expect", [])
         write = body.get("write", [])
         remove = body.get("remove", [])
-        if len(expect) + len(write) + len(remove) > MAX_ENTRIES:
+        if len(expect) + len(write) + len(remove) > MAX_TXN_ENTRIES:
             return JSONResponse({"error": "too many entries"}, status_code=400)
         if self.trouble.no_bare_conditions and not write and not remove:
             return JSONResponse({"error": "nothing to change"}, status_code=400)
@@ -188,16 +188,16 @@
 
     async def _grant(self, request: Request) -> Response:
         body = await request.json()
-        refused = await self._enter("grant")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("grant")
+        if rejection is not None:
+            return rejection
         lease = self.engine.grant(body["ttlMs"] / 1000, self.clock.monotonic())
         return JSONResponse({"lease": lease, "ttlMs": body["ttlMs"]})
 
     async def _keep(self, request: Request) -> Response:
-        refused = await self._enter("keep")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("keep")
+        if rejection is not None:
+            return rejection
         lease = request.path_params["lease"]
         ttl_s = self.engine.keep_alive(lease, self.clock.monotonic())
         if ttl_s is None:
@@ -205,14 +205,14 @@
         return JSONResponse({"ttlMs": int(ttl_s * 1000)})
 
     async def _end(self, request: Request) -> Response:
-        refused = await self._enter("end")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("end")
+        if rejection is not None:
+            return rejection
         known = self.engine.revoke(request.path_params["lease"])
         return Response(status_code=200 if known else 404)
 
 
-class _Unanswered(Response):
+class _TruncatedResponse(Response):
     """Response that announces a body and closes the connection without sending it."""
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
--- a/rhubarbferry/test/platform_worker.py
+++ b/rhubarbferry/test/platform_worker.py
@@ -14,12 +14,12 @@
 
 from rhubarbferry.test.platform_store import PlatformStoreStandIn
 
-LOOK_S = 0.01
+POLL_INTERVAL_S = 0.01
 # Maximum duration of the lease that a host grants.
-LEASE_MS = 6000
+MAX_LEASE_MS = 6000
 # Tail latency of a serving task without other tasks on its host; each other task adds its speed in
 # percent to it, as milliseconds.
-SERVED_ALONE_MS = 50
+UNLOADED_TAIL_LATENCY_MS = 50
 
 
 @define(kw_only=True, eq=False)
@@ -64,9 +64,9 @@
     fence: int = 0
     _born: int = field(factory=lambda: int(time.time() * 1000))
     _running: dict[str, Run] = field(factory=dict)
-    _stopped: dict[str, int] = field(factory=dict)
+    _ended_attempts: dict[str, int] = field(factory=dict)
     _ended: list[list[Any]] = field(factory=list)
-    _count: int = 0
+    _ended_count: int = 0
     _lease_until: float = 0.0
 
     def app(self) -> Starlette:
@@ -114,11 +114,11 @@
         del self._running[run.task]
         run.ended_at = time.monotonic()
         run.how = how
-        self._stopped[run.task] = max(self._stopped.get(run.task, 0), run.attempt)
-        self._count += 1
-        self._ended.append([self._count, run.task, run.attempt, how, ""])
+        self._ended_attempts[run.task] = max(self._ended_attempts.get(run.task, 0), run.attempt)
+        self._ended_count += 1
+        self._ended.append([self._ended_count, run.task, run.attempt, how, ""])
 
-    async def _enter(self, request: Request) -> tuple[dict[str, Any], Response | None]:
+    async def _admit(self, request: Request) -> tuple[dict[str, Any], Response | None]:
         if self.silent:
             await asyncio.sleep(30)
         body = await request.json()
@@ -126,36 +126,35 @@
         if request.headers.get("rhubarbferry-expect-instance") != self.id:
             return body, Response(status_code=421)
         if body.get("fence", 0) < self.fence:
-            return body, self._refuse("fence")
+            return body, self._reject("fence")
         self.fence = body.get("fence", 0)
         return body, None
 
-    def _figure(self, run: Run) -> int:
+    def _tail_latency_ms(self, run: Run) -> int:
         """Return the tail latency of a serving task in ms."""
-        speed."""
         if run.task not in self.serving:
             return 0
-        filling = [other.pace for other in self._running.values() if other is not run]
-        return SERVED_ALONE_MS + sum(filling)
+        other_speeds = [other.pace for other in self._running.values() if other is not run]
+        return UNLOADED_TAIL_LATENCY_MS + sum(other_speeds)
 
-    def _refuse(self, reason: str) -> Response:
+    def _reject(self, reason: str) -> Response:
         return JSONResponse({"clockMs": self._clock_ms(), "reason": reason}, status_code=409)
 
-    def _extend(self, body: dict[str, Any]) -> None:
-        until = min(body.get("deadlineMs", 0), self._clock_ms() + LEASE_MS)
+    def _extend_lease(self, body: dict[str, Any]) -> None:
+        until = min(body.get("deadlineMs", 0), self._clock_ms() + MAX_LEASE_MS)
         self._lease_until = max(self._lease_until, until)
 
     async def _start(self, request: Request) -> Response:
-        body, refusal = await self._enter(request)
-        if refusal is not None:
-            return refusal
+        body, rejection = await self._admit(request)
+        if rejection is not None:
+            return rejection
         task, attempt = body["task"], body["attempt"]
         if body["deadlineMs"] < self._clock_ms():
-            return self._refuse("late")
+            return self._reject("late")
         running = self._running.get(task)
-        if attempt <= self._stopped.get(task, 0) or (running and attempt < running.attempt):
-            return self._refuse("old")
-        self._extend(body)
+        if attempt <= self._ended_attempts.get(task, 0) or (running and attempt < running.attempt):
+            return self._reject("old")
+        self._extend_lease(body)
         if running is None:
             run = Run(task=task, attempt=attempt, ends_at=time.monotonic() + self.work_s)
             self._running[task] = run
@@ -163,19 +162,21 @@
         return JSONResponse({"clockMs": self._clock_ms()})
 
     async def _stop(self, request: Request) -> Response:
-        body, refusal = await self._enter(request)
-        if refusal is not None:
-            return refusal
+        body, rejection = await self._admit(request)
+        if rejection is not None:
+            return rejection
         run = self._running.get(body["task"])
         if run is not None and run.attempt == body["attempt"]:
             self._end(run, "stopped")
-        self._stopped[body["task"]] = max(self._stopped.get(body["task"], 0), body["attempt"])
+        self._ended_attempts[body["task"]] = max(
+            self._ended_attempts.get(body["task"], 0), body["attempt"]
+        )
         return JSONResponse({"clockMs": self._clock_ms()})
 
     async def _pace(self, request: Request) -> Response:
-        body, refusal = await self._enter(request)
-        if refusal is not None:
-            return refusal
+        body, rejection = await self._admit(request)
+        if rejection is not None:
+            return rejection
         run = self._running.get(body["task"])
         if run is None or run.attempt != body["attempt"]:
             return Response(status_code=400)
@@ -183,17 +184,18 @@
         return JSONResponse({"clockMs": self._clock_ms()})
 
     async def _hold(self, request: Request) -> Response:
-        body, refusal = await self._enter(request)
-        if refusal is not None:
-            return refusal
-        self._extend(body)
+        body, rejection = await self._admit(request)
+        if rejection is not None:
+            return rejection
+        self._extend_lease(body)
         self._ended = [row for row in self._ended if row[0] > body.get("ackIndex", 0)]
         end = time.monotonic() + body.get("waitMs", 0) / 1000
         while not self._ended and time.monotonic() < end:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             self._advance()
         active = [
-            [run.task, run.attempt, "", 50, self._figure(run)] for run in self._running.values()
+            [run.task, run.attempt, "", 50, self._tail_latency_ms(run)]
+            for run in self._running.values()
         ]
         return JSONResponse(
             {
--- a/rhubarbferry/test/processes.py
+++ b/rhubarbferry/test/processes.py
@@ -20,13 +20,13 @@
 
 from rhubarbferry.test.relay import Link, Relay
 
-START_S = 20.0
-STOP_S = 10.0
-READY_PAUSE_S = 0.05
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 10.0
+READY_POLL_INTERVAL_S = 0.05
 SERVICE = "orders"
-NOT_YET = "127.0.0.1:1"
+PLACEHOLDER_ADDRESS = "127.0.0.1:1"
 
-SETTINGS = """\
+SETTINGS_TEMPLATE = """\
 [process]
 member = {name}
 region = {region}
@@ -43,7 +43,7 @@
 poll_s = 0.5
 """
 
-CELL = """\
+CELL_TEMPLATE = """\
 [cell]
 regions = {regions}
 key_partitions_per_region = {key_partitions}
@@ -104,7 +104,7 @@
         self.signal(signal.SIGKILL)
         await self.child.wait()
 
-    async def terminate(self, within_s: float = STOP_S) -> int:
+    async def terminate(self, within_s: float = STOP_TIMEOUT_S) -> int:
         """Send SIGTERM and return the exit code.
 
         :raises TimeoutError: if the process has not exited in time.
@@ -187,7 +187,7 @@
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(STOP_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await asyncio.gather(*(p.child.wait() for p in self.processes.values()))
         except TimeoutError:
             await asyncio.gather(*(p.kill() for p in self.processes.values()))
@@ -219,9 +219,9 @@
         if relayed:
             # The port of the daemon is known only once it listens; its address is not published
             # before.
-            store = (await self._link(f"{name}/store", store)).address
-            await self._link(name, NOT_YET)
-        text = SETTINGS.format(
+            store = (await self._open_link(f"{name}/store", store)).address
+            await self._open_link(name, PLACEHOLDER_ADDRESS)
+        text = SETTINGS_TEMPLATE.format(
             name=name,
             region=region,
             failure_domain=domain or f"{region}-1",
@@ -237,7 +237,7 @@
             self.links[name].target = process.address
         return process
 
-    async def _link(self, name: str, target: str) -> Link:
+    async def _open_link(self, name: str, target: str) -> Link:
         link = await self.relay.open(target)
         self.links[name] = link
         return link
@@ -245,20 +245,20 @@
     async def start(self, name: str, *argv: str) -> Process:
         """Run a Python module as a process and wait for its first output line."""
         errors = self.dir / f"{name}.err"
-        with errors.open("w") as sink:
+        with errors.open("w") as stderr:
             child = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 *argv,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.PIPE,
-                stderr=sink,
+                stderr=stderr,
             )
         process = Process(name=name, child=child, errors=errors)
         self.processes[name] = process
         assert child.stdout is not None
         try:
-            async with asyncio.timeout(START_S):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 line = await child.stdout.readline()
             process.line = json.loads(line)
         except (TimeoutError, ValueError) as exc:
@@ -311,8 +311,8 @@
     ) -> Answer:
         """Send one request to the service and return the complete answer."""
         url = f"{self.processes[frontend].http}/v1/services/{SERVICE}{path}"
-        asked = {"Client-Account": "kryogonia", **(headers or {})}
-        async with self.session.post(url, headers=asked, data=body) as answer:
+        all_headers = {"Client-Account": "kryogonia", **(headers or {})}
+        async with self.session.post(url, headers=all_headers, data=body) as answer:
             return Answer(
                 status=answer.status,
                 outcome=answer.headers.get("Outcome", ""),
@@ -334,16 +334,16 @@
             document: dict[str, Any] = await answer.json(content_type=None)
             return document if answer.ok else {}
 
-    async def until_served(self, frontend: str, within_s: float = START_S) -> float:
+    async def until_served(self, frontend: str, within_s: float = START_TIMEOUT_S) -> float:
         """Send requests until one succeeds; return the elapsed seconds."""
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started_at = loop.time()
         async with asyncio.timeout(within_s):
             while True:
                 answer = await self.request(frontend, "/ready", headers={"Idempotent": "true"})
                 if answer.outcome == "done":
-                    return loop.time() - begun
-                await asyncio.sleep(READY_PAUSE_S)
+                    return loop.time() - started_at
+                await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     # ------------------------------------------------------------ start
 
@@ -351,14 +351,14 @@
         await asyncio.gather(
             self.start("store", "rhubarbferry.test.store", *self.shape.store_options),
             self.start("hosts", "rhubarbferry.test.hosts"),
-            *(self._start_worker(*place) for place in self._worker_places()),
-            *(self._start_runner(*place) for place in self._runner_places()),
+            *(self._start_worker(*position) for position in self._worker_positions()),
+            *(self._start_runner(*position) for position in self._runner_positions()),
         )
         await self.publish_hosts()
         await self._configure()
-        await asyncio.gather(*self._daemons())
+        await asyncio.gather(*self._daemon_starts())
 
-    def _worker_places(self) -> Sequence[tuple[str, int, int]]:
+    def _worker_positions(self) -> Sequence[tuple[str, int, int]]:
         shape = self.shape
         return [
             (region, rack, n)
@@ -367,7 +367,7 @@
             for n in range(1, shape.workers + 1)
         ]
 
-    def _runner_places(self) -> Sequence[tuple[str, int]]:
+    def _runner_positions(self) -> Sequence[tuple[str, int]]:
         shape = self.shape
         return [(region, n) for region in shape.regions for n in range(1, shape.runners + 1)]
 
@@ -386,7 +386,7 @@
             "--accelerators",
             str(shape.accelerators),
         )
-        await self._list_host(process, kind="worker", region=region, rack=f"rack-{rack}")
+        await self._add_host(process, kind="worker", region=region, rack=f"rack-{rack}")
 
     async def _start_runner(self, region: str, number: int) -> None:
         name = f"runner-{region}-{number}"
@@ -400,14 +400,14 @@
             "--slots",
             str(self.shape.slots),
         )
-        await self._list_host(process, kind="runner", region=region, service=SERVICE)
+        await self._add_host(process, kind="runner", region=region, service=SERVICE)
 
-    async def _list_host(
+    async def _add_host(
         self, process: Process, *, kind: str, region: str, rack: str = "", service: str = ""
     ) -> None:
         address = process.address
         if process.name in self.shape.relayed:
-            address = (await self._link(process.name, address)).address
+            address = (await self._open_link(process.name, address)).address
         labels = {
             "id": process.name,
             "kind": kind,
@@ -451,13 +451,13 @@
 
     def cell_text(self) -> str:
         """Return the configuration of the cell as INI text."""
-        return CELL.format(
+        return CELL_TEMPLATE.format(
             regions=", ".join(self.shape.regions),
             key_partitions=self.shape.key_partitions,
             slots=self.shape.slots,
         )
 
-    def _daemons(self) -> list[Any]:
+    def _daemon_starts(self) -> list[Any]:
         shape = self.shape
         starts: list[Any] = []
         for region in shape.regions:
--- a/rhubarbferry/test/relay.py
+++ b/rhubarbferry/test/relay.py
@@ -24,8 +24,8 @@
 
 CHUNK_BYTES = 64 * 1024
 # A link of limited bandwidth forwards chunks of at most this transmission time.
-SLICE_S = 0.05
-CONNECT_S = 5.0
+PACING_INTERVAL_S = 0.05
+CONNECT_TIMEOUT_S = 5.0
 
 
 class Mode(StrEnum):
@@ -69,7 +69,7 @@
         """Return the maximum size of a forwarded chunk."""
         if not self.bytes_per_s:
             return CHUNK_BYTES
-        return max(1, min(CHUNK_BYTES, int(self.bytes_per_s * SLICE_S)))
+        return max(1, min(CHUNK_BYTES, int(self.bytes_per_s * PACING_INTERVAL_S)))
 
 
 @frozen(kw_only=True)
@@ -142,8 +142,8 @@
             return
         for pair in list(self._pairs):
             pair.rule = rule
-            heals = mode is Mode.PASS and (pair.dropped or pair.target is None)
-            if mode is Mode.RESET or heals:
+            is_broken = mode is Mode.PASS and (pair.dropped or pair.target is None)
+            if mode is Mode.RESET or is_broken:
                 pair.reset()
 
     def connections(self) -> int:
@@ -183,17 +183,17 @@
             await self._copy(pair, reader, None, Mode.CUT_TO)
             return
         ip, port = split_address(self.target)
-        async with asyncio.timeout(CONNECT_S):
-            back, pair.target = await asyncio.open_connection(ip, port)
-        ways = (
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            target_reader, pair.target = await asyncio.open_connection(ip, port)
+        copies = (
             asyncio.create_task(self._copy(pair, reader, pair.target, Mode.CUT_TO)),
-            asyncio.create_task(self._copy(pair, back, pair.client, Mode.CUT_FROM)),
+            asyncio.create_task(self._copy(pair, target_reader, pair.client, Mode.CUT_FROM)),
         )
         try:
-            await asyncio.gather(*ways)
+            await asyncio.gather(*copies)
         finally:
-            for way in ways:
-                way.cancel()
+            for copy in copies:
+                copy.cancel()
 
     async def _copy(
         self,
@@ -206,7 +206,7 @@
             if pair.rule.delay_s:
                 await asyncio.sleep(pair.rule.delay_s)
             if pair.rule.bytes_per_s:
-                await self._transmit(cut, len(data) / pair.rule.bytes_per_s)
+                await self._wait_transmission(cut, len(data) / pair.rule.bytes_per_s)
             if writer is None or pair.rule.mode in (cut, Mode.CUT, Mode.SILENT):
                 pair.dropped = True
                 continue
@@ -215,7 +215,7 @@
         if writer is not None and pair.rule.mode is Mode.PASS and writer.can_write_eof():
             writer.write_eof()
 
-    async def _transmit(self, direction: Mode, duration_s: float) -> None:
+    async def _wait_transmission(self, direction: Mode, duration_s: float) -> None:
         """Wait for the transmission time of a chunk, queued behind the link's earlier chunks."""
         now = asyncio.get_running_loop().time()
         begin = max(now, self._busy_until.get(direction, now))
@@ -246,14 +246,14 @@
         converter = cattrs.Converter(forbid_extra_keys=True)
         try:
             while line := await reader.readline():
-                writer.write(json.dumps(self._obey(converter, line)).encode() + b"\n")
+                writer.write(json.dumps(self._execute(converter, line)).encode() + b"\n")
                 await writer.drain()
         except OSError:
             pass
         finally:
             writer.close()
 
-    def _obey(self, converter: cattrs.Converter, line: bytes) -> dict[str, object]:
+    def _execute(self, converter: cattrs.Converter, line: bytes) -> dict[str, object]:
         try:
             command = converter.structure(json.loads(line), Command)
             link = self.links[command.link]
@@ -279,9 +279,9 @@
         for number, link in enumerate(relay.links)
     ]
     print(json.dumps({"address": f"{host}:{bound}", "links": links}), flush=True)
-    stopping = asyncio.Event()
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopping.set)
-    await stopping.wait()
+    stopped = asyncio.Event()
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopped.set)
+    await stopped.wait()
     control.close()
     await relay.close()
 
--- a/rhubarbferry/test/runner.py
+++ b/rhubarbferry/test/runner.py
@@ -27,11 +27,11 @@
 
 STATUS_PATH = "/rhubarbferry/status"
 MAX_RECORDS = 1_000_000
-RECENT = 4096
+MAX_RECENT_IDS = 4096
 CHUNK_BYTES = 64 * 1024
 MAX_DELAY_MS = 600_000
 # Interval at which held requests check whether the ``hold`` fault was cleared.
-HOLD_POLL_S = 0.01
+HOLD_POLL_INTERVAL_S = 0.01
 
 
 @define(kw_only=True)
@@ -104,7 +104,7 @@
     faults: Faults = Factory(Faults)
     counts: Counts = Factory(Counts)
     running: dict[int, Execution] = Factory(dict)
-    finished: deque[str] = Factory(lambda: deque(maxlen=RECENT))
+    finished: deque[str] = Factory(lambda: deque(maxlen=MAX_RECENT_IDS))
     record: list[Execution] = Factory(list)
 
 
@@ -143,7 +143,7 @@
         self._state = _State()
         self._admitted: set[Any] = set()
         self._silent: set[Any] = set()
-        self._lost: set[Any] = set()
+        self._discarding: set[Any] = set()
         self._handler = web.Server(self._dispatch, tcp_keepalive=True)  # type: ignore[arg-type]
         self._server: asyncio.Server | None = None
 
@@ -196,7 +196,7 @@
         conns = set(self._handler.connections)
         self._silent |= conns
         if not execute:
-            self._lost |= conns
+            self._discarding |= conns
         return len(conns)
 
     def status(self) -> dict[str, Any]:
@@ -228,7 +228,7 @@
         conns = set(self._handler.connections)
         self._admitted &= conns
         self._silent &= conns
-        self._lost &= conns
+        self._discarding &= conns
         if req.protocol in self._admitted:
             return True
         if len(self._admitted) >= self.connections:
@@ -253,22 +253,22 @@
         return web.json_response(self.status(), headers={"Connection": "close"})
 
     async def _serve_faults(self, req: web.BaseRequest) -> web.StreamResponse:
-        asked = json.loads(await req.read())
+        changes = json.loads(await req.read())
         silent = 0
-        if asked.pop("silent", False):
-            silent = self.go_silent(execute=asked.pop("execute", True))
-        if asked.pop("die", False):
+        if changes.pop("silent", False):
+            silent = self.go_silent(execute=changes.pop("execute", True))
+        if changes.pop("die", False):
             asyncio.get_running_loop().call_soon(lambda: asyncio.ensure_future(self.die()))
         try:
-            self.set_faults(**asked)
+            self.set_faults(**changes)
         except TypeError as exc:
             return web.json_response({"error": str(exc)}, status=400)
         return web.json_response({"silent": silent, "faults": attrs.asdict(self._state.faults)})
 
     async def _serve_request(self, req: web.BaseRequest) -> web.StreamResponse:
-        if req.protocol in self._lost:
+        if req.protocol in self._discarding:
             await asyncio.Event().wait()
-        headers = {"Request-Id": self._echo(req)}
+        headers = {"Request-Id": self._response_id(req)}
         faults = self._state.faults
         if faults.drain or faults.refuse or len(self._state.running) >= self.slots:
             self.counts.refused += 1
@@ -283,7 +283,7 @@
             await asyncio.Event().wait()
         return await self._answer(req, execution, headers)
 
-    def _echo(self, req: web.BaseRequest) -> str:
+    def _response_id(self, req: web.BaseRequest) -> str:
         own = req.headers.get("Request-Id", "")
         return f"not-{own}" if self._state.faults.wrong_id else own
 
@@ -298,14 +298,14 @@
             started_wall=time.time(),
         )
         if len(self.record) >= MAX_RECORDS:
-            raise RuntimeError("the record is full; start the runner again")
+            raise RuntimeError("the record is full; restart the runner")
         self.record.append(execution)
         # The slot is occupied as soon as the headers arrive, as reading the body is part of the
         # work.
         self._state.running[id(execution)] = execution
         self.counts.concurrent_max = max(self.counts.concurrent_max, len(self._state.running))
         try:
-            await self._work(req, execution)
+            await self._process_request(req, execution)
         finally:
             del self._state.running[id(execution)]
             execution.ended = time.monotonic()
@@ -313,7 +313,7 @@
             self._state.finished.append(execution.request_id)
         return execution
 
-    async def _work(self, req: web.BaseRequest, execution: Execution) -> None:
+    async def _process_request(self, req: web.BaseRequest, execution: Execution) -> None:
         digest = xxhash.xxh3_64()
         try:
             async for chunk in req.content.iter_chunked(CHUNK_BYTES):
@@ -327,12 +327,12 @@
         self.counts.executions += 1
         work_ms = _number(req.headers, "Work-Ms") + self._state.faults.delay_ms
         # Shielded from cancellation: work that has begun continues after its caller disconnected.
-        await asyncio.shield(self._run_for(min(work_ms, MAX_DELAY_MS) / 1000))
+        await asyncio.shield(self._simulate_work(min(work_ms, MAX_DELAY_MS) / 1000))
 
-    async def _run_for(self, seconds: float) -> None:
+    async def _simulate_work(self, seconds: float) -> None:
         await asyncio.sleep(seconds)
         while self._state.faults.hold:  # noqa: ASYNC110 - a fault is a plain value
-            await asyncio.sleep(HOLD_POLL_S)
+            await asyncio.sleep(HOLD_POLL_INTERVAL_S)
 
     async def _answer(
         self, req: web.BaseRequest, execution: Execution, headers: dict[str, str]
--- a/rhubarbferry/test/serving.py
+++ b/rhubarbferry/test/serving.py
@@ -14,8 +14,8 @@
 
 from rhubarbferry.serving.server import HttpServer
 
-START_S = 10.0
-STOP_S = 1
+START_TIMEOUT_S = 10.0
+SHUTDOWN_TIMEOUT_S = 1
 
 
 class _Server(HttpServer):
@@ -50,7 +50,7 @@
 
 def _server(app: Starlette) -> _Server:
     config = uvicorn.Config(
-        app, log_level="critical", lifespan="off", timeout_graceful_shutdown=STOP_S
+        app, log_level="critical", lifespan="off", timeout_graceful_shutdown=SHUTDOWN_TIMEOUT_S
     )
     return _Server(config)
 
@@ -62,7 +62,7 @@
     server = _server(app)
     task = asyncio.create_task(server.serve(sockets=[sock]))
     try:
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             await server.listening.wait()
         yield address_of(sock)
     finally:
--- a/rhubarbferry/test/store.py
+++ b/rhubarbferry/test/store.py
@@ -39,7 +39,7 @@
 from rhubarbferry.test.store_faults import CallKind, StoreRates
 
 Json = dict[str, Any]
-PROGRESS_S = 1.0
+PROGRESS_INTERVAL_S = 1.0
 ALL_KEYS = b"\x00"
 LAST_KEY = "\U0010ffff"
 OK = 200
@@ -104,7 +104,7 @@
         Target.VERSION: "version",
     }[target]
     if message.get("result", "EQUAL") != "EQUAL":
-        raise StoreRefused("this stand-in compares by EQUAL only")
+        raise StoreRefused("this stand-in supports only the EQUAL comparison")
     return Compare(key=_key(message), target=target, number=int(message.get(field, 0)))
 
 
@@ -115,7 +115,7 @@
         return Put(key=_key(put), value=value, lease_id=int(put.get("lease", 0)))
     delete = message.get("request_delete_range", message.get("requestDeleteRange"))
     if delete is None:
-        raise StoreRefused("this stand-in knows request_put and request_delete_range only")
+        raise StoreRefused("this stand-in supports only request_put and request_delete_range")
     return Delete(key=_key(delete), end=_end(delete))
 
 
@@ -137,7 +137,7 @@
 
     def app(self) -> Starlette:
         """Return the HTTP application."""
-        posts: dict[str, Callable[[Json], Awaitable[Json]]] = {
+        methods: dict[str, Callable[[Json], Awaitable[Json]]] = {
             "/v3/kv/range": self._range,
             "/v3/kv/txn": self._txn,
             "/v3/kv/deleterange": self._delete_range,
@@ -146,7 +146,8 @@
             "/v3/lease/revoke": self._revoke,
         }
         routes = [
-            Route(path, self._endpoint(serve), methods=["POST"]) for path, serve in posts.items()
+            Route(path, self._endpoint(method), methods=["POST"])
+            for path, method in methods.items()
         ]
         routes += [
             Route("/v3/watch", self._watch, methods=["POST"]),
@@ -157,11 +158,11 @@
         return Starlette(routes=routes)
 
     def _endpoint(
-        self, serve: Callable[[Json], Awaitable[Json]]
+        self, method: Callable[[Json], Awaitable[Json]]
     ) -> Callable[[Request], Awaitable[Response]]:
         async def endpoint(req: Request) -> Response:
             try:
-                answer = await serve(await req.json())
+                answer = await method(await req.json())
             except StoreUnclear:
                 return LostReply()
             except (StoreRefused, StoreUnavailable) as exc:
@@ -173,20 +174,22 @@
 
     async def _range(self, req: Json) -> Json:
         store = self.store
-        back = store.faults.stale_revisions
+        revisions_back = store.faults.stale_revisions
         kind = CallKind.LIST if req.get("range_end") else CallKind.GET
         limit = int(req.get("limit", 0))
 
-        def act() -> Json:
+        def operation() -> Json:
             if kind is CallKind.GET:
-                item = store.engine.get(_key(req), back=back)
+                item = store.engine.get(_key(req), back=revisions_back)
                 items = [item] if item else []
             else:
-                items = list(store.engine.read(_key(req), _end(req), limit=limit, back=back))
-            header = {"revision": str(store.engine.revision - back)}
+                items = list(
+                    store.engine.read(_key(req), _end(req), limit=limit, back=revisions_back)
+                )
+            header = {"revision": str(store.engine.revision - revisions_back)}
             return {"header": header, "kvs": [_kv(item) for item in items]}
 
-        return await store.call(kind, act)
+        return await store.call(kind, operation)
 
     async def _txn(self, req: Json) -> Json:
         compares = [_compare(message) for message in req.get("compare", ())]
@@ -223,10 +226,10 @@
         return {"result": result}
 
     async def _revoke(self, req: Json) -> Json:
-        known = await self.store.call(
+        existed = await self.store.call(
             CallKind.REVOKE_LEASE, lambda: self.store.engine.revoke(int(req["ID"]))
         )
-        if not known:
+        if not existed:
             raise LeaseLost("requested lease not found")
         return {}
 
@@ -240,7 +243,7 @@
         from_revision = int(create.get("start_revision", 0)) or self.store.engine.revision + 1
         yield self._line({"created": True})
         changes = self.store.watch_range(
-            _key(create), _end(create), from_revision, idle_s=PROGRESS_S
+            _key(create), _end(create), from_revision, idle_s=PROGRESS_INTERVAL_S
         )
         try:
             async with aclosing(changes):
@@ -254,16 +257,21 @@
         return json.dumps({"result": result}).encode() + b"\n"
 
     async def _set_faults(self, req: Request) -> Response:
-        wanted = await req.json()
-        if wanted.pop("drop_watches", False):
+        changes = await req.json()
+        if changes.pop("drop_watches", False):
             self.store.faults.drop_watches()
-        known = {field.name for field in attrs.fields(type(self.store.faults)) if field.init}
-        unknown = sorted(set(wanted) - known)
-        if unknown:
-            return JSONResponse({"error": f"no fault {unknown}; there are {sorted(known)}"}, 400)
-        for name, value in wanted.items():
+        known_faults = {field.name for field in attrs.fields(type(self.store.faults)) if field.init}
+        unknown_faults = sorted(set(changes) - known_faults)
+        if unknown_faults:
+            return JSONResponse(
+                {"error": f"unknown faults {unknown_faults}; available: {sorted(known_faults)}"},
+                400,
+            )
+        for name, value in changes.items():
             setattr(self.store.faults, name, value)
-        return JSONResponse({name: getattr(self.store.faults, name) for name in sorted(known)})
+        return JSONResponse(
+            {name: getattr(self.store.faults, name) for name in sorted(known_faults)}
+        )
 
     async def _counters(self, _req: Request) -> Response:
         counters = self.store.counters
--- a/rhubarbferry/test/store_engine.py
+++ b/rhubarbferry/test/store_engine.py
@@ -118,9 +118,9 @@
 
     def expire(self, now: float) -> None:
         """Remove the expired leases and their keys."""
-        lapsed = [lease_id for lease_id, lease in self.leases.items() if lease.ends <= now]
-        for lease_id in lapsed:
-            self._end_lease(lease_id)
+        expired = [lease_id for lease_id, lease in self.leases.items() if lease.ends <= now]
+        for lease_id in expired:
+            self._remove_lease(lease_id)
 
     def next_lapse(self) -> float | None:
         """Return the time at which the next lease expires."""
@@ -139,10 +139,10 @@
 
     def txn(self, compares: Sequence[Compare], ops: Sequence[Put | Delete]) -> TxnResult:
         """Apply all ``ops`` under one revision if all comparisons match."""
-        if not all(self._holds(compare) for compare in compares):
+        if not all(self._matches(compare) for compare in compares):
             return TxnResult(succeeded=False, revision=self.revision)
         for op in ops:
-            self._check(op)
+            self._validate(op)
         deleted = 0
         before = self.revision
         revision = before + 1
@@ -172,7 +172,7 @@
         """Revoke a lease; return whether it existed."""
         if lease_id not in self.leases:
             return False
-        self._end_lease(lease_id)
+        self._remove_lease(lease_id)
         return True
 
     def changes(self, start: str, end: str, from_revision: int) -> Sequence[WatchEvent]:
@@ -181,7 +181,7 @@
         :raises Compacted: if the history no longer contains that revision.
         """
         oldest = self._history[0].revision if self._history else self.revision + 1
-        if from_revision <= oldest and self._forgot():
+        if from_revision <= oldest and self._history_is_full():
             raise Compacted(f"revision {from_revision} is gone; the oldest kept is {oldest}")
         found = [
             change
@@ -190,7 +190,7 @@
         ]
         return [self._event(change) for change in reversed(found)]
 
-    def _forgot(self) -> bool:
+    def _history_is_full(self) -> bool:
         return len(self._history) == self._history.maxlen
 
     def _event(self, change: Change) -> WatchEvent:
@@ -209,7 +209,7 @@
                 items[change.key] = change.before
         return items
 
-    def _holds(self, compare: Compare) -> bool:
+    def _matches(self, compare: Compare) -> bool:
         item: Stored | None = self._items.get(compare.key)
         if item is None:
             return compare.number == 0
@@ -221,7 +221,7 @@
             case Target.VERSION:
                 return item.version == compare.number
 
-    def _check(self, op: Put | Delete) -> None:
+    def _validate(self, op: Put | Delete) -> None:
         if isinstance(op, Delete):
             return
         if len(op.value) > MAX_VALUE_BYTES:
@@ -231,7 +231,7 @@
 
     def _put(self, op: Put, revision: int) -> None:
         before: Stored | None = self._items.get(op.key)
-        self._unhang(before)
+        self._detach_from_lease(before)
         kv = KeyValue(
             key=op.key,
             value=op.value,
@@ -251,11 +251,11 @@
             keys = list(self._items.irange(op.key, op.end, inclusive=(True, False)))
         for key in keys:
             before = self._items[key]
-            self._unhang(before)
+            self._detach_from_lease(before)
             self._record(Change(revision=revision, key=key, after=None, before=before))
         return len(keys)
 
-    def _unhang(self, item: Stored | None) -> None:
+    def _detach_from_lease(self, item: Stored | None) -> None:
         lease = self.leases.get(item.kv.lease_id) if item else None
         if item and lease:
             lease.keys.discard(item.kv.key)
@@ -268,7 +268,7 @@
         self.revision = change.revision
         self._history.append(change)
 
-    def _end_lease(self, lease_id: int) -> None:
+    def _remove_lease(self, lease_id: int) -> None:
         lease = self.leases.pop(lease_id)
         revision = self.revision + 1
         for key in sorted(lease.keys):
--- a/rhubarbferry/test/store_faults.py
+++ b/rhubarbferry/test/store_faults.py
@@ -9,7 +9,7 @@
 
 from rhubarbferry.ports.store import StoreRateLimited
 
-WINDOW_S = 1.0
+RATE_WINDOW_S = 1.0
 
 
 class CallKind(StrEnum):
@@ -60,7 +60,7 @@
         """End all open watches."""
         self.watch_drops += 1
 
-    def takes_failure(self) -> bool:
+    def consume_failure(self) -> bool:
         """Return whether this call fails before it takes effect; consume one such fault."""
         if self.down:
             return True
@@ -69,7 +69,7 @@
         self.fail_next -= 1
         return True
 
-    def takes_reply(self) -> bool:
+    def consume_lost_reply(self) -> bool:
         """Return whether the reply to this write is lost; consume one such fault."""
         self._writes += 1
         if self.lose_every and self._writes % self.lose_every == 0:
@@ -123,7 +123,7 @@
         """
         limit = self.rates.writes_per_s if kind.writes else self.rates.reads_per_s
         times = self._writes if kind.writes else self._reads
-        while times and times[0] <= now - WINDOW_S:
+        while times and times[0] <= now - RATE_WINDOW_S:
             times.popleft()
         if limit and len(times) >= limit:
             raise StoreRateLimited(f"over {limit} calls a second; send fewer, larger batches")
--- a/rhubarbferry/test/worker.py
+++ b/rhubarbferry/test/worker.py
@@ -22,7 +22,7 @@
 from rhubarbferry.rpc.gen import ttypes as t
 from rhubarbferry.rpc.services import WORKER
 
-TICK_S = 0.02
+TICK_INTERVAL_S = 0.02
 HOUR_S = 3600.0
 
 
@@ -80,7 +80,7 @@
 
 
 @define(kw_only=True, slots=True)
-class _Held:
+class _HeldTask:
     task: t.WorkerTask
     run: Run
     ends_at: float
@@ -119,31 +119,31 @@
         self.faults = Faults()
         self.record = Record()
         self._clock = clock
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _HeldTask] = {}
         self._epochs: dict[str, int] = {}
-        self._settled: dict[str, int] = {}
-        self._answered_at: dict[int, float] = {}
+        self._settled_epochs: dict[str, int] = {}
+        self._replied_at: dict[int, float] = {}
         # Start the numbers at the current time, so that a restarted worker does not accept the
         # number of a reply that its previous process sent.
-        self._number = int(clock.monotonic() * 1000)
-        self._floor: dict[str, int] = {}
+        self._last_number = int(clock.monotonic() * 1000)
+        self._oldest_valid_number: dict[str, int] = {}
         self._longest_lease_s = 0.0
 
     def adopt(self, req: t.WorkerAdoptRequest) -> t.WorkerAdoptReply:
         """Accept a new owner and return the held tasks; older requests become invalid."""
         self.tick()
         accepted = self._accepts(req.partition, req.epoch)
-        number = self._answer()
+        number = self._next_number()
         if accepted:
-            self._floor[req.partition] = number
+            self._oldest_valid_number[req.partition] = number
         return t.WorkerAdoptReply(
             accepted=accepted,
             highest_epoch=self._epochs[req.partition],
             capacity=_resources(self.capacity),
-            tasks=[self._told(held) for held in self._held.values()],
+            tasks=[self._task_message(held) for held in self._held.values()],
             longest_lease_ms=int(self._longest_lease_s * 1000),
             number=number,
-            settled_epoch=self._settled.get(req.partition, 0),
+            settled_epoch=self._settled_epochs.get(req.partition, 0),
         )
 
     def start(self, req: t.StartRequest) -> t.StartReply:
@@ -159,7 +159,7 @@
                 self.record.refused[name] = self.record.refused.get(name, 0) + 1
             results.append(t.StartResult(task_id=task.task_id, verdict=verdict))
         return t.StartReply(
-            highest_epoch=self._epochs[req.partition], results=results, number=self._answer()
+            highest_epoch=self._epochs[req.partition], results=results, number=self._next_number()
         )
 
     def renew(self, req: t.RenewRequest) -> t.RenewReply:
@@ -169,9 +169,9 @@
         lease_until = self._lease_until(req.partition, req.answered, req.lease_ms)
         if accepted and lease_until is not None:
             if req.settled:
-                self._settled[req.partition] = req.epoch
-            self._apply(req, lease_until)
-        ended = [self._told(held) for held in self._held.values() if held.end is not None]
+                self._settled_epochs[req.partition] = req.epoch
+            self._apply_renewal(req, lease_until)
+        ended = [self._task_message(held) for held in self._held.values() if held.end is not None]
         running = [held for held in self._held.values() if held.end is None]
         return t.RenewReply(
             accepted=accepted and lease_until is not None,
@@ -179,7 +179,7 @@
             ended=ended,
             usage=self._usage(running),
             running=len(running),
-            number=self._answer(),
+            number=self._next_number(),
         )
 
     def tick(self) -> None:
@@ -195,11 +195,11 @@
             elif held.ends_at <= now:
                 self._end(held, t.TaskEnd.DONE, held.ends_at)
 
-    def _answer(self) -> int:
-        self._number += 1
-        self._answered_at[self._number] = self._clock.monotonic()
-        self._answered_at.pop(self._number - 1000, None)
-        return self._number
+    def _next_number(self) -> int:
+        self._last_number += 1
+        self._replied_at[self._last_number] = self._clock.monotonic()
+        self._replied_at.pop(self._last_number - 1000, None)
+        return self._last_number
 
     def _accepts(self, partition: str, epoch: int) -> bool:
         highest = max(self._epochs.get(partition, 0), epoch)
@@ -211,11 +211,11 @@
         now = self._clock.monotonic()
         if answered is None:
             return now + lease_ms / 1000
-        given = self._answered_at.get(answered)
-        floor = self._floor.get(partition)
-        if given is None or floor is None or answered < floor:
+        replied_at = self._replied_at.get(answered)
+        oldest_valid = self._oldest_valid_number.get(partition)
+        if replied_at is None or oldest_valid is None or answered < oldest_valid:
             return None
-        until = given + lease_ms / 1000
+        until = replied_at + lease_ms / 1000
         return until if until > now else None
 
     def _start(self, task: t.WorkerTask, req: t.StartRequest, lease_until: float | None) -> int:
@@ -226,7 +226,7 @@
         if not size.fits(self.capacity - self.record.used):
             return t.StartVerdict.NO_ROOM
         now = self._clock.monotonic()
-        forever = task.kind == t.JobKind.SERVICE
+        endless = task.kind == t.JobKind.SERVICE
         run = Run(
             worker=self.id,
             task_id=task.task_id,
@@ -236,30 +236,30 @@
             epoch=req.epoch,
             started_at=now,
         )
-        held = _Held(
+        held = _HeldTask(
             task=task,
             run=run,
-            ends_at=float("inf") if forever else now + task.run_ms / 1000,
+            ends_at=float("inf") if endless else now + task.run_ms / 1000,
             lease_until=lease_until,
         )
         self._held[task.task_id] = held
         self.record.runs.append(run)
-        self._carry(self.record.used + size)
+        self._set_used(self.record.used + size)
         self._longest_lease_s = max(self._longest_lease_s, req.lease_ms / 1000)
         if self.faults.fail_all:
             self._end(held, t.TaskEnd.FAILED, now)
         return t.StartVerdict.STARTED
 
-    def _carry(self, used: Size) -> None:
+    def _set_used(self, used: Size) -> None:
         self.record.used = used
-        top = self.record.max_used
+        peak = self.record.max_used
         self.record.max_used = Size(
-            millicores=max(top.millicores, used.millicores),
-            memory_bytes=max(top.memory_bytes, used.memory_bytes),
-            accelerators=max(top.accelerators, used.accelerators),
+            millicores=max(peak.millicores, used.millicores),
+            memory_bytes=max(peak.memory_bytes, used.memory_bytes),
+            accelerators=max(peak.accelerators, used.accelerators),
         )
 
-    def _apply(self, req: t.RenewRequest, lease_until: float) -> None:
+    def _apply_renewal(self, req: t.RenewRequest, lease_until: float) -> None:
         self._longest_lease_s = max(self._longest_lease_s, req.lease_ms / 1000)
         for task_id in req.acknowledged:
             held = self._held.get(task_id)
@@ -269,9 +269,9 @@
             held.lease_until = max(held.lease_until, lease_until)
         if not self.faults.ignore_orders:
             for order in req.orders:
-                self._obey(order)
+                self._execute_order(order)
 
-    def _obey(self, order: t.TaskOrder) -> None:
+    def _execute_order(self, order: t.TaskOrder) -> None:
         held = self._held.get(order.task_id)
         if held is None or held.end is not None:
             return
@@ -283,13 +283,13 @@
             case _:
                 self._end(held, t.TaskEnd.STOPPED, self._clock.monotonic())
 
-    def _end(self, held: _Held, end: int, at: float) -> None:
+    def _end(self, held: _HeldTask, end: int, at: float) -> None:
         held.end = end
         held.run.ended_at = at
         held.run.end = t.TaskEnd(end).name
-        self._carry(self.record.used - size_of(held.task.size))
+        self._set_used(self.record.used - size_of(held.task.size))
 
-    def _told(self, held: _Held) -> t.WorkerHeldTask:
+    def _task_message(self, held: _HeldTask) -> t.WorkerHeldTask:
         until = self._clock.monotonic() if held.run.ended_at is None else held.run.ended_at
         return t.WorkerHeldTask(
             task=held.task,
@@ -298,15 +298,15 @@
             ran_ms=int((until - held.run.started_at) * 1000),
         )
 
-    def _usage(self, running: list[_Held]) -> list[t.TaskUsage]:
-        seen_until = self._clock.monotonic() - self.faults.usage_lag_s
+    def _usage(self, running: list[_HeldTask]) -> list[t.TaskUsage]:
+        reported_until = self._clock.monotonic() - self.faults.usage_lag_s
         return [
-            t.TaskUsage(task_id=held.task.task_id, used=self._used(held))
+            t.TaskUsage(task_id=held.task.task_id, used=self._reported_usage(held))
             for held in running
-            if held.run.started_at <= seen_until
+            if held.run.started_at <= reported_until
         ]
 
-    def _used(self, held: _Held) -> t.Resources:
+    def _reported_usage(self, held: _HeldTask) -> t.Resources:
         factor = 1.0 if held.run.throttled else self.faults.usage_factor
         size = size_of(held.task.size)
         return t.Resources(
@@ -350,7 +350,7 @@
         known = {a.name for a in fields(Faults)}
         for name, value in changes.items():
             if name not in known:
-                raise ValueError(f"no fault {name!r}; there are {sorted(known)}")
+                raise ValueError(f"unknown fault {name!r}; available: {sorted(known)}")
             setattr(self.engine.faults, name, value)
         if self.engine.faults.pause_s:
             self._paused_until = self._clock.monotonic() + self.engine.faults.pause_s
@@ -386,7 +386,7 @@
     async def _tick(self) -> None:
         while True:
             self.engine.tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
 
 async def _control(stand_in: WorkerStandIn, host: str, port: int) -> Any:
--- a/rhubarbferry/test/worker_fleet.py
+++ b/rhubarbferry/test/worker_fleet.py
@@ -64,18 +64,18 @@
     def summary(self) -> dict[str, Any]:
         """Return totals over all workers and a short form of each run, for evaluation by tests."""
         runs: list[Run] = []
-        over = []
+        over_capacity = []
         for worker in self.workers:
             worker.engine.tick()
             record = worker.engine.record
             runs += record.runs
             if not record.max_used.fits(worker.engine.capacity):
-                over.append(worker.engine.id)
+                over_capacity.append(worker.engine.id)
         running = sum(run.ended_at is None for run in runs)
         return {
             "started": len(runs),
             "running": running,
-            "over_capacity": over,
+            "over_capacity": over_capacity,
             "runs": [[run.task_id, run.started_at, run.ended_at] for run in runs],
         }
 
