--- a/tests/processes/job_load.py
+++ b/tests/processes/job_load.py
@@ -1,4 +1,4 @@
-"""Jobs for a cell of processes, and the verdict by what the workers saw."""
+"""Job load for a cell of processes, and its evaluation from the workers' records."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from rhubarbferry.test.processes import ProcessCell
 
 ACCOUNTS = ("kryogonia", "golden-comb")
-BETWEEN_S = 0.08
-LOOK_S = 0.05
-ACCEPTED_S = 20.0
+SUBMIT_INTERVAL_S = 0.08
+POLL_INTERVAL_S = 0.05
+ACCEPT_TIMEOUT_S = 20.0
 MILLICORES = 1000
 MEMORY_BYTES = 2**30
-OVER = ("done", "failed", "unknown", "not-run", "cancelled")
+TERMINAL_PHASES = ("done", "failed", "unknown", "not-run", "cancelled")
 
 
 @frozen(kw_only=True)
-class Form:
-    """One sort of job."""
+class JobSpec:
+    """One type of job to submit."""
 
     kind: str
     tasks: int
@@ -35,153 +35,155 @@
     millicores: int = MILLICORES
 
 
-FORMS = (
-    Form(kind="batch", tasks=5, run_ms=400, idempotent=False),
-    Form(kind="batch", tasks=10, run_ms=500, idempotent=True),
-    Form(kind="gang", tasks=3, run_ms=400, idempotent=True, millicores=2 * MILLICORES),
-    Form(kind="batch", tasks=2, run_ms=1500, idempotent=False),
+JOB_SPECS = (
+    JobSpec(kind="batch", tasks=5, run_ms=400, idempotent=False),
+    JobSpec(kind="batch", tasks=10, run_ms=500, idempotent=True),
+    JobSpec(kind="gang", tasks=3, run_ms=400, idempotent=True, millicores=2 * MILLICORES),
+    JobSpec(kind="batch", tasks=2, run_ms=1500, idempotent=False),
 )
-SERVICE = Form(kind="service", tasks=2, run_ms=0, idempotent=True)
+SERVICE_SPEC = JobSpec(kind="service", tasks=2, run_ms=0, idempotent=True)
 
 
 @define(kw_only=True)
-class Submitted:
-    """One job that was accepted, and its last state."""
+class SubmittedJob:
+    """An accepted job and its last known state."""
 
     id: str
-    form: Form
+    spec: JobSpec
     view: dict[str, Any] = Factory(dict)
 
     @property
     def phase(self) -> str:
-        """Its phase as last seen."""
+        """Return the last known phase."""
         return str(self.view.get("phase", ""))
 
     def settled(self) -> bool:
-        """Whether nothing more is expected of it."""
-        if self.form.kind == "service":
-            return bool(self.view) and self.view["tasks"]["running"] == self.form.tasks
-        return self.phase in OVER
+        """Return whether the job has reached its expected final state."""
+        if self.spec.kind == "service":
+            return bool(self.view) and self.view["tasks"]["running"] == self.spec.tasks
+        return self.phase in TERMINAL_PHASES
 
 
 @frozen(kw_only=True)
-class Unheard:
-    """A time in which a worker told nobody how its runs ended; seconds on the monotonic clock."""
+class ReportGap:
+    """A period in which a worker could not report ended runs; seconds on the monotonic clock."""
 
     worker: str
     since: float
     until: float
 
     def covers(self, run: dict[str, Any]) -> bool:
-        """Tell whether a run ended there and then."""
+        """Return whether the run ended on this worker within this period."""
         ended = run["ended_at"]
         return run["worker"] == self.worker and ended and self.since <= ended <= self.until
 
 
 @define(kw_only=True)
 class JobLoad:
-    """Submit jobs one after another to one frontend."""
+    """Submit jobs sequentially to one frontend."""
 
     cell: ProcessCell
     frontend: str
     rng: random.Random
-    jobs: list[Submitted] = Factory(list)
+    jobs: list[SubmittedJob] = Factory(list)
     stopping: bool = False
-    last_records: list[dict[str, Any]] = Factory(list)
-    unheard: list[Unheard] = Factory(list)
+    killed_records: list[dict[str, Any]] = Factory(list)
+    report_gaps: list[ReportGap] = Factory(list)
     _number: int = 0
 
     async def run(self) -> None:
-        """Submit until :attr:`stopping`."""
-        await self.submit(SERVICE)
+        """Submit jobs until :attr:`stopping` is set."""
+        await self.submit(SERVICE_SPEC)
         while not self.stopping:
-            await self.submit(FORMS[self._number % len(FORMS)])
-            await asyncio.sleep(BETWEEN_S)
+            await self.submit(JOB_SPECS[self._number % len(JOB_SPECS)])
+            await asyncio.sleep(SUBMIT_INTERVAL_S)
 
-    async def submit(self, form: Form) -> None:
-        """Submit one job, with the same key until it is accepted."""
+    async def submit(self, spec: JobSpec) -> None:
+        """Submit one job; retry with the same idempotency key until it is accepted."""
         self._number += 1
         job = {
             "account": self.rng.choice(ACCOUNTS),
-            "kind": form.kind,
-            "tasks": form.tasks,
-            "run_ms": form.run_ms,
-            "idempotent": form.idempotent,
+            "kind": spec.kind,
+            "tasks": spec.tasks,
+            "run_ms": spec.run_ms,
+            "idempotent": spec.idempotent,
             "key": f"job-{self._number}",
-            "size": {"millicores": form.millicores, "memory_bytes": MEMORY_BYTES},
+            "size": {"millicores": spec.millicores, "memory_bytes": MEMORY_BYTES},
         }
-        async with asyncio.timeout(ACCEPTED_S):
+        async with asyncio.timeout(ACCEPT_TIMEOUT_S):
             while True:
                 try:
                     status, view = await self.cell.submit(self.frontend, **job)
                 except aiohttp.ClientError:
                     status, view = 0, {}
                 if status == 202:
-                    self.jobs.append(Submitted(id=view["id"], form=form))
+                    self.jobs.append(SubmittedJob(id=view["id"], spec=spec))
                     return
                 assert status in (0, 429, 503, 504), (status, view)
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def until(self, true: Callable[[list[dict[str, Any]]], bool], within_s: float) -> None:
-        """Return when a condition on the workers' records holds."""
+    async def wait_until(
+        self, condition: Callable[[list[dict[str, Any]]], bool], within_s: float
+    ) -> None:
+        """Wait until a condition on the workers' records is true."""
         async with asyncio.timeout(within_s):
             while True:
-                if true(await self.records()):
+                if condition(await self.records()):
                     return
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def records(self) -> list[dict[str, Any]]:
-        """Return the records of the workers that answer, and the last ones of the others."""
-        return await self.cell.records("worker") + self.last_records
+        """Return the records of the running workers and the last records of the killed ones."""
+        return await self.cell.records("worker") + self.killed_records
 
     async def kill_worker(self, name: str) -> None:
-        """End a worker; keep its record, in which all its runs end now."""
+        """Kill a worker; keep its record with all its open runs marked as ended now."""
         await self.cell.set_faults(name, pause_s=60.0)
         record = await self.cell.record(name)
         await self.cell.processes[name].kill()
         for run in record["runs"]:
             if run["ended_at"] is None:
                 run |= {"ended_at": time.monotonic(), "end": "KILLED"}
-        self.last_records.append(record)
+        self.killed_records.append(record)
 
-    async def until_settled(self, within_s: float) -> None:
-        """Look at all jobs until each has come to its end, or runs if it is a service.
+    async def wait_until_settled(self, within_s: float) -> None:
+        """Poll all jobs until each has ended, or runs completely if it is a service.
 
-        :raises AssertionError: naming those that have not.
+        :raises AssertionError: with the jobs that have not settled in time.
         """
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + within_s
+        deadline = loop.time() + within_s
         while True:
             for job in [job for job in self.jobs if not job.settled()]:
                 job.view = await self.cell.job(self.frontend, job.id)
             open_jobs = [(job.id, job.view) for job in self.jobs if not job.settled()]
             if not open_jobs:
                 return
-            assert loop.time() < give_up_at, open_jobs
-            await asyncio.sleep(LOOK_S)
+            assert loop.time() < deadline, open_jobs
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 @frozen(kw_only=True)
 class JobVerdict:
-    """Broken promises, by what workers recorded; each must be empty."""
+    """Broken guarantees according to the workers' records; each list must be empty."""
 
     overlapping: list[str]
     started_twice: list[str]
     over_capacity: list[str]
-    untrue_done: list[str]
-    untrue_not_run: list[str]
+    false_done: list[str]
+    false_not_run: list[str]
     idempotent_not_done: list[str]
-    untrue_unknown: list[str]
+    false_unknown: list[str]
     phases: dict[str, int]
 
 
-def _known_done(run: dict[str, Any], unheard: list[Unheard]) -> bool:
-    """Tell whether a run ended well and its worker could say so before its lease was over."""
-    return run["end"] == "DONE" and not any(time.covers(run) for time in unheard)
+def _known_done(run: dict[str, Any], report_gaps: list[ReportGap]) -> bool:
+    """Return whether a run completed and its worker could report so within its lease."""
+    return run["end"] == "DONE" and not any(gap.covers(run) for gap in report_gaps)
 
 
 async def judge(load: JobLoad) -> JobVerdict:
-    """Compare what was said of jobs with what workers did."""
+    """Compare the reported states of the jobs with the workers' records."""
     records = await load.records()
     runs: dict[str, list[dict[str, Any]]] = {}
     for record in records:
@@ -189,33 +191,37 @@
             runs.setdefault(run["task_id"].rsplit("/", 1)[0], []).append(run)
     for attempts in runs.values():
         attempts.sort(key=lambda run: run["started_at"])
-    whole: Counter[str] = Counter()
+    reported_done: Counter[str] = Counter()
     done: Counter[str] = Counter()
-    begun: Counter[str] = Counter()
+    started: Counter[str] = Counter()
     for task, attempts in runs.items():
         job_id = task.rsplit("/", 1)[0]
-        begun[job_id] += 1
+        started[job_id] += 1
         done[job_id] += any(run["end"] == "DONE" for run in attempts)
-        whole[job_id] += any(_known_done(run, load.unheard) for run in attempts)
-    once = {job.id for job in load.jobs if not job.form.idempotent}
-    finite = [job for job in load.jobs if job.form.kind != "service"]
+        reported_done[job_id] += any(_known_done(run, load.report_gaps) for run in attempts)
+    non_idempotent_ids = {job.id for job in load.jobs if not job.spec.idempotent}
+    finite_jobs = [job for job in load.jobs if job.spec.kind != "service"]
     return JobVerdict(
         overlapping=[task for task, attempts in runs.items() if _overlap(attempts)],
         started_twice=[
-            task for task in runs if task.rsplit("/", 1)[0] in once and len(runs[task]) > 1
+            task
+            for task in runs
+            if task.rsplit("/", 1)[0] in non_idempotent_ids and len(runs[task]) > 1
         ],
-        over_capacity=[record["id"] for record in records if _over(record)],
-        untrue_done=[
-            job.id for job in finite if job.phase == "done" and done[job.id] < job.form.tasks
+        over_capacity=[record["id"] for record in records if _exceeds_capacity(record)],
+        false_done=[
+            job.id for job in finite_jobs if job.phase == "done" and done[job.id] < job.spec.tasks
         ],
-        untrue_not_run=[job.id for job in finite if job.phase == "not-run" and begun[job.id]],
+        false_not_run=[job.id for job in finite_jobs if job.phase == "not-run" and started[job.id]],
         idempotent_not_done=[
-            f"{job.id} {job.phase}" for job in finite if job.form.idempotent and job.phase != "done"
+            f"{job.id} {job.phase}"
+            for job in finite_jobs
+            if job.spec.idempotent and job.phase != "done"
         ],
-        untrue_unknown=[
-            f"{job.id} {job.view['tasks']} whole {whole[job.id]} begun {begun[job.id]}"
-            for job in finite
-            if job.view["tasks"]["unknown"] and whole[job.id] > job.view["tasks"]["done"]
+        false_unknown=[
+            f"{job.id} {job.view['tasks']} done {reported_done[job.id]} started {started[job.id]}"
+            for job in finite_jobs
+            if job.view["tasks"]["unknown"] and reported_done[job.id] > job.view["tasks"]["done"]
         ],
         phases=dict(Counter(job.phase for job in load.jobs)),
     )
@@ -226,15 +232,15 @@
     return any(a["ended_at"] is None or a["ended_at"] > b["started_at"] for a, b in pairs)
 
 
-def _over(record: dict[str, Any]) -> bool:
-    return any(record["max_used"][name] > top for name, top in record["capacity"].items())
+def _exceeds_capacity(record: dict[str, Any]) -> bool:
+    return any(record["max_used"][name] > limit for name, limit in record["capacity"].items())
 
 
-def stop(cell: ProcessCell, name: str) -> None:
-    """Freeze a process."""
+def suspend(cell: ProcessCell, name: str) -> None:
+    """Suspend a process."""
     cell.processes[name].signal(signal.SIGSTOP)
 
 
-def go_on(cell: ProcessCell, name: str) -> None:
-    """Let a frozen process go on."""
+def resume(cell: ProcessCell, name: str) -> None:
+    """Resume a suspended process."""
     cell.processes[name].signal(signal.SIGCONT)
--- a/tests/processes/load.py
+++ b/tests/processes/load.py
@@ -1,4 +1,4 @@
-"""Load for a cell of processes, and the verdict by what the stand-ins saw."""
+"""Request load for a cell of processes, and its evaluation from the runners' records."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 from rhubarbferry.test.processes import ProcessCell
 
-AT_ONCE = 12
+CONCURRENT_CALLERS = 12
 WORK_MS = 15
 KEYED_SHARE = 0.4
-TWICE_SHARE = 0.3
-TIMEOUT_S = 20
-SLOWEST = 5
+DUPLICATE_SHARE = 0.3
+REQUEST_TIMEOUT_S = 20
+SLOWEST_COUNT = 5
 ACCOUNTS = ("kryogonia", "golden-comb")
 
 
 @frozen(kw_only=True)
-class Sent:
-    """One request as its caller saw it; ``lost`` when no whole answer came."""
+class SentRequest:
+    """A request with its result; ``lost`` if the caller received no complete answer."""
 
     frontend: str
     path: str
@@ -33,32 +33,33 @@
     status: int
     request_id: str
     retry_after: str
-    right: bool
-    took_s: float
+    is_correct: bool
+    duration_s: float
     lost: bool = False
 
 
 @define(kw_only=True)
 class Load:
-    """A closed loop of callers on some frontends.
+    """A closed loop of callers that send requests to some frontends.
 
     :param timeout_s: deadline of each request.
-    :param work_ms: how long a runner works on each.
+    :param work_ms: duration of each request on a runner.
+    :param callers: number of concurrent callers.
     """
 
     cell: ProcessCell
     frontends: list[str]
     rng: random.Random
-    timeout_s: float = TIMEOUT_S
+    timeout_s: float = REQUEST_TIMEOUT_S
     work_ms: int = WORK_MS
-    at_once: int = AT_ONCE
-    sent: list[Sent] = Factory(list)
+    callers: int = CONCURRENT_CALLERS
+    sent: list[SentRequest] = Factory(list)
     stopping: bool = False
     _number: int = 0
 
     async def run(self) -> None:
-        """Send until :attr:`stopping`, then wait for the answers still due."""
-        await asyncio.gather(*(self._caller() for _ in range(self.at_once)))
+        """Send requests until :attr:`stopping` is set, then wait for the outstanding answers."""
+        await asyncio.gather(*(self._caller() for _ in range(self.callers)))
 
     async def _caller(self) -> None:
         while not self.stopping:
@@ -68,9 +69,9 @@
                 await self._send(self.rng.choice(self.frontends), path, "")
                 continue
             key = f"key-{self._number}"
-            twice = self.rng.random() < TWICE_SHARE
+            duplicated = self.rng.random() < DUPLICATE_SHARE
             frontends = self.rng.sample(self.frontends, k=min(2, len(self.frontends)))
-            chosen = frontends if twice else frontends[:1]
+            chosen = frontends if duplicated else frontends[:1]
             await asyncio.gather(*(self._send(name, path, key) for name in chosen))
 
     async def _send(self, frontend: str, path: str, key: str) -> None:
@@ -83,16 +84,16 @@
         if key:
             headers["Idempotency-Key"] = key
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started_at = loop.time()
         try:
             answer = await self.cell.request(frontend, path, headers=headers, body=path.encode())
         except (aiohttp.ClientError, TimeoutError):
-            self._note(frontend, path, key, "lost", 0, "", "", False, loop.time() - begun)
+            self._record(frontend, path, key, "lost", 0, "", "", False, loop.time() - started_at)
             await asyncio.sleep(0.05)
             return
-        right = answer.outcome != "done" or _is_for(answer.body, path)
-        took = loop.time() - begun
-        self._note(
+        is_correct = answer.outcome != "done" or _is_for(answer.body, path)
+        duration_s = loop.time() - started_at
+        self._record(
             frontend,
             path,
             key,
@@ -100,16 +101,18 @@
             answer.status,
             answer.request_id,
             answer.retry_after,
-            right,
-            took,
+            is_correct,
+            duration_s,
         )
         if answer.outcome != "done":
             await asyncio.sleep(0.05)
 
-    def _note(self, *values: Any) -> None:
-        frontend, path, key, outcome, status, request_id, retry_after, right, took_s = values
+    def _record(self, *values: Any) -> None:
+        frontend, path, key, outcome, status, request_id, retry_after, is_correct, duration_s = (
+            values
+        )
         self.sent.append(
-            Sent(
+            SentRequest(
                 frontend=frontend,
                 path=path,
                 key=key,
@@ -117,8 +120,8 @@
                 status=status,
                 request_id=request_id,
                 retry_after=retry_after,
-                right=right,
-                took_s=took_s,
+                is_correct=is_correct,
+                duration_s=duration_s,
                 lost=outcome == "lost",
             )
         )
@@ -131,32 +134,32 @@
 
 @frozen(kw_only=True)
 class Verdict:
-    """Broken promises, by what runners recorded; each must be empty or 0."""
+    """Broken guarantees according to the runners' records; each list must be empty."""
 
-    ran_twice: list[str]
-    wrong: list[str]
-    untrue_not_run: list[str]
+    run_twice: list[str]
+    wrong_answers: list[str]
+    false_not_run: list[str]
     over_slots: list[str]
     server_errors: list[str]
     lost: int
     done: int
     outcomes: dict[str, int]
-    refused: int
-    slowest: list[Sent]
+    rejected: int
+    slowest: list[SentRequest]
 
     @property
     def longest_s(self) -> float:
-        """The longest that a caller waited for its answer."""
-        return self.slowest[0].took_s if self.slowest else 0.0
+        """Return the longest time that a caller waited for its answer."""
+        return self.slowest[0].duration_s if self.slowest else 0.0
 
     def summary(self) -> str:
-        """Return what is worth reading when a row fails."""
-        slowest = [f"{s.took_s:.1f} s {s.outcome} {s.key or s.path}" for s in self.slowest]
-        return f"{self.outcomes}, {self.refused} refused by runners, slowest {slowest}"
+        """Return the details to print for a failed case."""
+        slowest = [f"{s.duration_s:.1f} s {s.outcome} {s.key or s.path}" for s in self.slowest]
+        return f"{self.outcomes}, {self.rejected} rejected by runners, slowest {slowest}"
 
 
 async def judge(load: Load) -> Verdict:
-    """Compare what callers were told with what runners did."""
+    """Compare the outcomes that callers received with the runners' records."""
     records = await load.cell.records("runner")
     executed: Counter[str] = Counter()
     request_ids: set[str] = set()
@@ -169,9 +172,9 @@
     slots = load.cell.shape.slots
     outcomes = Counter(sent.outcome for sent in load.sent)
     return Verdict(
-        ran_twice=sorted(key for key in keys if executed[key] > 1),
-        wrong=[sent.path for sent in load.sent if not sent.lost and not sent.right],
-        untrue_not_run=[
+        run_twice=sorted(key for key in keys if executed[key] > 1),
+        wrong_answers=[sent.path for sent in load.sent if not sent.lost and not sent.is_correct],
+        false_not_run=[
             sent.path
             for sent in load.sent
             if sent.outcome == "not-run" and sent.request_id in request_ids
@@ -183,6 +186,6 @@
         lost=outcomes["lost"],
         done=outcomes["done"],
         outcomes=dict(outcomes),
-        refused=sum(record["counts"]["refused"] for record in records),
-        slowest=sorted(load.sent, key=lambda sent: -sent.took_s)[:SLOWEST],
+        rejected=sum(record["counts"]["refused"] for record in records),
+        slowest=sorted(load.sent, key=lambda sent: -sent.duration_s)[:SLOWEST_COUNT],
     )
--- a/tests/processes/test_configuration_under_faults.py
+++ b/tests/processes/test_configuration_under_faults.py
@@ -1,4 +1,4 @@
-"""Operators race one another while the store fails; each process says what it has in force."""
+"""Concurrent configuration changes during store failures, and their propagation."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import pytest
 from attrs import Factory, define, frozen
-from stage import PAST_LEASE_S, until, until_all_serve
+from stage import PAST_LEASE_S, wait_until, wait_until_all_serve
 
 from rhubarbferry.coordination import configuration
 from rhubarbferry.ports.clock import SystemClock
@@ -24,10 +24,10 @@
 pytestmark = pytest.mark.processes
 
 EDITS = 20
-EDIT_S = 60.0
-IN_FORCE_S = 10.0
-SAMPLE_S = 0.05
-CALL_S = 2.0
+EDIT_TIMEOUT_S = 60.0
+IN_FORCE_TIMEOUT_S = 10.0
+SAMPLE_INTERVAL_S = 0.05
+CALL_TIMEOUT_S = 2.0
 NOT_MADE = (
     configuration.ConfigInvalid,
     configuration.ConfigRace,
@@ -37,60 +37,61 @@
 
 
 @define(kw_only=True)
-class Watch:
-    """What each process said over time that it has in force.
+class RevisionMonitor:
+    """The configuration revisions reported by each process over time.
 
-    :ivar went_back: names of processes that ever said a lower revision than before.
+    :ivar latest_revisions: last reported revision by process name.
+    :ivar regressed: names of processes that reported a lower revision than before.
     """
 
     cell: ProcessCell
-    latest: dict[str, int] = Factory(dict)
-    went_back: list[str] = Factory(list)
+    latest_revisions: dict[str, int] = Factory(dict)
+    regressed: list[str] = Factory(list)
     samples: int = 0
 
     async def run(self) -> None:
-        """Ask all daemons again and again, until cancelled."""
+        """Poll the status of all daemons until cancelled."""
         pools = {"scheduler": Pool(service=SCHEDULER), "frontend": Pool(service=GUARD)}
         try:
             while True:
                 for role, pool in pools.items():
                     for process in self.cell.named(role):
                         if process.line:
-                            await self._look(pool, process)
-                await asyncio.sleep(SAMPLE_S)
+                            await self._sample(pool, process)
+                await asyncio.sleep(SAMPLE_INTERVAL_S)
         finally:
             for pool in pools.values():
                 await pool.close()
 
-    async def _look(self, pool: Pool, process: Any) -> None:
+    async def _sample(self, pool: Pool, process: Any) -> None:
         try:
             reply: StatusReply = await pool.call(
-                process.address, "status", StatusRequest(), timeout_s=CALL_S
+                process.address, "status", StatusRequest(), timeout_s=CALL_TIMEOUT_S
             )
         except RpcError:
             return
         self.samples += 1
-        if reply.config_revision < self.latest.get(process.name, 0):
-            self.went_back.append(process.name)
-        self.latest[process.name] = reply.config_revision
+        if reply.config_revision < self.latest_revisions.get(process.name, 0):
+            self.regressed.append(process.name)
+        self.latest_revisions[process.name] = reply.config_revision
 
-    async def until_all_at(self, revision: int) -> None:
-        """Return once every daemon has said ``revision`` or a later one."""
+    async def wait_until_all_at(self, revision: int) -> None:
+        """Wait until every daemon has reported ``revision`` or a later one."""
         names = {p.name for role in ("scheduler", "frontend") for p in self.cell.named(role)}
 
         async def reached() -> bool:
-            return all(self.latest.get(name, 0) >= revision for name in names)
+            return all(self.latest_revisions.get(name, 0) >= revision for name in names)
 
-        await until(reached, within_s=IN_FORCE_S)
+        await wait_until(reached, within_s=IN_FORCE_TIMEOUT_S)
 
 
 @asynccontextmanager
-async def watched(cell: ProcessCell) -> AsyncIterator[Watch]:
-    """Sample all daemons within."""
-    watch = Watch(cell=cell)
-    task = asyncio.create_task(watch.run())
+async def monitored(cell: ProcessCell) -> AsyncIterator[RevisionMonitor]:
+    """Poll the status of all daemons within the context."""
+    monitor = RevisionMonitor(cell=cell)
+    task = asyncio.create_task(monitor.run())
     try:
-        yield watch
+        yield monitor
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -98,11 +99,12 @@
 
 @define(kw_only=True)
 class Edits:
-    """What the operators were told of their changes; each change adds a line of its own.
+    """The results that operators received for their changes; each change adds a unique line.
 
-    :ivar authors: by revision, who was told that it is theirs.
+    :ivar authors: by revision, the authors to whom it was confirmed as their own.
     :ivar accepted: lines of changes that were accepted.
-    :ivar not_made: lines of changes of which it was said that they were not made.
+    :ivar not_made: lines of changes that were reported as not made.
+    :ivar failures: number of failed changes by exception class.
     """
 
     authors: dict[int, list[str]] = Factory(lambda: defaultdict(list))
@@ -115,17 +117,17 @@
         return max(self.authors)
 
     async def edit(self, cell: ProcessCell, author: str) -> None:
-        """Have ``EDITS`` changes accepted, each based on what was read right before."""
+        """Make changes, each based on the latest revision, until ``EDITS`` of them are accepted."""
         store = cell.open_store()
         accepted = 0
         try:
-            async with asyncio.timeout(EDIT_S):
+            async with asyncio.timeout(EDIT_TIMEOUT_S):
                 while accepted < EDITS:
-                    accepted += await self._one(store, author, accepted)
+                    accepted += await self._edit_once(store, author, accepted)
         finally:
             await store.close()
 
-    async def _one(self, store: Any, author: str, number: int) -> int:
+    async def _edit_once(self, store: Any, author: str, number: int) -> int:
         line = f"# {author} {number} {self.failures.total()}"
         try:
             stored = await configuration.read(store)
@@ -141,7 +143,7 @@
             self.failures[type(exc).__name__] += 1
             if isinstance(exc, NOT_MADE):
                 self.not_made.append(line)
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
             return 0
         self.accepted.append(line)
         self.authors[applied.revision].append(author)
@@ -151,7 +153,7 @@
 Fault = Callable[[ProcessCell], Awaitable[None]]
 
 
-async def nothing(cell: ProcessCell) -> None:
+async def no_fault(cell: ProcessCell) -> None:
     return None
 
 
@@ -167,7 +169,7 @@
         await asyncio.sleep(0.2)
 
 
-async def older_answers(cell: ProcessCell) -> None:
+async def stale_answers(cell: ProcessCell) -> None:
     await cell.set_faults("store", stale_revisions=15)
     await asyncio.sleep(1.0)
     await cell.set_faults("store", stale_revisions=0)
@@ -181,61 +183,65 @@
 
 @frozen(kw_only=True)
 class Row:
-    """What happens while two operators edit."""
+    """A fault that is injected while two operators make changes."""
 
     name: str
     fault: Fault
-    comes_about: str
+    failure: str
 
 
 ROWS = [
-    Row(name="race", fault=nothing, comes_about="Two operators edit what the other changes."),
+    Row(
+        name="race",
+        fault=no_fault,
+        failure="Each operator edits the revision that the other one changes.",
+    ),
     Row(
         name="lost replies",
         fault=lost_replies,
-        comes_about="An edit stands and its author does not hear so, or believes another's his.",
+        failure="A stored change looks failed to its author, or another's looks like theirs.",
     ),
     Row(
         name="dropped watches",
         fault=dropped_watches,
-        comes_about="Processes miss events; one would stay on an old revision for good.",
+        failure="Processes miss events; one could stay on an old revision forever.",
     ),
     Row(
         name="older answers",
-        fault=older_answers,
-        comes_about="The store answers with older revisions, as after an outage.",
+        fault=stale_answers,
+        failure="The store answers with stale revisions, as after an outage.",
     ),
     Row(
         name="outage",
         fault=outage,
-        comes_about="The store is away for longer than a lease in the middle of the edits.",
+        failure="The store is unavailable for longer than a lease during the changes.",
     ),
 ]
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
 async def test_accepted_edits_stand_everywhere(row: Row, tmp_path: Path) -> None:
-    """Two operators make 20 changes each, while something fails. How stands in its row.
+    """Two operators make 20 changes each while a fault is injected.
 
-    An operator would see a change that was accepted disappear again, or two would be told that
-    the same revision is theirs.
+    Guards against an accepted change that disappears again, and against one revision that is
+    confirmed to two operators. Each case describes how its fault leads to this.
     """
-    async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell, watched(cell) as watch:
-        await until_all_serve(cell)
+    async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell, monitored(cell) as monitor:
+        await wait_until_all_serve(cell)
         edits = Edits()
         editing = [asyncio.create_task(edits.edit(cell, who)) for who in ("eleni", "somchai")]
         await row.fault(cell)
         await asyncio.gather(*editing)
-        await watch.until_all_at(edits.highest)
+        await monitor.wait_until_all_at(edits.highest)
         store = cell.open_store()
         try:
             final = (await configuration.read(store)).record
         finally:
             await store.close()
-    print(f"{watch.samples} samples, {dict(edits.failures)}")
-    assert not watch.went_back
+    print(f"{monitor.samples} samples, {dict(edits.failures)}")
+    assert not monitor.regressed
     assert all(len(authors) == 1 for authors in edits.authors.values())
-    assert set(watch.latest.values()) == {final.revision}
+    assert set(monitor.latest_revisions.values()) == {final.revision}
     lines = final.text.splitlines()
     assert [line for line in edits.accepted if lines.count(line) != 1] == []
     assert [line for line in edits.not_made if line in lines] == []
@@ -244,25 +250,27 @@
 async def test_a_process_started_in_an_outage_takes_the_configuration_of_peers(
     tmp_path: Path,
 ) -> None:
-    """Hosts keep nothing, and a scheduler is started while the store is down.
+    """A scheduler without local state starts while the store is down.
 
-    Without the word of its peers it would know no service and no account; were it to own
-    something, two would decide for the same.
+    Without the configuration of its peers it would have no services and no accounts. It must not
+    own any partition, as a partition would then have two owners.
     """
     async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell:
-        await until_all_serve(cell)
+        await wait_until_all_serve(cell)
         edits = Edits()
         await edits.edit(cell, "eleni")
-        async with watched(cell) as watch:
-            await watch.until_all_at(edits.highest)
+        async with monitored(cell) as monitor:
+            await monitor.wait_until_all_at(edits.highest)
             await cell.set_faults("store", down=True)
             peers = ", ".join(p.address for p in cell.named("scheduler"))
             started = await cell.start_daemon(
                 "scheduler", "scheduler-late", region="attiki", peers=peers
             )
-            await watch.until_all_at(edits.highest)
+            await monitor.wait_until_all_at(edits.highest)
             pool = Pool(service=SCHEDULER)
-            reply = await pool.call(started.address, "status", StatusRequest(), timeout_s=CALL_S)
+            reply = await pool.call(
+                started.address, "status", StatusRequest(), timeout_s=CALL_TIMEOUT_S
+            )
             await pool.close()
     assert reply.partitions == []
-    assert not watch.went_back
+    assert not monitor.regressed
--- a/tests/processes/test_cuts.py
+++ b/tests/processes/test_cuts.py
@@ -1,4 +1,4 @@
-"""Connections between processes are cut or go silent, judged by what runners and callers saw."""
+"""Connections between processes are cut or go silent, verified by the runners' records."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from attrs import evolve, frozen
 from stage import (
     FRONTENDS,
-    KEYS,
+    KEYS_PARTITION,
     PAST_LEASE_S,
-    RUNNERS,
+    RUNNERS_PARTITION,
     SCHEDULERS,
     SHAPE,
-    SILENCE_S,
+    SILENCE_DETECTION_S,
     SLACK_S,
     Fault,
-    assert_kept,
-    fail_under_load,
-    hold,
+    assert_guarantees_kept,
+    every_scheduler_owns_partitions,
+    inject_under_load,
     owner_of,
-    shared_by_all,
+    set_mode_for,
     silence,
-    until,
-    until_all_serve,
+    wait_until,
+    wait_until_all_serve,
 )
 
 from rhubarbferry.test.processes import ProcessCell
@@ -36,125 +36,129 @@
 RUNNER = "runner-attiki-1"
 WORKER = "worker-attiki-1-1"
 ACCEPTED = 202
-JOB_S = 20.0
-JOB_MS = 100
-JOB_DONE_S = 0.5
+JOB_TIMEOUT_S = 20.0
+JOB_DURATION_MS = 100
+JOB_OVERHEAD_S = 0.5
 RELAYED = evolve(SHAPE, relayed=frozenset([*SCHEDULERS, *FRONTENDS, RUNNER, WORKER]))
 
 
 def cut_owner_from_store(partition: str, mode: Mode) -> Fault:
     async def fault(cell: ProcessCell) -> None:
-        await hold(cell, f"{await owner_of(cell, partition)}/store", mode, seconds=PAST_LEASE_S)
+        await set_mode_for(
+            cell, f"{await owner_of(cell, partition)}/store", mode, seconds=PAST_LEASE_S
+        )
 
     return fault
 
 
 def cut_frontends_from_owner(mode: Mode) -> Fault:
     async def fault(cell: ProcessCell) -> None:
-        await hold(cell, await owner_of(cell, RUNNERS), mode, seconds=PAST_LEASE_S)
+        await set_mode_for(
+            cell, await owner_of(cell, RUNNERS_PARTITION), mode, seconds=PAST_LEASE_S
+        )
 
     return fault
 
 
 def cut_from_runner(mode: Mode) -> Fault:
     async def fault(cell: ProcessCell) -> None:
-        await hold(cell, RUNNER, mode, seconds=PAST_LEASE_S)
+        await set_mode_for(cell, RUNNER, mode, seconds=PAST_LEASE_S)
 
     return fault
 
 
 def cut_guards(mode: Mode) -> Fault:
     async def fault(cell: ProcessCell) -> None:
-        await hold(cell, FRONTENDS[0], mode, seconds=PAST_LEASE_S)
+        await set_mode_for(cell, FRONTENDS[0], mode, seconds=PAST_LEASE_S)
 
     return fault
 
 
 @frozen(kw_only=True)
 class Cut:
-    """One cut past a lease, which then heals."""
+    """A cut that lasts longer than a lease and is then repaired."""
 
     name: str
     fault: Fault
-    comes_about: str
+    failure: str
 
 
 CUTS = [
     Cut(
         name="runners' owner from store, both ways",
-        fault=cut_owner_from_store(RUNNERS, Mode.CUT),
-        comes_about=(
-            "The owner of the grants loses the store and still reaches all frontends; another "
-            "takes over. Were both to decide, runners would be given more than their slots."
+        fault=cut_owner_from_store(RUNNERS_PARTITION, Mode.CUT),
+        failure=(
+            "The owner of the grants loses the store but reaches all frontends, and a successor "
+            "takes over. If both granted slots, runners would exceed their slots."
         ),
     ),
     Cut(
         name="runners' owner to store",
-        fault=cut_owner_from_store(RUNNERS, Mode.CUT_TO),
-        comes_about="The owner's calls do not reach the store; what the store sends still comes.",
+        fault=cut_owner_from_store(RUNNERS_PARTITION, Mode.CUT_TO),
+        failure="The owner's calls do not reach the store; messages from the store arrive.",
     ),
     Cut(
         name="store to runners' owner",
-        fault=cut_owner_from_store(RUNNERS, Mode.CUT_FROM),
-        comes_about=(
-            "Renewals reach the store, no reply comes back. The store keeps the lease, the owner "
-            "must not count on it."
+        fault=cut_owner_from_store(RUNNERS_PARTITION, Mode.CUT_FROM),
+        failure=(
+            "Renewals reach the store, but their replies are lost. The store keeps the lease, but "
+            "the owner must not rely on it."
         ),
     ),
     Cut(
         name="keys' owner from store, both ways",
-        fault=cut_owner_from_store(KEYS, Mode.CUT),
-        comes_about="The owner of the intents can't write any more; another takes over the keys.",
+        fault=cut_owner_from_store(KEYS_PARTITION, Mode.CUT),
+        failure="The owner of the intents can't write them; a successor takes over the keys.",
     ),
     Cut(
         name="store to keys' owner",
-        fault=cut_owner_from_store(KEYS, Mode.CUT_FROM),
-        comes_about=(
-            "Intents are written, and the owner does not hear of it. An intent written twice "
-            "would print a slip twice."
+        fault=cut_owner_from_store(KEYS_PARTITION, Mode.CUT_FROM),
+        failure=(
+            "Intents are written, but the replies to the owner are lost. An intent written twice "
+            "would run its request twice."
         ),
     ),
     Cut(
         name="owner from frontends and schedulers",
         fault=cut_frontends_from_owner(Mode.CUT),
-        comes_about="Nobody reaches the owner of the grants, which keeps its lease.",
+        failure="No process reaches the owner of the grants, which keeps its lease.",
     ),
     Cut(
         name="owner's replies",
         fault=cut_frontends_from_owner(Mode.CUT_FROM),
-        comes_about="The owner grants slots and nobody hears of it. The slots must come back.",
+        failure="The owner grants slots, but its replies are lost. The slots must be freed again.",
     ),
     Cut(
         name="frontends from a runner",
         fault=cut_from_runner(Mode.CUT),
-        comes_about="A runner can't be reached; requests in it have no outcome.",
+        failure="A runner is unreachable; the outcome of its running requests is unknown.",
     ),
     Cut(
         name="a runner's answers",
         fault=cut_from_runner(Mode.CUT_FROM),
-        comes_about="A runner runs requests and its answers get lost.",
+        failure="A runner executes requests, but its answers are lost.",
     ),
     Cut(
         name="schedulers from a guard",
         fault=cut_guards(Mode.CUT),
-        comes_about="One of two guards can't be reached, so that no majority promises.",
+        failure="One of two guards is unreachable, so no majority of guards gives promises.",
     ),
 ]
 
 
 @pytest.mark.parametrize("row", CUTS, ids=lambda row: row.name)
 async def test_cuts_break_no_promise(row: Cut, tmp_path: Path) -> None:
-    """Something between two ends stops to pass bytes for longer than a lease, then passes again.
+    """A connection passes no bytes for longer than a lease, then works again.
 
-    A broken promise would show as a request run twice, a runner with more than its slots, or
-    "not run" said of what ran. How each cut comes about stands in its row.
+    Guards against requests that run twice, runners with more requests than slots, and the outcome
+    "not run" for requests that ran. Each case describes how its cut leads to this.
     """
     async with ProcessCell(dir=tmp_path, shape=RELAYED) as cell:
-        verdict = await fail_under_load(cell, row.fault)
-    assert_kept(verdict)
+        verdict = await inject_under_load(cell, row.fault)
+    assert_guarantees_kept(verdict)
 
 
-Names = Callable[[ProcessCell], Awaitable[list[str]]]
+LinkNames = Callable[[ProcessCell], Awaitable[list[str]]]
 
 
 async def a_runner(cell: ProcessCell) -> list[str]:
@@ -162,11 +166,11 @@
 
 
 async def owner_of_runners(cell: ProcessCell) -> list[str]:
-    return [await owner_of(cell, RUNNERS)]
+    return [await owner_of(cell, RUNNERS_PARTITION)]
 
 
 async def owner_of_keys(cell: ProcessCell) -> list[str]:
-    return [await owner_of(cell, KEYS)]
+    return [await owner_of(cell, KEYS_PARTITION)]
 
 
 async def stores_of_owners(cell: ProcessCell) -> list[str]:
@@ -179,10 +183,10 @@
 
 @frozen(kw_only=True)
 class Silence:
-    """Connections that go silent."""
+    """A set of connections that go silent."""
 
     name: str
-    links: Names
+    links: LinkNames
 
 
 SILENCES = [
@@ -196,45 +200,46 @@
 
 @pytest.mark.parametrize("row", SILENCES, ids=lambda row: row.name)
 async def test_a_silent_connection_is_replaced(row: Silence, tmp_path: Path) -> None:
-    """Something between two ends forgets the open connections, while new ones work.
+    """A network device drops the state of open connections, while new connections work.
 
-    Nothing tells the sockets, so bytes vanish for good. A caller would wait for its whole
-    deadline of 20 s, one request after the other, as long as the connection is in use.
+    The endpoints receive no error, so all bytes on the old connections are lost. Without detection
+    every caller would wait for its whole deadline of 20 s as long as such a connection is in use.
     """
 
     async def fault(cell: ProcessCell) -> None:
         silence(cell, *await row.links(cell))
 
     async with ProcessCell(dir=tmp_path, shape=RELAYED) as cell:
-        verdict = await fail_under_load(cell, fault)
-    assert_kept(verdict)
-    assert verdict.longest_s < SILENCE_S + SLACK_S
+        verdict = await inject_under_load(cell, fault)
+    assert_guarantees_kept(verdict)
+    assert verdict.longest_s < SILENCE_DETECTION_S + SLACK_S
 
 
 async def test_a_silent_connection_to_a_worker_is_replaced(tmp_path: Path) -> None:
-    """The connection from the owner of a rack to a worker goes silent; a new one works.
+    """The connection from a rack owner to a worker goes silent, while new connections work.
 
-    A start that was sent into the void would leave the task waiting for as long as the owner
-    believes in the connection.
+    A start sent on the silent connection is lost. Without detection the task would wait for as
+    long as the owner keeps the connection open.
     """
     async with ProcessCell(dir=tmp_path, shape=RELAYED) as cell:
-        await until_all_serve(cell)
-        # The second scheduler to start takes its share some seconds later. A start that is
-        # unclear when the rack changes hands is truthfully unknown; that is another matter.
-        await until(lambda: shared_by_all(cell), within_s=JOB_S)
+        await wait_until_all_serve(cell)
+        # The second scheduler takes over its share of partitions some seconds after its start. A
+        # start that is pending while the rack changes its owner may correctly end as unknown,
+        # which this test excludes.
+        await wait_until(lambda: every_scheduler_owns_partitions(cell), within_s=JOB_TIMEOUT_S)
         await run_job(cell, "before")
         silence(cell, WORKER)
-        took_s = await run_job(cell, "after")
+        duration_s = await run_job(cell, "after")
         record = await cell.record(WORKER)
     started = [run["task_id"] for run in record["runs"]]
     assert len(started) == len(set(started)) == 2
-    assert took_s < SILENCE_S + SLACK_S + JOB_DONE_S
+    assert duration_s < SILENCE_DETECTION_S + SLACK_S + JOB_OVERHEAD_S
 
 
 async def run_job(cell: ProcessCell, key: str) -> float:
-    """Submit a job of one short task; return the seconds until it has succeeded."""
+    """Run a job with one short task; return the seconds until it is done."""
     loop = asyncio.get_running_loop()
-    begun = loop.time()
+    started_at = loop.time()
     job_id = ""
 
     async def accepted() -> bool:
@@ -246,7 +251,7 @@
             kind="batch",
             tasks=1,
             size={"millicores": 500, "memory_bytes": 1024},
-            run_ms=JOB_MS,
+            run_ms=JOB_DURATION_MS,
         )
         job_id = document.get("id", "")
         return status == ACCEPTED
@@ -254,6 +259,6 @@
     async def done() -> bool:
         return (await cell.job(FRONTENDS[0], job_id)).get("phase") == "done"
 
-    await until(accepted, within_s=JOB_S)
-    await until(done, within_s=JOB_S)
-    return loop.time() - begun
+    await wait_until(accepted, within_s=JOB_TIMEOUT_S)
+    await wait_until(done, within_s=JOB_TIMEOUT_S)
+    return loop.time() - started_at
--- a/tests/processes/test_jobs_under_faults.py
+++ b/tests/processes/test_jobs_under_faults.py
@@ -1,4 +1,4 @@
-"""Jobs while schedulers, workers, connections and the store fail, judged by workers' records."""
+"""Jobs during failures of processes, connections and the store, verified by workers' records."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import pytest
 from attrs import frozen
-from job_load import JobLoad, Unheard, go_on, judge, stop
+from job_load import JobLoad, ReportGap, judge, resume, suspend
 
 from rhubarbferry.test.processes import ProcessCell, Shape
 
@@ -19,13 +19,13 @@
 
 SEED = 7
 TASK_LEASE_S = 4.0
-HEARTBEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 PAST_LEASE_S = 4.5
-JOBS = 6
-MORE_JOBS = 6
-BUSY_S = 20.0
-SETTLED_S = 45.0
-RACK = "worker/attiki/rack-1"
+JOBS_BEFORE_FAULT = 6
+JOBS_AFTER_FAULT = 6
+BUSY_TIMEOUT_S = 20.0
+SETTLE_TIMEOUT_S = 45.0
+RACK_PARTITION = "worker/attiki/rack-1"
 SHAPE = Shape(
     schedulers=3,
     workers=3,
@@ -54,43 +54,43 @@
     return entry.member_id.rsplit("-", 1)[0]
 
 
-async def rack_owner(cell: ProcessCell) -> str:
-    return await owner_of(cell, RACK)
+async def rack_partition_owner(cell: ProcessCell) -> str:
+    return await owner_of(cell, RACK_PARTITION)
 
 
-async def home_owner(cell: ProcessCell) -> str:
+async def home_partition_owner(cell: ProcessCell) -> str:
     return await owner_of(cell, "key/attiki/0")
 
 
 async def kill_rack_owner(cell: ProcessCell, load: JobLoad) -> None:
-    await cell.processes[await rack_owner(cell)].kill()
+    await cell.processes[await rack_partition_owner(cell)].kill()
 
 
 async def kill_home(cell: ProcessCell, load: JobLoad) -> None:
-    await cell.processes[await home_owner(cell)].kill()
+    await cell.processes[await home_partition_owner(cell)].kill()
 
 
 async def kill_home_and_rack_owner(cell: ProcessCell, load: JobLoad) -> None:
-    names = {await rack_owner(cell), await home_owner(cell)}
+    names = {await rack_partition_owner(cell), await home_partition_owner(cell)}
     await asyncio.gather(*(cell.processes[name].kill() for name in names))
 
 
 async def freeze_rack_owner(cell: ProcessCell, load: JobLoad) -> None:
-    name = await rack_owner(cell)
-    stop(cell, name)
+    name = await rack_partition_owner(cell)
+    suspend(cell, name)
     await asyncio.sleep(PAST_LEASE_S)
-    go_on(cell, name)
+    resume(cell, name)
 
 
 async def freeze_a_worker(cell: ProcessCell, load: JobLoad) -> None:
-    frozen_at = time.monotonic()
-    stop(cell, WORKERS[0])
+    suspended_at = time.monotonic()
+    suspend(cell, WORKERS[0])
     await asyncio.sleep(TASK_LEASE_S + 1.5)
-    go_on(cell, WORKERS[0])
-    # Its tasks go on by their own timers. What ended since its last heartbeat was heard only
-    # after the lease: by then the owner had to take the end for unknown.
-    since, until = frozen_at - HEARTBEAT_S, time.monotonic()
-    load.unheard.append(Unheard(worker=WORKERS[0], since=since, until=until))
+    resume(cell, WORKERS[0])
+    # Tasks on the worker end by their own timers. Ends since its last heartbeat are reported only
+    # after the lease has expired, when the owner had to record their outcome as unknown.
+    since, until = suspended_at - HEARTBEAT_INTERVAL_S, time.monotonic()
+    load.report_gaps.append(ReportGap(worker=WORKERS[0], since=since, until=until))
 
 
 async def kill_a_worker(cell: ProcessCell, load: JobLoad) -> None:
@@ -119,79 +119,79 @@
 
 
 async def planned_stop(cell: ProcessCell, load: JobLoad) -> None:
-    assert await cell.processes[await rack_owner(cell)].terminate(within_s=15.0) == 0
+    assert await cell.processes[await rack_partition_owner(cell)].terminate(within_s=15.0) == 0
 
 
 @frozen(kw_only=True)
 class Row:
-    """One fault."""
+    """A fault and the failure that it could cause."""
 
     name: str
     fault: Fault
-    comes_about: str
+    failure: str
 
 
 ROWS = [
     Row(
         name="kill rack owner",
         fault=kill_rack_owner,
-        comes_about="It crashes while tasks run. One not adopted would be started again.",
+        failure="It crashes while tasks run. A task that is not adopted would be started again.",
     ),
     Row(
         name="kill home",
         fault=kill_home,
-        comes_about="It crashes while tasks wait and run. Ends that it was told would be lost.",
+        failure="It crashes with queued and running tasks. Ends reported to it could be lost.",
     ),
     Row(
         name="kill home and rack owner",
         fault=kill_home_and_rack_owner,
-        comes_about="Both crash at once. Nobody is left who knows what was being started.",
+        failure="Both crash at once. No process has the pending starts in memory.",
     ),
     Row(
         name="freeze rack owner",
         fault=freeze_rack_owner,
-        comes_about="It is paused past its lease and goes on. Two would fill the same workers.",
+        failure="It is suspended past its lease and resumes. Two owners could fill one worker.",
     ),
     Row(
         name="freeze a worker",
         fault=freeze_a_worker,
-        comes_about="It is paused past the task lease. Its tasks would run on beside new ones.",
+        failure="It is suspended past the task lease. Its tasks could overlap their next attempts.",
     ),
     Row(
         name="kill a worker",
         fault=kill_a_worker,
-        comes_about="It dies with all its tasks. Jobs would hang, or run tasks twice.",
+        failure="It crashes with all its tasks. Jobs could hang or run tasks twice.",
     ),
     Row(
         name="workers lose replies",
         fault=worker_loses_replies,
-        comes_about="Starts take effect unheard. Taken for not started, they run twice.",
+        failure="Tasks start, but the replies are lost. A repeated start would run them twice.",
     ),
     Row(
         name="a worker fails all",
         fault=worker_fails_all,
-        comes_about="A broken host ends tasks at once, looks empty, and would get them all.",
+        failure="A faulty host ends tasks at once, looks idle and could receive all tasks.",
     ),
     Row(
         name="store down",
         fault=store_down_past_the_lease,
-        comes_about="The store is down for longer than a lease. Running tasks must not lapse.",
+        failure="The store is down for longer than a lease. Running tasks must keep their leases.",
     ),
     Row(
         name="store loses replies",
         fault=store_loses_replies,
-        comes_about="Records stand, unheard. A dispatch made again would run a task twice.",
+        failure="Records are written, but replies are lost. A repeated dispatch runs a task twice.",
     ),
     Row(
         name="planned stop",
         fault=planned_stop,
-        comes_about="The rack's owner is replaced on purpose. No task may notice.",
+        failure="The owner of the rack is stopped as planned. No task may be affected.",
     ),
 ]
 
 
-def busy(records: list[dict[str, Any]]) -> bool:
-    """Tell whether tasks run on all workers, and some have ended."""
+def all_workers_busy(records: list[dict[str, Any]]) -> bool:
+    """Return whether every worker runs a task and at least one task is done."""
     runs = [record["runs"] for record in records]
     running = all(any(run["ended_at"] is None for run in some) for some in runs)
     return running and any(run["end"] == "DONE" for some in runs for run in some)
@@ -199,30 +199,35 @@
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
 async def test_jobs_keep_their_promises(row: Row, tmp_path: Path) -> None:
-    """Batch, gang and service jobs are submitted and run while something fails.
+    """Batch, gang and service jobs are submitted and run while a fault is injected.
 
-    A broken promise would show as a task run in two places, one that must not be repeated
-    started twice, a worker carrying more than it holds, or a job said done that did not run
-    whole. How each fault comes about stands in its row.
+    Guards against a task that runs in two places, a non-idempotent task that is started twice, a
+    worker above its capacity, and a job reported as done although not all its tasks ran. Each case
+    describes how its fault leads to this.
     """
     async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell:
         load = JobLoad(cell=cell, frontend="frontend-attiki-1", rng=random.Random(SEED))
         running = asyncio.create_task(load.run())
         try:
-            await load.until(lambda records: busy(records) and len(load.jobs) > JOBS, BUSY_S)
+            await load.wait_until(
+                lambda records: all_workers_busy(records) and len(load.jobs) > JOBS_BEFORE_FAULT,
+                BUSY_TIMEOUT_S,
+            )
             await row.fault(cell, load)
             accepted = len(load.jobs)
-            wanted = accepted + MORE_JOBS
-            await load.until(lambda _: running.done() or len(load.jobs) >= wanted, BUSY_S)
+            target_count = accepted + JOBS_AFTER_FAULT
+            await load.wait_until(
+                lambda _: running.done() or len(load.jobs) >= target_count, BUSY_TIMEOUT_S
+            )
         finally:
             load.stopping = True
         await running
-        await load.until_settled(SETTLED_S)
+        await load.wait_until_settled(SETTLE_TIMEOUT_S)
         verdict = await judge(load)
     assert not verdict.overlapping
     assert not verdict.started_twice
     assert not verdict.over_capacity
-    assert not verdict.untrue_done
-    assert not verdict.untrue_not_run
+    assert not verdict.false_done
+    assert not verdict.false_not_run
     assert not verdict.idempotent_not_done
-    assert not verdict.untrue_unknown
+    assert not verdict.false_unknown
--- a/tests/processes/test_requests_under_faults.py
+++ b/tests/processes/test_requests_under_faults.py
@@ -1,4 +1,4 @@
-"""Requests while processes, connections and the store fail, judged by the runners' records."""
+"""Requests during failures of processes, connections and the store."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 import pytest
 from attrs import evolve, frozen
-from load import TIMEOUT_S
+from load import REQUEST_TIMEOUT_S
 from stage import (
     FRONTENDS,
-    KEYS,
+    KEYS_PARTITION,
     PAST_LEASE_S,
-    RUNNERS,
+    RUNNERS_PARTITION,
     SCHEDULERS,
     SHAPE,
     Fault,
-    assert_kept,
-    fail_under_load,
+    assert_guarantees_kept,
+    inject_under_load,
     kill_owner,
     owner_of,
     silence,
@@ -28,27 +28,27 @@
 
 pytestmark = pytest.mark.processes
 
-FROZEN_S = 5.0
-LATE_MS = 2500
+SUSPENSION_S = 5.0
+LATE_ANSWER_MS = 2500
 
 
 async def kill_owner_of_runners(cell: ProcessCell) -> None:
-    await kill_owner(cell, RUNNERS)
+    await kill_owner(cell, RUNNERS_PARTITION)
 
 
 async def kill_owner_of_keys(cell: ProcessCell) -> None:
-    await kill_owner(cell, KEYS)
+    await kill_owner(cell, KEYS_PARTITION)
 
 
 async def freeze_owner_past_its_lease(cell: ProcessCell) -> None:
-    process = cell.processes[await owner_of(cell, RUNNERS)]
+    process = cell.processes[await owner_of(cell, RUNNERS_PARTITION)]
     process.signal(signal.SIGSTOP)
     await asyncio.sleep(PAST_LEASE_S)
     process.signal(signal.SIGCONT)
 
 
 async def freeze_owner_of_keys_past_its_lease(cell: ProcessCell) -> None:
-    process = cell.processes[await owner_of(cell, KEYS)]
+    process = cell.processes[await owner_of(cell, KEYS_PARTITION)]
     process.signal(signal.SIGSTOP)
     await asyncio.sleep(PAST_LEASE_S)
     process.signal(signal.SIGCONT)
@@ -82,14 +82,14 @@
     await cell.set_faults("runner-attiki-1", truncate=False)
 
 
-async def foreign_answers(cell: ProcessCell) -> None:
+async def wrong_request_ids(cell: ProcessCell) -> None:
     await cell.set_faults("runner-attiki-1", wrong_id=True)
     await asyncio.sleep(1.0)
     await cell.set_faults("runner-attiki-1", wrong_id=False)
 
 
 async def planned_stop_of_the_owner(cell: ProcessCell) -> None:
-    process = cell.processes[await owner_of(cell, RUNNERS)]
+    process = cell.processes[await owner_of(cell, RUNNERS_PARTITION)]
     assert await process.terminate(within_s=15.0) == 0
 
 
@@ -117,151 +117,151 @@
 async def silent_connections_and_kill(cell: ProcessCell) -> None:
     silence(cell, *SCHEDULERS, *FRONTENDS)
     await asyncio.sleep(0.5)
-    await kill_owner(cell, RUNNERS)
+    await kill_owner(cell, RUNNERS_PARTITION)
 
 
 async def kill_two_schedulers(cell: ProcessCell) -> None:
-    await kill_owner(cell, RUNNERS)
+    await kill_owner(cell, RUNNERS_PARTITION)
     await asyncio.sleep(1.0)
-    left = [process for process in cell.named("scheduler") if process.running]
-    await left[0].kill()
+    remaining = [process for process in cell.named("scheduler") if process.running]
+    await remaining[0].kill()
 
 
 async def freeze_a_frontend(cell: ProcessCell) -> None:
     process = cell.processes[FRONTENDS[0]]
     process.signal(signal.SIGSTOP)
-    await asyncio.sleep(FROZEN_S)
+    await asyncio.sleep(SUSPENSION_S)
     process.signal(signal.SIGCONT)
 
 
 async def late_answers(cell: ProcessCell) -> None:
-    await cell.set_faults("runner-attiki-1", late_ms=LATE_MS)
+    await cell.set_faults("runner-attiki-1", late_ms=LATE_ANSWER_MS)
     await asyncio.sleep(1.0)
     await cell.set_faults("runner-attiki-1", late_ms=0)
-    await asyncio.sleep(LATE_MS / 1000)
+    await asyncio.sleep(LATE_ANSWER_MS / 1000)
 
 
 @frozen(kw_only=True)
 class Row:
-    """One fault.
+    """A fault and the failure that it could cause.
 
-    :param shape: the cell it happens to.
+    :param shape: size of the cell.
     :param timeout_s: deadline of each request.
     """
 
     name: str
     fault: Fault
-    comes_about: str
+    failure: str
     shape: Shape = SHAPE
-    timeout_s: float = TIMEOUT_S
+    timeout_s: float = REQUEST_TIMEOUT_S
 
 
 ROWS = [
     Row(
         name="kill runners' owner",
         fault=kill_owner_of_runners,
-        comes_about="The owner of the grants crashes. Requests wait for a few seconds.",
+        failure="The owner of the grants crashes. Requests wait for a few seconds.",
     ),
     Row(
         name="kill keys' owner",
         fault=kill_owner_of_keys,
-        comes_about="The owner of the intents crashes. Keyed requests wait for a few seconds.",
+        failure="The owner of the intents crashes. Keyed requests wait for a few seconds.",
     ),
     Row(
         name="freeze runners' owner",
         fault=freeze_owner_past_its_lease,
-        comes_about=(
-            "The owner is paused past its lease and goes on with old messages in its buffers. "
-            "A slot would be given twice."
+        failure=(
+            "The owner is suspended past its lease and resumes with old messages in its buffers. "
+            "A slot could be granted twice."
         ),
     ),
     Row(
         name="freeze keys' owner",
         fault=freeze_owner_of_keys_past_its_lease,
-        comes_about=(
-            "The owner of the intents is paused past its lease and goes on. It would accept a "
-            "key that its successor has accepted too: a slip is printed twice."
+        failure=(
+            "The owner of the intents is suspended past its lease and resumes. It could accept a "
+            "key that its successor has accepted too, so that a request runs twice."
         ),
     ),
     Row(
         name="lost replies",
         fault=lose_replies_of_the_store,
-        comes_about="Writes take effect, their replies are lost. A blind repeat runs twice.",
+        failure="Writes take effect, but their replies are lost. A blind retry would run twice.",
     ),
     Row(
         name="slow store",
         fault=slow_store,
-        comes_about="The store takes 0.4 s for each call. Keyed requests take longer.",
+        failure="The store delays each call by 0.4 s. Keyed requests take longer.",
     ),
     Row(
         name="store down",
         fault=store_down_past_the_lease,
-        comes_about="The store is down for longer than a lease. Keyed requests are refused.",
+        failure="The store is down for longer than a lease. Keyed requests are rejected.",
     ),
     Row(
         name="kill a runner",
         fault=kill_a_runner,
-        comes_about="A backend server dies with requests in progress. Some end unknown.",
+        failure="A backend server crashes with requests in progress. Some outcomes are unknown.",
     ),
     Row(
         name="truncated answers",
         fault=truncated_answers,
-        comes_about="A runner closes within an answer. Half an answer would pass as whole.",
+        failure="A runner closes its connection within an answer, which must not pass as complete.",
     ),
     Row(
         name="foreign answers",
-        fault=foreign_answers,
-        comes_about="A runner answers with another's id. A caller would see another's order.",
+        fault=wrong_request_ids,
+        failure="A runner answers with a wrong request ID. A caller could see another's data.",
     ),
     Row(
         name="planned stop",
         fault=planned_stop_of_the_owner,
-        comes_about="A scheduler is replaced. No request may be cut off by that.",
+        failure="A scheduler is stopped as planned. No request may fail because of that.",
     ),
     Row(
         name="kill and lost replies",
         fault=kill_owner_while_replies_are_lost,
-        comes_about="The owner of the intents crashes while replies of the store are lost.",
+        failure="The owner of the intents crashes while replies of the store are lost.",
     ),
     Row(
         name="store down and kill",
         fault=store_down_and_kill,
-        comes_about="A scheduler crashes in an outage, and nobody can take over before its end.",
+        failure="A scheduler crashes in an outage; no takeover is possible before its end.",
     ),
     Row(
         name="lost replies and freeze",
         fault=freeze_owner_while_replies_are_lost,
-        comes_about="The owner of the intents is paused past its lease while replies are lost.",
+        failure="The owner of the intents is suspended past its lease while replies are lost.",
     ),
     Row(
         name="silent connections and kill",
         fault=silent_connections_and_kill,
-        comes_about=(
+        failure=(
             "All connections between daemons go silent, then the owner of the grants crashes. "
-            "Its successor must not wait for guards on the silent connections."
+            "Its successor must not wait for guards on silent connections."
         ),
         shape=evolve(SHAPE, relayed=frozenset([*SCHEDULERS, *FRONTENDS])),
     ),
     Row(
         name="two kills",
         fault=kill_two_schedulers,
-        comes_about="The owner of the grants crashes, and a second scheduler within a second.",
+        failure="The owner of the grants crashes, and a second scheduler within a second.",
         shape=evolve(SHAPE, schedulers=3),
     ),
     Row(
         name="freeze a frontend",
         fault=freeze_a_frontend,
-        comes_about=(
-            "A frontend is paused for 5 s with grants in hand and goes on. A grant used past its "
-            "time would find its slot given to another request."
+        failure=(
+            "A frontend with unused grants is suspended for 5 s and resumes. A grant used after "
+            "its expiry would use a slot that was granted to another request."
         ),
     ),
     Row(
         name="late answers",
         fault=late_answers,
-        comes_about=(
-            "A runner answers after the deadline of the request. On a kept connection the answer "
-            "would be taken for that to the next request."
+        failure=(
+            "A runner answers after the deadline of the request. On a reused connection the answer "
+            "could be treated as the answer to the next request."
         ),
         timeout_s=1.0,
     ),
@@ -270,11 +270,11 @@
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
 async def test_requests_keep_their_promises(row: Row, tmp_path: Path) -> None:
-    """Callers send keyed and repeatable requests to two frontends while something fails.
+    """Callers send keyed and repeatable requests to two frontends while a fault is injected.
 
-    A broken promise would show as a request run twice, an answer of another, or "not run" said
-    of a request that ran. How each fault comes about stands in its row.
+    Guards against requests that run twice, answers to other requests, and the outcome "not run"
+    for requests that ran. Each case describes how its fault leads to this.
     """
     async with ProcessCell(dir=tmp_path, shape=row.shape) as cell:
-        verdict = await fail_under_load(cell, row.fault, timeout_s=row.timeout_s)
-    assert_kept(verdict)
+        verdict = await inject_under_load(cell, row.fault, timeout_s=row.timeout_s)
+    assert_guarantees_kept(verdict)
--- a/tests/processes/test_slo_report.py
+++ b/tests/processes/test_slo_report.py
@@ -1,4 +1,4 @@
-"""The report on objectives from a cell of processes agrees with what callers saw."""
+"""The report on service level objectives agrees with the outcomes that callers received."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 FRONTEND = "frontend-attiki-1"
 REQUESTS, JOBS = 150, 3
-TRIES, PAUSE_S = 40, 0.2
+MAX_POLLS, POLL_INTERVAL_S = 40, 0.2
 HEADERS = {
     "Client-Account": "golden-comb",
     "Idempotent": "true",
@@ -34,7 +34,7 @@
 }
 
 
-async def report(cell: ProcessCell) -> dict[str, Any]:
+async def run_report(cell: ProcessCell) -> dict[str, Any]:
     argv = ["-m", "rhubarbferry", "report", "slo", "--format", "json"]
     child = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -48,16 +48,18 @@
     return json.loads(out)
 
 
-def counts(found: dict[str, Any], work: str) -> dict[str, int]:
-    lines = [x for x in found["accounts"] if x["account"] == "golden-comb" and x["work"] == work]
-    return lines[0]["counts"]["6h"] if lines else {}
+def counts(report_data: dict[str, Any], work: str) -> dict[str, int]:
+    accounts = [
+        x for x in report_data["accounts"] if x["account"] == "golden-comb" and x["work"] == work
+    ]
+    return accounts[0]["counts"]["6h"] if accounts else {}
 
 
 async def test_report_agrees_with_what_callers_saw(tmp_path: Path) -> None:
     shape = Shape(runners=1, workers=1, schedulers=1)
     async with ProcessCell(dir=tmp_path, shape=shape) as cell:
         await cell.until_served(FRONTEND)
-        before = counts(await report(cell), "requests")
+        before = counts(await run_report(cell), "requests")
         answers = await asyncio.gather(
             *(
                 cell.request(FRONTEND, f"/{number}", headers=HEADERS, body=b"")
@@ -67,15 +69,17 @@
         for _ in range(JOBS):
             status, _ = await cell.submit(FRONTEND, **JOB)
             assert status == 202
-        for _ in range(TRIES):
-            found = await report(cell)
-            if counts(found, "jobs").get("good", 0) == JOBS:
+        for _ in range(MAX_POLLS):
+            report_data = await run_report(cell)
+            if counts(report_data, "jobs").get("good", 0) == JOBS:
                 break
-            await asyncio.sleep(PAUSE_S)
-    seen = Counter(answer.outcome for answer in answers)
-    told = {kind: value - before.get(kind, 0) for kind, value in counts(found, "requests").items()}
-    assert told["good"] + told["late"] == seen["done"]
-    assert told["refused"] == seen["not-run"] > 0
-    assert told["unknown"] == seen["unknown"]
-    assert counts(found, "jobs")["good"] == JOBS
-    assert all(member["problem"] == "" for member in found["members"])
+            await asyncio.sleep(POLL_INTERVAL_S)
+    observed = Counter(answer.outcome for answer in answers)
+    reported = {
+        kind: value - before.get(kind, 0) for kind, value in counts(report_data, "requests").items()
+    }
+    assert reported["good"] + reported["late"] == observed["done"]
+    assert reported["refused"] == observed["not-run"] > 0
+    assert reported["unknown"] == observed["unknown"]
+    assert counts(report_data, "jobs")["good"] == JOBS
+    assert all(member["problem"] == "" for member in report_data["members"])
--- a/tests/processes/test_store_outage.py
+++ b/tests/processes/test_store_outage.py
@@ -1,4 +1,4 @@
-"""Requests in an outage of the store that lasts longer than the leases."""
+"""Requests during a store outage that lasts longer than the leases."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 SHAPE = Shape(frontends=3, schedulers=2, runners=2, workers=1, key_partitions=2)
 FRONTENDS = [f"frontend-attiki-{number}" for number in (1, 2, 3)]
-KEYS = "key/attiki/0"
-GIVEN = 'rhubarbferry_promises_asked_total{result="given"}'
+KEYS_PARTITION = "key/attiki/0"
+GIVEN_PROMISES_METRIC = 'rhubarbferry_promises_asked_total{result="given"}'
 LEASE_S = 3.0
 OUTAGE_S = LEASE_S + 6.0
-AT_ONCE_S = 0.5
-AGAIN_S = 8.9
-SETTLE_S = 20.0
-PAUSE_S = 0.05
+IMMEDIATE_S = 0.5
+RECOVERY_TIMEOUT_S = 8.9
+SETTLE_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
 STORE_TIMEOUT_S = 1.0
-# A write without an answer is read back, and each call has its own timeout.
-UNSETTLED_S = 2 * STORE_TIMEOUT_S + AT_ONCE_S
-NOTICED_S = LEASE_S + 2 * STORE_TIMEOUT_S
+# A write without an answer is verified by a read, and each call has its own timeout.
+UNSETTLED_WRITE_S = 2 * STORE_TIMEOUT_S + IMMEDIATE_S
+DETECTION_S = LEASE_S + 2 * STORE_TIMEOUT_S
 JOB = {
     "account": "kryogonia",
     "kind": "batch",
@@ -44,10 +44,11 @@
 
 
 @frozen(kw_only=True)
-class Said:
-    """One answer in the outage.
+class RequestResult:
+    """An answer received during or after the outage.
 
-    :param at_s: when it was asked for, from the begin of the outage.
+    :param at_s: time at which the request was sent, in seconds since the start of the period.
+    :param duration_s: seconds until the answer was received.
     """
 
     kind: str
@@ -56,16 +57,16 @@
     retry_after: str
     path: str
     at_s: float
-    took_s: float
+    duration_s: float
 
     @property
-    def refused(self) -> bool:
-        """Whether it says that nothing was run, and when to come back."""
+    def rejected(self) -> bool:
+        """Return whether the answer reports that nothing was run and when to retry."""
         return self.outcome == "not-run" and self.retry_after != ""
 
 
 async def table_of(cell: ProcessCell) -> Table:
-    """Return the ownership table as the store holds it."""
+    """Return the ownership table from the store."""
     store = cell.open_store()
     try:
         return read_state((await store.list(CELL)).items).table
@@ -74,40 +75,40 @@
 
 
 async def promises_given(cell: ProcessCell) -> float:
-    """Return how many promises the schedulers have been given, all together."""
+    """Return the total number of promises received by all schedulers."""
     given = 0.0
     for process in cell.named("scheduler-"):
         async with cell.session.get(f"{process.http}/metrics") as answer:
             for line in (await answer.text()).splitlines():
-                if line.startswith(GIVEN):
+                if line.startswith(GIVEN_PROMISES_METRIC):
                     given += float(line.rsplit(" ", 1)[1])
     return given
 
 
-async def until_guards_promise(cell: ProcessCell) -> None:
-    """Wait until one round of promises was given by all frontends under a settled set."""
-    async with asyncio.timeout(SETTLE_S):
+async def wait_until_guards_promise(cell: ProcessCell) -> None:
+    """Wait until all frontends have given a round of promises under a settled guard set."""
+    async with asyncio.timeout(SETTLE_TIMEOUT_S):
         while True:
             guards = (await table_of(cell)).guards.get("attiki")
             if guards is not None and len(guards.guards) == len(FRONTENDS):
                 break
-            await asyncio.sleep(PAUSE_S)
-        wanted = await promises_given(cell) + 2 * len(FRONTENDS)
+            await asyncio.sleep(POLL_INTERVAL_S)
+        target_count = await promises_given(cell) + 2 * len(FRONTENDS)
         while True:
-            if await promises_given(cell) >= wanted:
+            if await promises_given(cell) >= target_count:
                 break
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def send_until(
     cell: ProcessCell, *, kind: str, begin: float, end: float, frontends: list[str]
-) -> list[Said]:
-    """Send one request after the other from ``begin`` to ``end`` on the loop's clock."""
+) -> list[RequestResult]:
+    """Send requests sequentially from ``begin`` to ``end`` on the event loop's clock."""
     loop = asyncio.get_running_loop()
-    said: list[Said] = []
-    while (asked_at := loop.time()) < end:
-        frontend = frontends[len(said) % len(frontends)]
-        path = f"/{kind}/{frontend}/{begin}/{len(said)}"
+    results: list[RequestResult] = []
+    while (sent_at := loop.time()) < end:
+        frontend = frontends[len(results) % len(frontends)]
+        path = f"/{kind}/{frontend}/{begin}/{len(results)}"
         if kind == "job":
             url = f"{cell.processes[frontend].http}/v1/jobs"
             async with cell.session.post(url, json=JOB) as answer:
@@ -116,70 +117,72 @@
         else:
             keyed = {"Idempotent": "false", "Idempotency-Key": path}
             chosen = keyed if kind == "slip" else {"Idempotent": "true"}
-            got = await cell.request(frontend, path, headers={"Request-Timeout": "20", **chosen})
-            status, outcome, retry_after = got.status, got.outcome, got.retry_after
-        said.append(
-            Said(
+            response = await cell.request(
+                frontend, path, headers={"Request-Timeout": "20", **chosen}
+            )
+            status, outcome, retry_after = response.status, response.outcome, response.retry_after
+        results.append(
+            RequestResult(
                 kind=kind,
                 status=status,
                 outcome=outcome,
                 retry_after=retry_after,
                 path=path,
-                at_s=asked_at - begin,
-                took_s=loop.time() - asked_at,
+                at_s=sent_at - begin,
+                duration_s=loop.time() - sent_at,
             )
         )
-        await asyncio.sleep(PAUSE_S)
-    return said
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return results
 
 
-async def refuse(cell: ProcessCell) -> None:
+async def reject_calls(cell: ProcessCell) -> None:
     await cell.set_faults("store", down=True)
 
 
-async def fall_silent(cell: ProcessCell) -> None:
+async def suspend_store(cell: ProcessCell) -> None:
     cell.processes["store"].signal(signal.SIGSTOP)
 
 
-async def refuse_and_lose_the_owner(cell: ProcessCell) -> None:
-    owner = (await table_of(cell)).entries[PartitionId.parse(KEYS)].member_id
+async def reject_calls_and_kill_keys_owner(cell: ProcessCell) -> None:
+    owner = (await table_of(cell)).entries[PartitionId.parse(KEYS_PARTITION)].member_id
     await cell.set_faults("store", down=True)
     await cell.processes[owner.rsplit("-", 1)[0]].kill()
 
 
-async def come_back(cell: ProcessCell) -> None:
+async def restore_store(cell: ProcessCell) -> None:
     cell.processes["store"].signal(signal.SIGCONT)
     await cell.set_faults("store", down=False)
 
 
 @frozen(kw_only=True)
 class Row:
-    """One way in which the store is away.
+    """A way in which the store becomes unavailable.
 
-    :param at_once_s: longest wait for a refusal before the outage is noticed.
-    :param unclear: whether a record may be on its way when it begins.
-    :param repeatable: whether the owner of the runners lives on for sure.
+    :param max_rejection_s: maximum delay of a rejection before the outage is detected.
+    :param may_be_unclear: whether a record may be in transit when the outage begins.
+    :param repeatable: whether the owner of the runners is certain to survive.
     """
 
     name: str
     fault: Fault
-    at_once_s: float = AT_ONCE_S
-    unclear: bool = False
+    max_rejection_s: float = IMMEDIATE_S
+    may_be_unclear: bool = False
     repeatable: bool = True
 
 
 ROWS = [
-    Row(name="refuses all calls", fault=refuse),
+    Row(name="refuses all calls", fault=reject_calls),
     Row(
         name="is silent",
-        fault=fall_silent,
-        at_once_s=UNSETTLED_S,
-        unclear=True,
+        fault=suspend_store,
+        max_rejection_s=UNSETTLED_WRITE_S,
+        may_be_unclear=True,
     ),
     Row(
         name="refuses, and the owner of the keys dies",
-        fault=refuse_and_lose_the_owner,
-        at_once_s=NOTICED_S,
+        fault=reject_calls_and_kill_keys_owner,
+        max_rejection_s=DETECTION_S,
         repeatable=False,
     ),
 ]
@@ -189,45 +192,59 @@
 async def test_in_an_outage_what_needs_the_store_is_refused_at_once(
     row: Row, tmp_path: Path
 ) -> None:
-    """The store is away for much longer than the leases of the schedulers last.
+    """The store is unavailable for much longer than the leases of the schedulers.
 
-    Requests that may be repeated go on, on the promises of the frontends. A caller whose request
-    must not run twice, or who submits a job, hears at once that it did not run and when to come
-    back, in place of waiting on the telephone for a deadline.
+    Repeatable requests continue to run, based on the promises of the frontends. Callers of
+    requests that must not run twice, and of jobs, must receive at once the answer that nothing was
+    run and when to retry, instead of waiting for a deadline.
     """
     async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell:
         for name in FRONTENDS:
             await cell.until_served(name)
-        await until_guards_promise(cell)
+        await wait_until_guards_promise(cell)
         loop = asyncio.get_running_loop()
         await row.fault(cell)
         begin = loop.time()
-        slips, orders, jobs = await asyncio.gather(
+        keyed_results, repeatable_results, job_results = await asyncio.gather(
             *(
                 send_until(cell, kind=kind, begin=begin, end=begin + OUTAGE_S, frontends=FRONTENDS)
                 for kind in ("slip", "order", "job")
             )
         )
-        await come_back(cell)
-        back = loop.time()
-        again = await asyncio.gather(
+        await restore_store(cell)
+        restored_at = loop.time()
+        recovery_results = await asyncio.gather(
             *(
-                send_until(cell, kind=kind, begin=back, end=back + AGAIN_S, frontends=[name])
+                send_until(
+                    cell,
+                    kind=kind,
+                    begin=restored_at,
+                    end=restored_at + RECOVERY_TIMEOUT_S,
+                    frontends=[name],
+                )
                 for kind in ("slip", "order", "job")
                 for name in FRONTENDS
             )
         )
         records = await cell.records("runner")
-    told = [f"{said.kind} {said.at_s:.1f} {said.took_s:.2f} {said.outcome}" for said in slips]
+    details = [
+        f"{result.kind} {result.at_s:.1f} {result.duration_s:.2f} {result.outcome}"
+        for result in keyed_results
+    ]
     ran = {execution["path"] for record in records for execution in record["executions"]}
-    assert all(said.refused for said in slips), told
-    assert not {said.path for said in slips} & ran
-    assert all(said.refused or (row.unclear and said.outcome == "unknown") for said in jobs)
-    for said in (*slips, *jobs):
-        assert said.took_s < (AT_ONCE_S if said.at_s > NOTICED_S else row.at_once_s), said
+    assert all(result.rejected for result in keyed_results), details
+    assert not {result.path for result in keyed_results} & ran
+    assert all(
+        result.rejected or (row.may_be_unclear and result.outcome == "unknown")
+        for result in job_results
+    )
+    for result in (*keyed_results, *job_results):
+        assert result.duration_s < (
+            IMMEDIATE_S if result.at_s > DETECTION_S else row.max_rejection_s
+        ), result
     if row.repeatable:
-        assert not [said for said in orders if said.outcome != "done"]
-    for answers in again:
+        assert not [result for result in repeatable_results if result.outcome != "done"]
+    for answers in recovery_results:
         last = answers[-1]
         assert last.outcome == "done" or last.status == 202, last
-        assert last.at_s + last.took_s < AGAIN_S + AT_ONCE_S
+        assert last.at_s + last.duration_s < RECOVERY_TIMEOUT_S + IMMEDIATE_S
--- a/tests/test/test_relay.py
+++ b/tests/test/test_relay.py
@@ -8,17 +8,17 @@
 
 from rhubarbferry.test.relay import Mode, Relay, Scope
 
-SHORT_S = 0.2
-BOUND_S = 5.0
+REPLY_TIMEOUT_S = 0.2
+TEST_TIMEOUT_S = 5.0
 
 
 @asynccontextmanager
 async def echo_behind_relay():
-    got = []
+    received = []
 
     async def echo(reader, writer):
         while data := await reader.read(100):
-            got.append(data)
+            received.append(data)
             writer.write(data)
         writer.close()
 
@@ -27,7 +27,7 @@
     relay = Relay()
     link = await relay.open(f"{ip}:{port}")
     try:
-        yield relay, link, got
+        yield relay, link, received
     finally:
         await relay.close()
         server.close()
@@ -38,12 +38,12 @@
     return await asyncio.open_connection(ip, int(port))
 
 
-async def said(conn) -> str:
-    """Send a word; tell what came back: the echo, nothing, or the end."""
+async def exchange(conn) -> str:
+    """Send a message; return the echo, "nothing" on a timeout or "end" if it closed."""
     reader, writer = conn
     try:
         writer.write(b"word")
-        async with asyncio.timeout(SHORT_S):
+        async with asyncio.timeout(REPLY_TIMEOUT_S):
             return (await reader.read(100)).decode() or "end"
     except TimeoutError:
         return "nothing"
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    ("mode", "scope", "old", "new", "reached"),
+    ("mode", "scope", "old", "new", "received_count"),
     [
         (Mode.PASS, Scope.ALL, "word", "word", 3),
         (Mode.CUT_TO, Scope.ALL, "nothing", "nothing", 1),
@@ -65,33 +65,33 @@
         (Mode.RESET, Scope.EXISTING, "end", "word", 2),
     ],
 )
-async def test_modes(mode, scope, old, new, reached):
-    async with echo_behind_relay() as (_, link, got):
+async def test_modes(mode, scope, old, new, received_count):
+    async with echo_behind_relay() as (_, link, received):
         conn = await connect(link)
-        assert await said(conn) == "word"
+        assert await exchange(conn) == "word"
         link.set(mode, scope=scope)
-        assert await said(conn) == old
-        assert await said(await connect(link)) == new
-        assert len(got) == reached
+        assert await exchange(conn) == old
+        assert await exchange(await connect(link)) == new
+        assert len(received) == received_count
 
 
 async def test_passes_again_for_new_connections():
     async with echo_behind_relay() as (_, link, _got):
         conn = await connect(link)
-        assert await said(conn) == "word"
+        assert await exchange(conn) == "word"
         link.set(Mode.CUT)
-        assert await said(conn) == "nothing"
+        assert await exchange(conn) == "nothing"
         link.set(Mode.PASS)
-        assert await said(conn) == "end"
-        assert await said(await connect(link)) == "word"
+        assert await exchange(conn) == "end"
+        assert await exchange(await connect(link)) == "word"
 
 
 async def test_delay():
     async with echo_behind_relay() as (_, link, _got):
-        link.set(Mode.PASS, delay_s=SHORT_S)
+        link.set(Mode.PASS, delay_s=REPLY_TIMEOUT_S)
         reader, writer = conn = await connect(link)
-        assert await said(conn) == "nothing"
-        async with asyncio.timeout(BOUND_S):
+        assert await exchange(conn) == "nothing"
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await reader.read(100) == b"word"
 
 
@@ -104,23 +104,23 @@
         server = await asyncio.start_server(relay.control, "127.0.0.1", 0)
         reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
         writer.write(json.dumps(line).encode() + b"\n")
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert json.loads(await reader.readline())["ok"] is ok
-        assert await said(await connect(link)) == ("nothing" if ok else "word")
+        assert await exchange(await connect(link)) == ("nothing" if ok else "word")
         writer.close()
         server.close()
 
 
 async def test_connections_of_a_link_share_its_bandwidth():
-    """Guards against a slow link that turns fast as soon as it is used by two."""
+    """Guard against a bandwidth limit that applies per connection instead of per link."""
     async with echo_behind_relay() as (_, link, _got):
         link.set(Mode.PASS, bytes_per_s=100.0)
         conns = [await connect(link) for _ in range(2)]
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started_at = loop.time()
         for _, writer in conns:
             writer.write(b"x" * 20)
         for reader, _ in conns:
             assert await reader.readexactly(20) == b"x" * 20
-        # One by itself would take half of this, and a slice more.
-        assert loop.time() - begun >= 0.4
+        # A single connection would take half of this time plus one pacing interval.
+        assert loop.time() - started_at >= 0.4
--- a/tests/test/test_runner.py
+++ b/tests/test/test_runner.py
@@ -12,30 +12,30 @@
 
 from rhubarbferry.test.runner import Runner
 
-BOUND_S = 10.0
+TEST_TIMEOUT_S = 10.0
 
 
 @pytest.fixture
 async def runner():
-    made = Runner(id="r", slots=2, connections=3)
-    await made.start()
-    yield made
-    await made.close()
+    server = Runner(id="r", slots=2, connections=3)
+    await server.start()
+    yield server
+    await server.close()
 
 
 async def fetch(session, runner, path="/w", **headers):
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
-    async with session.post(f"http://{runner.address}{path}", headers=named) as res:
+    all_headers = {name.replace("_", "-"): value for name, value in headers.items()}
+    async with session.post(f"http://{runner.address}{path}", headers=all_headers) as res:
         return res.status, res.headers, await res.read()
 
 
-async def test_it_records_what_it_ran_and_refuses_beyond_its_slots(runner) -> None:
+async def test_it_records_executions_and_rejects_requests_beyond_its_slots(runner) -> None:
     async with aiohttp.ClientSession() as session:
         first = [
             asyncio.create_task(fetch(session, runner, Request_Id=f"q{n}", Work_Ms="100"))
             for n in range(2)
         ]
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while len(runner.status()["running"]) < 2:  # noqa: ASYNC110
                 await asyncio.sleep(0.005)
         status, headers, _ = await fetch(session, runner, Request_Id="q3")
@@ -47,7 +47,7 @@
         assert sorted(runner.status()["finished_recent"]) == ["q0", "q1"]
 
 
-async def test_it_takes_no_more_connections_than_it_has(runner) -> None:
+async def test_it_closes_connections_beyond_its_limit(runner) -> None:
     sessions = [aiohttp.ClientSession() for _ in range(4)]
     for session in sessions[:3]:
         assert (await fetch(session, runner))[0] == 200
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("faults", [{"truncate": True}, {"hang_up": True}])
-async def test_broken_answers_look_broken(runner, faults) -> None:
+async def test_broken_answers_raise_client_errors(runner, faults) -> None:
     runner.set_faults(**faults)
     async with aiohttp.ClientSession() as session:
         with pytest.raises(aiohttp.ClientError):
@@ -67,7 +67,7 @@
     assert runner.counts.executions == 1
 
 
-async def test_as_a_process_it_says_its_address_and_stops_on_sigterm() -> None:
+async def test_the_process_prints_its_address_and_stops_on_sigterm() -> None:
     process = subprocess.Popen(  # noqa: ASYNC220
         [sys.executable, "-m", "rhubarbferry.test.runner", "--id", "r9", "--service", "s"],
         stdout=subprocess.PIPE,
@@ -87,7 +87,7 @@
             async with session.get(f"{base}/record") as res:
                 assert (await res.json())["executions"] == []
         process.send_signal(signal.SIGTERM)
-        assert await asyncio.to_thread(process.wait, BOUND_S) == 0
+        assert await asyncio.to_thread(process.wait, TEST_TIMEOUT_S) == 0
     finally:
         process.kill()
         process.wait()
--- a/tests/test/test_store_process.py
+++ b/tests/test/test_store_process.py
@@ -1,4 +1,4 @@
-"""The store stand-in as a process."""
+"""Tests of the store stand-in as a process."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 import pytest
 
-WAIT_S = 15.0
+TIMEOUT_S = 15.0
 
 
-def _ask(address: str, path: str, body: dict | None = None) -> dict:
+def _request(address: str, path: str, body: dict | None = None) -> dict:
     data = json.dumps(body).encode() if body is not None else None
     req = urllib.request.Request(f"http://{address}{path}", data=data)
-    with urllib.request.urlopen(req, timeout=WAIT_S) as resp:
+    with urllib.request.urlopen(req, timeout=TIMEOUT_S) as resp:
         return json.loads(resp.read())
 
 
@@ -34,7 +34,7 @@
     yield process, address
     if process.poll() is None:
         process.kill()
-    process.communicate(timeout=WAIT_S)
+    process.communicate(timeout=TIMEOUT_S)
 
 
 @pytest.mark.processes
@@ -43,15 +43,15 @@
 ) -> None:
     process, address = stand_in
     put = {"request_put": {"key": "YQ==", "value": "MQ=="}}
-    assert _ask(address, "/v3/kv/txn", {"success": [put]})["succeeded"] is True
-    assert _ask(address, "/dump")["keys"] == {"a": "MQ=="}
-    assert _ask(address, "/faults", {"down": True, "drop_watches": True})["down"] is True
+    assert _request(address, "/v3/kv/txn", {"success": [put]})["succeeded"] is True
+    assert _request(address, "/dump")["keys"] == {"a": "MQ=="}
+    assert _request(address, "/faults", {"down": True, "drop_watches": True})["down"] is True
     with pytest.raises(urllib.error.HTTPError) as down:
-        _ask(address, "/v3/kv/range", {"key": "YQ=="})
+        _request(address, "/v3/kv/range", {"key": "YQ=="})
     assert down.value.code == 503
     with pytest.raises(urllib.error.HTTPError) as unknown:
-        _ask(address, "/faults", {"nonsense": 1})
+        _request(address, "/faults", {"nonsense": 1})
     assert unknown.value.code == 400
-    assert _ask(address, "/counters")["calls"] == {"txn": 1, "get": 1}
+    assert _request(address, "/counters")["calls"] == {"txn": 1, "get": 1}
     process.send_signal(signal.SIGTERM)
-    assert process.wait(WAIT_S) == 0
+    assert process.wait(TIMEOUT_S) == 0
--- a/tests/test/test_worker_engine.py
+++ b/tests/test/test_worker_engine.py
@@ -18,7 +18,7 @@
 
 
 class Owner:
-    """Requests of one owner to one worker."""
+    """The requests of one rack owner to one worker."""
 
     def __init__(self, engine: WorkerEngine, epoch: int = 1) -> None:
         self.engine, self.epoch = engine, epoch
@@ -79,11 +79,11 @@
     return WorkerEngine(id="w", capacity=Size(millicores=4, memory_bytes=4), clock=clock)
 
 
-def test_a_start_from_before_an_adoption_is_refused(engine: WorkerEngine) -> None:
-    """A start is held up on its way, and its owner asks meanwhile what the worker holds.
+def test_a_start_sent_before_an_adoption_is_refused(engine: WorkerEngine) -> None:
+    """A delayed start arrives after its owner has adopted the worker again.
 
-    It is told "nothing" and starts the task elsewhere; if the late start still counted, the
-    task would run in two places.
+    The adoption reported no tasks, so the owner starts the task on another worker. If the worker
+    accepted the delayed start, the task would run twice at the same time.
     """
     owner = Owner(engine)
     first = owner.adopt().number
@@ -91,12 +91,13 @@
     assert owner.start("late", answered=first) == VERDICT.STALE_EPOCH
 
 
-def test_a_late_heartbeat_does_not_prolong_a_lease_beyond_the_owner_s_count(
+def test_a_late_heartbeat_does_not_extend_a_lease_beyond_the_owner_s_estimate(
     engine: WorkerEngine, clock: ManualClock
 ) -> None:
-    """A heartbeat is held up for most of a lease, and the owner has given the worker up.
+    """A heartbeat is delayed by most of a lease, and its owner has declared the worker lost.
 
-    Counted from its arrival, the lease would run on while the task is started elsewhere.
+    A lease counted from the arrival of the heartbeat would outlive the owner's estimate, while the
+    task is started on another worker.
     """
     owner = Owner(engine)
     answered = owner.adopt().number
@@ -117,8 +118,8 @@
     assert owner.start("late", answered=answered) == VERDICT.STALE_EPOCH
 
 
-def test_an_owner_of_before_is_refused(engine: WorkerEngine) -> None:
-    """An owner that was paused goes on after another has taken the rack over."""
+def test_a_previous_owner_is_refused(engine: WorkerEngine) -> None:
+    """A suspended owner resumes after another owner has taken over the rack."""
     old, new = Owner(engine, 1), Owner(engine, 2)
     answered = old.adopt().number
     new.adopt()
@@ -127,7 +128,7 @@
     assert not old.adopt().accepted
 
 
-def test_held_and_oversized_tasks_are_refused_and_ended_ones_kept(
+def test_held_and_oversized_tasks_are_refused_and_ended_tasks_kept(
     engine: WorkerEngine, clock: ManualClock
 ) -> None:
     owner = Owner(engine)
