--- a/demo/cell_files.py
+++ b/demo/cell_files.py
@@ -1,4 +1,4 @@
-"""What the processes of the demo wrote about themselves."""
+"""Read the output files that the processes of the demo wrote at their start."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @frozen(kw_only=True)
-class Started:
-    """One process of the demo.
+class DemoProcess:
+    """A process of the demo.
 
     :param line: the JSON line that it printed once it listened.
     """
@@ -23,16 +23,16 @@
 
     @property
     def address(self) -> str:
-        """``ip:port`` of its main server."""
+        """Return the ``ip:port`` of its main server."""
         return self.line["address"]
 
 
-def started(dir: Path, prefix: str) -> list[Started]:
-    """Return the processes whose names begin with ``prefix``, in order."""
-    return [_read(path) for path in sorted(dir.glob(f"{prefix}*.out"))]
+def read_processes(dir: Path, prefix: str) -> list[DemoProcess]:
+    """Return the processes whose names start with ``prefix``, sorted by name."""
+    return [_read_process(path) for path in sorted(dir.glob(f"{prefix}*.out"))]
 
 
-def _read(path: Path) -> Started:
+def _read_process(path: Path) -> DemoProcess:
     first = path.read_text().splitlines()[0]
     pid = int(path.with_suffix(".pid").read_text())
-    return Started(name=path.stem, pid=pid, line=json.loads(first))
+    return DemoProcess(name=path.stem, pid=pid, line=json.loads(first))
--- a/demo/prepare.py
+++ b/demo/prepare.py
@@ -1,4 +1,4 @@
-"""Fill in the host list and write the settings of the daemons."""
+"""Fill the host list and write the settings files of the daemons."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 import aiohttp
-from cell_files import REGIONS, Started, started
+from cell_files import REGIONS, DemoProcess, read_processes
 
 RACK_SIZE = 2
 
@@ -29,7 +29,7 @@
 """
 
 
-def host_entry(host: Started, kind: str) -> dict[str, Any]:
+def host_entry(host: DemoProcess, kind: str) -> dict[str, Any]:
     _, region, number = host.name.split("-")
     rack = f"rack-{(int(number) - 1) // RACK_SIZE + 1}" if kind == "worker" else ""
     labels = {
@@ -45,9 +45,9 @@
 
 
 async def fill_host_list(dir: Path) -> None:
-    entries = [host_entry(host, "worker") for host in started(dir, "worker")]
-    entries += [host_entry(host, "runner") for host in started(dir, "runner")]
-    address = started(dir, "hosts")[0].address
+    entries = [host_entry(host, "worker") for host in read_processes(dir, "worker")]
+    entries += [host_entry(host, "runner") for host in read_processes(dir, "runner")]
+    address = read_processes(dir, "hosts")[0].address
     async with (
         aiohttp.ClientSession() as session,
         session.put(f"http://{address}/hosts", json=entries) as answer,
@@ -56,8 +56,8 @@
 
 
 def write_settings(dir: Path) -> None:
-    store = started(dir, "store")[0].address
-    hosts = started(dir, "hosts")[0].address
+    store = read_processes(dir, "store")[0].address
+    hosts = read_processes(dir, "hosts")[0].address
     for region in REGIONS:
         for role in ("scheduler", "frontend"):
             text = SETTINGS.format(role=role, region=region, store=store, hosts=hosts)
--- a/demo/run.sh
+++ b/demo/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Run a small cell as separate processes, give it work, hurt it, and judge by what the
-# stand-ins saw. Stops all it started, also on Ctrl-C.
+# Run a small cell as separate processes, send it work, inject failures and verify the result from
+# the records of the stand-ins. All started processes are stopped at the end, also on Ctrl-C.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 PY=${PY:-.venv/bin/python}
@@ -21,16 +21,16 @@
 trap cleanup EXIT
 trap 'exit 130' INT TERM
 
-# start NAME COMMAND...: the process writes its addresses to NAME.out as its first line.
+# start NAME COMMAND...: run a process that prints its addresses as the first line of NAME.out.
 start() {
     local name=$1
     shift
     "$PY" "$@" >"$dir/$name.out" 2>"$dir/$name.err" </dev/null &
     pids+=($!)
     echo $! >"$dir/$name.pid"
-    disown # the shell would report the killed scheduler after the last line
+    disown # prevents the shell from reporting the killed scheduler at the end
 }
-# ready NAME...: wait for these first lines.
+# ready NAME...: wait until each process has printed its first line.
 ready() {
     local name
     for name in "$@"; do
