--- a/rhubarbferry/test/memory_store.py
+++ b/rhubarbferry/test/memory_store.py
@@ -98,18 +98,22 @@
 
     async def get(self, key: str) -> KeyValue | None:
         """Return the key-value pair, or ``None`` if the key does not exist."""
-        back = self.faults.stale_revisions
-        found = await self.call(CallKind.GET, lambda: self.engine.get(key, back=back))
+        revisions_back = self.faults.stale_revisions
+        found = await self.call(
+            CallKind.GET, lambda: self.engine.get(key, revisions_back=revisions_back)
+        )
         return found.kv if found else None
 
     async def list(self, prefix: str, *, limit: int = 0) -> Listing:
         """Return the key-value pairs under a prefix."""
-        back = self.faults.stale_revisions
+        revisions_back = self.faults.stale_revisions
 
         def operation() -> Listing:
-            found = self.engine.read(prefix, prefix_end(prefix), limit=limit, back=back)
+            found = self.engine.read(
+                prefix, prefix_end(prefix), limit=limit, revisions_back=revisions_back
+            )
             items = tuple(item.kv for item in found)
-            return Listing(revision=self.engine.revision - back, items=items)
+            return Listing(revision=self.engine.revision - revisions_back, items=items)
 
         return await self.call(CallKind.LIST, operation)
 
@@ -125,7 +129,7 @@
 
     async def delete_if(self, key: str, *, mod_revision: int) -> bool:
         """Delete a key whose modification revision must be ``mod_revision``."""
-        compare = Compare(key=key, target=Target.MOD, number=mod_revision)
+        compare = Compare(key=key, target=Target.MOD, expected_value=mod_revision)
         result = await self._txn(compare, Delete(key=key))
         return result.succeeded and result.deleted > 0
 
@@ -214,7 +218,7 @@
     async def _put(
         self, key: str, value: bytes, expected_revision: int, lease_id: int
     ) -> int | None:
-        compare = Compare(key=key, target=Target.MOD, number=expected_revision)
+        compare = Compare(key=key, target=Target.MOD, expected_value=expected_revision)
         result = await self._txn(compare, Put(key=key, value=value, lease_id=lease_id))
         return result.revision if result.succeeded else None
 
--- a/rhubarbferry/test/platform_store.py
+++ b/rhubarbferry/test/platform_store.py
@@ -167,7 +167,8 @@
         if any(put["key"].startswith(("op/", "servers/")) for put in write):
             return Response(status_code=403)
         compares = [
-            Compare(key=row["key"], target=Target.MOD, number=row["revision"]) for row in expect
+            Compare(key=row["key"], target=Target.MOD, expected_value=row["revision"])
+            for row in expect
         ]
         ops: list[Put | Delete] = [
             Put(key=put["key"], value=b64decode(put["value"]), lease_id=put.get("lease", 0))
--- a/rhubarbferry/test/platform_worker.py
+++ b/rhubarbferry/test/platform_worker.py
@@ -23,7 +23,7 @@
 
 
 @define(kw_only=True, eq=False)
-class Run:
+class TaskRun:
     """One run of a task.
 
     :param ends_at: monotonic time at which the run completes.
@@ -60,10 +60,10 @@
     fails: set[str] = field(factory=set)
     serving: set[str] = field(factory=set)
     silent: bool = False
-    history: list[Run] = field(factory=list)
+    history: list[TaskRun] = field(factory=list)
     fence: int = 0
     _born: int = field(factory=lambda: int(time.time() * 1000))
-    _running: dict[str, Run] = field(factory=dict)
+    _running: dict[str, TaskRun] = field(factory=dict)
     _ended_attempts: dict[str, int] = field(factory=dict)
     _ended: list[list[Any]] = field(factory=list)
     _ended_count: int = 0
@@ -110,7 +110,7 @@
                 failed = run.task in self.fails
                 self._end(run, "failed" if failed else "done")
 
-    def _end(self, run: Run, how: str) -> None:
+    def _end(self, run: TaskRun, how: str) -> None:
         del self._running[run.task]
         run.ended_at = time.monotonic()
         run.how = how
@@ -130,7 +130,7 @@
         self.fence = body.get("fence", 0)
         return body, None
 
-    def _tail_latency_ms(self, run: Run) -> int:
+    def _tail_latency_ms(self, run: TaskRun) -> int:
         """Return the tail latency of a serving task in ms."""
         if run.task not in self.serving:
             return 0
@@ -156,7 +156,7 @@
             return self._reject("old")
         self._extend_lease(body)
         if running is None:
-            run = Run(task=task, attempt=attempt, ends_at=time.monotonic() + self.work_s)
+            run = TaskRun(task=task, attempt=attempt, ends_at=time.monotonic() + self.work_s)
             self._running[task] = run
             self.history.append(run)
         return JSONResponse({"clockMs": self._clock_ms()})
@@ -213,7 +213,7 @@
 
     denied: set[str] = field(factory=set)
     decision_s: float = 0.01
-    questions: int = 0
+    request_count: int = 0
 
     def app(self) -> Starlette:
         """Return the HTTP application."""
@@ -221,7 +221,7 @@
 
     async def _advise(self, request: Request) -> Response:
         body = await request.json()
-        self.questions += 1
+        self.request_count += 1
         await asyncio.sleep(self.decision_s)
         approved = [[id, f"ticket-{id}"] for id in body["workers"] if id not in self.denied]
         return JSONResponse({"approved": approved, "validMs": 1500})
--- a/rhubarbferry/test/store.py
+++ b/rhubarbferry/test/store.py
@@ -35,7 +35,7 @@
 )
 from rhubarbferry.test.memory_store import MemoryStore
 from rhubarbferry.test.serving import serve_process
-from rhubarbferry.test.store_engine import Compare, Delete, Put, Stored, Target
+from rhubarbferry.test.store_engine import Compare, Delete, Put, StoredItem, Target
 from rhubarbferry.test.store_faults import CallKind, StoreRates
 
 Json = dict[str, Any]
@@ -82,7 +82,7 @@
     return b64encode(value).decode()
 
 
-def _kv(item: Stored) -> Json:
+def _kv(item: StoredItem) -> Json:
     kv = item.kv
     found: Json = {
         "key": _text(kv.key.encode()),
@@ -105,7 +105,7 @@
     }[target]
     if message.get("result", "EQUAL") != "EQUAL":
         raise StoreRefused("this stand-in supports only the EQUAL comparison")
-    return Compare(key=_key(message), target=target, number=int(message.get(field, 0)))
+    return Compare(key=_key(message), target=target, expected_value=int(message.get(field, 0)))
 
 
 def _op(message: Json) -> Put | Delete:
@@ -123,7 +123,7 @@
     if isinstance(event, KeyDeleted):
         key = _text(event.key.encode())
         return {"type": "DELETE", "kv": {"key": key, "mod_revision": str(event.revision)}}
-    return {"kv": _kv(Stored(kv=event.kv, version=1))}
+    return {"kv": _kv(StoredItem(kv=event.kv, version=1))}
 
 
 class StoreGateway:
@@ -180,11 +180,13 @@
 
         def operation() -> Json:
             if kind is CallKind.GET:
-                item = store.engine.get(_key(req), back=revisions_back)
+                item = store.engine.get(_key(req), revisions_back=revisions_back)
                 items = [item] if item else []
             else:
                 items = list(
-                    store.engine.read(_key(req), _end(req), limit=limit, back=revisions_back)
+                    store.engine.read(
+                        _key(req), _end(req), limit=limit, revisions_back=revisions_back
+                    )
                 )
             header = {"revision": str(store.engine.revision - revisions_back)}
             return {"header": header, "kvs": [_kv(item) for item in items]}
--- a/rhubarbferry/test/store_engine.py
+++ b/rhubarbferry/test/store_engine.py
@@ -32,11 +32,11 @@
 
 @frozen(kw_only=True, slots=True)
 class Compare:
-    """Condition that an attribute of a key equals ``number``; 0 means that the key is absent."""
+    """Condition on an attribute of a key; ``expected_value`` 0 means that the key is absent."""
 
     key: str
     target: Target
-    number: int
+    expected_value: int
 
 
 @frozen(kw_only=True, slots=True)
@@ -66,7 +66,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Stored:
+class StoredItem:
     """A key-value pair with its version, the number of writes since the key was created."""
 
     kv: KeyValue
@@ -79,8 +79,8 @@
 
     revision: int
     key: str
-    after: Stored | None
-    before: Stored | None
+    after: StoredItem | None
+    before: StoredItem | None
 
 
 class Compacted(Exception):
@@ -122,19 +122,21 @@
         for lease_id in expired:
             self._remove_lease(lease_id)
 
-    def next_lapse(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """Return the time at which the next lease expires."""
         return min((lease.ends for lease in self.leases.values()), default=None)
 
-    def read(self, start: str, end: str, *, limit: int = 0, back: int = 0) -> Sequence[Stored]:
-        """Return the keys in ``[start, end)`` as of ``back`` revisions ago."""
-        items = self._as_of(self.revision - back) if back else self._items
+    def read(
+        self, start: str, end: str, *, limit: int = 0, revisions_back: int = 0
+    ) -> Sequence[StoredItem]:
+        """Return the keys in ``[start, end)`` as of ``revisions_back`` revisions ago."""
+        items = self._as_of(self.revision - revisions_back) if revisions_back else self._items
         found = [items[key] for key in items.irange(start, end, inclusive=(True, False))]
         return found[:limit] if limit else found
 
-    def get(self, key: str, *, back: int = 0) -> Stored | None:
-        """Return one key as of ``back`` revisions ago."""
-        items = self._as_of(self.revision - back) if back else self._items
+    def get(self, key: str, *, revisions_back: int = 0) -> StoredItem | None:
+        """Return one key as of ``revisions_back`` revisions ago."""
+        items = self._as_of(self.revision - revisions_back) if revisions_back else self._items
         return items.get(key)
 
     def txn(self, compares: Sequence[Compare], ops: Sequence[Put | Delete]) -> TxnResult:
@@ -210,16 +212,16 @@
         return items
 
     def _matches(self, compare: Compare) -> bool:
-        item: Stored | None = self._items.get(compare.key)
+        item: StoredItem | None = self._items.get(compare.key)
         if item is None:
-            return compare.number == 0
+            return compare.expected_value == 0
         match compare.target:
             case Target.MOD:
-                return item.kv.mod_revision == compare.number
+                return item.kv.mod_revision == compare.expected_value
             case Target.CREATE:
-                return item.kv.create_revision == compare.number
+                return item.kv.create_revision == compare.expected_value
             case Target.VERSION:
-                return item.version == compare.number
+                return item.version == compare.expected_value
 
     def _validate(self, op: Put | Delete) -> None:
         if isinstance(op, Delete):
@@ -230,7 +232,7 @@
             raise LeaseLost(f"lease {op.lease_id} has lapsed; grant a new one")
 
     def _put(self, op: Put, revision: int) -> None:
-        before: Stored | None = self._items.get(op.key)
+        before: StoredItem | None = self._items.get(op.key)
         self._detach_from_lease(before)
         kv = KeyValue(
             key=op.key,
@@ -239,7 +241,7 @@
             create_revision=before.kv.create_revision if before else revision,
             lease_id=op.lease_id,
         )
-        after = Stored(kv=kv, version=before.version + 1 if before else 1)
+        after = StoredItem(kv=kv, version=before.version + 1 if before else 1)
         if op.lease_id:
             self.leases[op.lease_id].keys.add(op.key)
         self._record(Change(revision=revision, key=op.key, after=after, before=before))
@@ -255,7 +257,7 @@
             self._record(Change(revision=revision, key=key, after=None, before=before))
         return len(keys)
 
-    def _detach_from_lease(self, item: Stored | None) -> None:
+    def _detach_from_lease(self, item: StoredItem | None) -> None:
         lease = self.leases.get(item.kv.lease_id) if item else None
         if item and lease:
             lease.keys.discard(item.kv.key)
--- a/rhubarbferry/test/worker.py
+++ b/rhubarbferry/test/worker.py
@@ -88,7 +88,7 @@
     end: int | None = None
 
 
-def size_of(resources: t.Resources) -> Size:
+def _size_from_resources(resources: t.Resources) -> Size:
     """Convert a resources message to a size."""
     return Size(
         millicores=resources.millicores,
@@ -97,7 +97,7 @@
     )
 
 
-def _resources(size: Size) -> t.Resources:
+def _resources_from_size(size: Size) -> t.Resources:
     return t.Resources(
         millicores=size.millicores,
         memory_bytes=size.memory_bytes,
@@ -139,7 +139,7 @@
         return t.WorkerAdoptReply(
             accepted=accepted,
             highest_epoch=self._epochs[req.partition],
-            capacity=_resources(self.capacity),
+            capacity=_resources_from_size(self.capacity),
             tasks=[self._task_message(held) for held in self._held.values()],
             longest_lease_ms=int(self._longest_lease_s * 1000),
             number=number,
@@ -222,7 +222,7 @@
         assert lease_until is not None
         if task.task_id in self._held:
             return t.StartVerdict.ALREADY_HELD
-        size = size_of(task.size)
+        size = _size_from_resources(task.size)
         if not size.fits(self.capacity - self.record.used):
             return t.StartVerdict.NO_ROOM
         now = self._clock.monotonic()
@@ -287,7 +287,7 @@
         held.end = end
         held.run.ended_at = at
         held.run.end = t.TaskEnd(end).name
-        self._set_used(self.record.used - size_of(held.task.size))
+        self._set_used(self.record.used - _size_from_resources(held.task.size))
 
     def _task_message(self, held: _HeldTask) -> t.WorkerHeldTask:
         until = self._clock.monotonic() if held.run.ended_at is None else held.run.ended_at
@@ -308,7 +308,7 @@
 
     def _reported_usage(self, held: _HeldTask) -> t.Resources:
         factor = 1.0 if held.run.throttled else self.faults.usage_factor
-        size = size_of(held.task.size)
+        size = _size_from_resources(held.task.size)
         return t.Resources(
             millicores=int(size.millicores * factor),
             memory_bytes=int(size.memory_bytes * factor),
