--- a/rhubarbferry/test/platform_worker.py
+++ b/rhubarbferry/test/platform_worker.py
@@ -46,8 +46,7 @@
 
     :param work_s: duration of each run in seconds.
     :param fails: tasks whose runs end as failed.
-    :param serving: tasks whose reported tail latency grows with the speed of all other tasks on
-        the host.
+    :param serving: tasks whose reported tail latency grows with the load by other tasks.
     :ivar history: every run that was started on this host.
     """
 
--- a/rhubarbferry/test/worker.py
+++ b/rhubarbferry/test/worker.py
@@ -379,9 +379,9 @@
         return reply
 
     async def _pause(self) -> None:
-        left = self._paused_until - self._clock.monotonic()
-        if left > 0:
-            await asyncio.sleep(left)
+        remaining_s = self._paused_until - self._clock.monotonic()
+        if remaining_s > 0:
+            await asyncio.sleep(remaining_s)
 
     async def _tick(self) -> None:
         while True:
--- a/tests/processes/stage.py
+++ b/tests/processes/failure_scenarios.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from load import REQUEST_TIMEOUT_S, Load, Verdict, judge
+from request_load import REQUEST_TIMEOUT_S, Evaluation, Load, evaluate
 
 from rhubarbferry.coordination.keys import CELL
 from rhubarbferry.coordination.mirror import State, read_state
@@ -77,7 +77,7 @@
 
 async def inject_under_load(
     cell: ProcessCell, fault: Fault, *, timeout_s: float = REQUEST_TIMEOUT_S
-) -> Verdict:
+) -> Evaluation:
     """Send keyed and repeatable requests to both frontends while a fault is injected.
 
     :param timeout_s: deadline of each request.
@@ -91,24 +91,24 @@
     await asyncio.sleep(LOAD_AFTER_FAULT_S)
     load.stopping = True
     await running
-    verdict = await judge(load)
-    print(f"recovered after {recovery_s} s, {verdict.summary()}")
+    evaluation = await evaluate(load)
+    print(f"recovered after {recovery_s} s, {evaluation.summary()}")
     assert max(recovery_s) < RECOVERY_TIMEOUT_S
-    return verdict
+    return evaluation
 
 
-def assert_guarantees_kept(verdict: Verdict, *, lost: bool = False) -> None:
+def assert_guarantees_kept(evaluation: Evaluation, *, lost: bool = False) -> None:
     """Assert that no guarantee was broken.
 
     :param lost: whether requests may remain unanswered because their frontend was killed.
     """
-    assert not verdict.run_twice
-    assert not verdict.wrong_answers
-    assert not verdict.false_not_run
-    assert not verdict.over_slots
-    assert not verdict.server_errors
-    assert lost or verdict.lost == 0
-    assert verdict.done > 50
+    assert not evaluation.run_twice
+    assert not evaluation.wrong_answers
+    assert not evaluation.false_not_run
+    assert not evaluation.over_slots
+    assert not evaluation.server_errors
+    assert lost or evaluation.lost == 0
+    assert evaluation.done > 50
 
 
 async def wait_until(condition: Callable[[], Awaitable[bool]], *, within_s: float) -> None:
--- a/tests/processes/job_load.py
+++ b/tests/processes/job_load.py
@@ -164,7 +164,7 @@
 
 
 @frozen(kw_only=True)
-class JobVerdict:
+class JobEvaluation:
     """Broken guarantees according to the workers' records; each list must be empty."""
 
     overlapping: list[str]
@@ -182,7 +182,7 @@
     return run["end"] == "DONE" and not any(gap.covers(run) for gap in report_gaps)
 
 
-async def judge(load: JobLoad) -> JobVerdict:
+async def evaluate(load: JobLoad) -> JobEvaluation:
     """Compare the reported states of the jobs with the workers' records."""
     records = await load.records()
     runs: dict[str, list[dict[str, Any]]] = {}
@@ -201,7 +201,7 @@
         reported_done[job_id] += any(_known_done(run, load.report_gaps) for run in attempts)
     non_idempotent_ids = {job.id for job in load.jobs if not job.spec.idempotent}
     finite_jobs = [job for job in load.jobs if job.spec.kind != "service"]
-    return JobVerdict(
+    return JobEvaluation(
         overlapping=[task for task, attempts in runs.items() if _overlap(attempts)],
         started_twice=[
             task
--- a/tests/processes/load.py
+++ b/tests/processes/request_load.py
@@ -133,7 +133,7 @@
 
 
 @frozen(kw_only=True)
-class Verdict:
+class Evaluation:
     """Broken guarantees according to the runners' records; each list must be empty."""
 
     run_twice: list[str]
@@ -158,7 +158,7 @@
         return f"{self.outcomes}, {self.rejected} rejected by runners, slowest {slowest}"
 
 
-async def judge(load: Load) -> Verdict:
+async def evaluate(load: Load) -> Evaluation:
     """Compare the outcomes that callers received with the runners' records."""
     records = await load.cell.records("runner")
     executed: Counter[str] = Counter()
@@ -171,7 +171,7 @@
     keys = {sent.key for sent in load.sent if sent.key}
     slots = load.cell.shape.slots
     outcomes = Counter(sent.outcome for sent in load.sent)
-    return Verdict(
+    return Evaluation(
         run_twice=sorted(key for key in keys if executed[key] > 1),
         wrong_answers=[sent.path for sent in load.sent if not sent.lost and not sent.is_correct],
         false_not_run=[
--- a/tests/processes/test_configuration_under_faults.py
+++ b/tests/processes/test_configuration_under_faults.py
@@ -11,7 +11,7 @@
 
 import pytest
 from attrs import Factory, define, frozen
-from stage import PAST_LEASE_S, wait_until, wait_until_all_serve
+from failure_scenarios import PAST_LEASE_S, wait_until, wait_until_all_serve
 
 from rhubarbferry.coordination import configuration
 from rhubarbferry.ports.clock import SystemClock
@@ -23,12 +23,12 @@
 
 pytestmark = pytest.mark.processes
 
-EDITS = 20
-EDIT_TIMEOUT_S = 60.0
+CHANGES_PER_OPERATOR = 20
+CHANGE_TIMEOUT_S = 60.0
 IN_FORCE_TIMEOUT_S = 10.0
 SAMPLE_INTERVAL_S = 0.05
 CALL_TIMEOUT_S = 2.0
-NOT_MADE = (
+NOT_STORED_ERRORS = (
     configuration.ConfigInvalid,
     configuration.ConfigRace,
     configuration.ConfigBehind,
@@ -98,36 +98,36 @@
 
 
 @define(kw_only=True)
-class Edits:
+class OperatorChanges:
     """The results that operators received for their changes; each change adds a unique line.
 
     :ivar authors: by revision, the authors to whom it was confirmed as their own.
     :ivar accepted: lines of changes that were accepted.
-    :ivar not_made: lines of changes that were reported as not made.
+    :ivar not_stored: lines of changes that were reported as not stored.
     :ivar failures: number of failed changes by exception class.
     """
 
     authors: dict[int, list[str]] = Factory(lambda: defaultdict(list))
     accepted: list[str] = Factory(list)
-    not_made: list[str] = Factory(list)
+    not_stored: list[str] = Factory(list)
     failures: Counter[str] = Factory(Counter)
 
     @property
     def highest(self) -> int:
         return max(self.authors)
 
-    async def edit(self, cell: ProcessCell, author: str) -> None:
-        """Make changes, each based on the latest revision, until ``EDITS`` of them are accepted."""
+    async def make_changes(self, cell: ProcessCell, author: str) -> None:
+        """Make changes based on the latest revision until ``CHANGES_PER_OPERATOR`` are accepted."""
         store = cell.open_store()
         accepted = 0
         try:
-            async with asyncio.timeout(EDIT_TIMEOUT_S):
-                while accepted < EDITS:
-                    accepted += await self._edit_once(store, author, accepted)
+            async with asyncio.timeout(CHANGE_TIMEOUT_S):
+                while accepted < CHANGES_PER_OPERATOR:
+                    accepted += await self._change_once(store, author, accepted)
         finally:
             await store.close()
 
-    async def _edit_once(self, store: Any, author: str, number: int) -> int:
+    async def _change_once(self, store: Any, author: str, number: int) -> int:
         line = f"# {author} {number} {self.failures.total()}"
         try:
             stored = await configuration.read(store)
@@ -141,8 +141,8 @@
             )
         except (configuration.ConfigError, StoreError) as exc:
             self.failures[type(exc).__name__] += 1
-            if isinstance(exc, NOT_MADE):
-                self.not_made.append(line)
+            if isinstance(exc, NOT_STORED_ERRORS):
+                self.not_stored.append(line)
             await asyncio.sleep(SAMPLE_INTERVAL_S)
             return 0
         self.accepted.append(line)
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
-async def test_accepted_edits_stand_everywhere(row: Row, tmp_path: Path) -> None:
+async def test_accepted_changes_take_effect_everywhere(row: Row, tmp_path: Path) -> None:
     """Two operators make 20 changes each while a fault is injected.
 
     Guards against an accepted change that disappears again, and against one revision that is
@@ -228,26 +228,28 @@
     """
     async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell, monitored(cell) as monitor:
         await wait_until_all_serve(cell)
-        edits = Edits()
-        editing = [asyncio.create_task(edits.edit(cell, who)) for who in ("eleni", "somchai")]
+        changes = OperatorChanges()
+        operator_tasks = [
+            asyncio.create_task(changes.make_changes(cell, who)) for who in ("eleni", "somchai")
+        ]
         await row.fault(cell)
-        await asyncio.gather(*editing)
-        await monitor.wait_until_all_at(edits.highest)
+        await asyncio.gather(*operator_tasks)
+        await monitor.wait_until_all_at(changes.highest)
         store = cell.open_store()
         try:
             final = (await configuration.read(store)).record
         finally:
             await store.close()
-    print(f"{monitor.samples} samples, {dict(edits.failures)}")
+    print(f"{monitor.samples} samples, {dict(changes.failures)}")
     assert not monitor.regressed
-    assert all(len(authors) == 1 for authors in edits.authors.values())
+    assert all(len(authors) == 1 for authors in changes.authors.values())
     assert set(monitor.latest_revisions.values()) == {final.revision}
     lines = final.text.splitlines()
-    assert [line for line in edits.accepted if lines.count(line) != 1] == []
-    assert [line for line in edits.not_made if line in lines] == []
+    assert [line for line in changes.accepted if lines.count(line) != 1] == []
+    assert [line for line in changes.not_stored if line in lines] == []
 
 
-async def test_a_process_started_in_an_outage_takes_the_configuration_of_peers(
+async def test_a_process_started_in_an_outage_loads_the_configuration_of_its_peers(
     tmp_path: Path,
 ) -> None:
     """A scheduler without local state starts while the store is down.
@@ -257,16 +259,16 @@
     """
     async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell:
         await wait_until_all_serve(cell)
-        edits = Edits()
-        await edits.edit(cell, "eleni")
+        changes = OperatorChanges()
+        await changes.make_changes(cell, "eleni")
         async with monitored(cell) as monitor:
-            await monitor.wait_until_all_at(edits.highest)
+            await monitor.wait_until_all_at(changes.highest)
             await cell.set_faults("store", down=True)
             peers = ", ".join(p.address for p in cell.named("scheduler"))
             started = await cell.start_daemon(
                 "scheduler", "scheduler-late", region="attiki", peers=peers
             )
-            await monitor.wait_until_all_at(edits.highest)
+            await monitor.wait_until_all_at(changes.highest)
             pool = Pool(service=SCHEDULER)
             reply = await pool.call(
                 started.address, "status", StatusRequest(), timeout_s=CALL_TIMEOUT_S
--- a/tests/processes/test_cuts.py
+++ b/tests/processes/test_cuts.py
@@ -8,7 +8,7 @@
 
 import pytest
 from attrs import evolve, frozen
-from stage import (
+from failure_scenarios import (
     FRONTENDS,
     KEYS_PARTITION,
     PAST_LEASE_S,
@@ -147,15 +147,15 @@
 
 
 @pytest.mark.parametrize("row", CUTS, ids=lambda row: row.name)
-async def test_cuts_break_no_promise(row: Cut, tmp_path: Path) -> None:
+async def test_cuts_break_no_guarantee(row: Cut, tmp_path: Path) -> None:
     """A connection passes no bytes for longer than a lease, then works again.
 
     Guards against requests that run twice, runners with more requests than slots, and the outcome
     "not run" for requests that ran. Each case describes how its cut leads to this.
     """
     async with ProcessCell(dir=tmp_path, shape=RELAYED) as cell:
-        verdict = await inject_under_load(cell, row.fault)
-    assert_guarantees_kept(verdict)
+        evaluation = await inject_under_load(cell, row.fault)
+    assert_guarantees_kept(evaluation)
 
 
 LinkNames = Callable[[ProcessCell], Awaitable[list[str]]]
@@ -210,9 +210,9 @@
         silence(cell, *await row.links(cell))
 
     async with ProcessCell(dir=tmp_path, shape=RELAYED) as cell:
-        verdict = await inject_under_load(cell, fault)
-    assert_guarantees_kept(verdict)
-    assert verdict.longest_s < SILENCE_DETECTION_S + SLACK_S
+        evaluation = await inject_under_load(cell, fault)
+    assert_guarantees_kept(evaluation)
+    assert evaluation.longest_s < SILENCE_DETECTION_S + SLACK_S
 
 
 async def test_a_silent_connection_to_a_worker_is_replaced(tmp_path: Path) -> None:
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -9,8 +9,7 @@
 
 import pytest
 from attrs import evolve
-from load import Load, judge
-from stage import (
+from failure_scenarios import (
     FRONTENDS,
     RUNNERS_PARTITION,
     SCHEDULERS,
@@ -22,6 +21,7 @@
     wait_until,
     wait_until_all_serve,
 )
+from request_load import Load, evaluate
 
 from rhubarbferry.test.processes import ProcessCell
 
@@ -79,7 +79,7 @@
         return not answer.ok
 
 
-async def test_a_rolling_restart_loses_nothing(tmp_path: Path) -> None:
+async def test_a_rolling_restart_loses_no_request(tmp_path: Path) -> None:
     """Operators replace all schedulers one by one under load.
 
     Guards against a handover that waits for the expiry of a lease, which pauses requests for 3 s
@@ -92,10 +92,10 @@
             assert await cell.processes[name].terminate(within_s=STOP_TIMEOUT_S) == 0
 
     async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell:
-        verdict = await inject_under_load(cell, replace_all)
-    assert_guarantees_kept(verdict)
-    assert "unknown" not in verdict.outcomes
-    assert verdict.longest_s < LEASE_S
+        evaluation = await inject_under_load(cell, replace_all)
+    assert_guarantees_kept(evaluation)
+    assert "unknown" not in evaluation.outcomes
+    assert evaluation.longest_s < LEASE_S
 
 
 async def test_the_owner_of_the_grants_hands_over_within_a_lease(tmp_path: Path) -> None:
@@ -109,10 +109,10 @@
         assert await owner.terminate(within_s=STOP_TIMEOUT_S) == 0
 
     async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell:
-        verdict = await inject_under_load(cell, stop_owner)
-    assert_guarantees_kept(verdict)
-    assert "unknown" not in verdict.outcomes
-    assert verdict.longest_s < LEASE_S
+        evaluation = await inject_under_load(cell, stop_owner)
+    assert_guarantees_kept(evaluation)
+    assert "unknown" not in evaluation.outcomes
+    assert evaluation.longest_s < LEASE_S
 
 
 @pytest.mark.parametrize("reported_by", ["the runner", "the host list"])
@@ -136,15 +136,15 @@
         after = await cell.record(RUNNER)
         load.stopping = True
         await running
-        verdict = await judge(load)
-    print(verdict.summary())
+        evaluation = await evaluate(load)
+    print(evaluation.summary())
     assert len(before["executions"]) > 10
     assert after["counts"]["executions"] == before["counts"]["executions"]
-    assert_guarantees_kept(verdict)
-    assert "unknown" not in verdict.outcomes
+    assert_guarantees_kept(evaluation)
+    assert "unknown" not in evaluation.outcomes
 
 
-async def test_slots_of_a_killed_frontend_come_back_when_their_requests_end(
+async def test_slots_of_a_killed_frontend_are_freed_when_their_requests_end(
     tmp_path: Path,
 ) -> None:
     """A frontend crashes while its requests occupy half of all slots, and another one continues.
@@ -162,8 +162,8 @@
         load.stopping = True
         await running
         failures = await asyncio.gather(*requests, return_exceptions=True)
-        verdict = await judge(load)
-    print(verdict.summary())
+        evaluation = await evaluate(load)
+    print(evaluation.summary())
     assert all(isinstance(answer, Exception) for answer in failures)
-    assert_guarantees_kept(verdict)
-    assert verdict.rejected == 0
+    assert_guarantees_kept(evaluation)
+    assert evaluation.rejected == 0
--- a/tests/processes/test_jobs_under_faults.py
+++ b/tests/processes/test_jobs_under_faults.py
@@ -11,7 +11,7 @@
 
 import pytest
 from attrs import frozen
-from job_load import JobLoad, ReportGap, judge, resume, suspend
+from job_load import JobLoad, ReportGap, evaluate, resume, suspend
 
 from rhubarbferry.test.processes import ProcessCell, Shape
 
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
-async def test_jobs_keep_their_promises(row: Row, tmp_path: Path) -> None:
+async def test_jobs_keep_their_guarantees(row: Row, tmp_path: Path) -> None:
     """Batch, gang and service jobs are submitted and run while a fault is injected.
 
     Guards against a task that runs in two places, a non-idempotent task that is started twice, a
@@ -223,11 +223,11 @@
             load.stopping = True
         await running
         await load.wait_until_settled(SETTLE_TIMEOUT_S)
-        verdict = await judge(load)
-    assert not verdict.overlapping
-    assert not verdict.started_twice
-    assert not verdict.over_capacity
-    assert not verdict.false_done
-    assert not verdict.false_not_run
-    assert not verdict.idempotent_not_done
-    assert not verdict.false_unknown
+        evaluation = await evaluate(load)
+    assert not evaluation.overlapping
+    assert not evaluation.started_twice
+    assert not evaluation.over_capacity
+    assert not evaluation.false_done
+    assert not evaluation.false_not_run
+    assert not evaluation.idempotent_not_done
+    assert not evaluation.false_unknown
--- a/tests/processes/test_requests_under_faults.py
+++ b/tests/processes/test_requests_under_faults.py
@@ -8,8 +8,7 @@
 
 import pytest
 from attrs import evolve, frozen
-from load import REQUEST_TIMEOUT_S
-from stage import (
+from failure_scenarios import (
     FRONTENDS,
     KEYS_PARTITION,
     PAST_LEASE_S,
@@ -23,6 +22,7 @@
     owner_of,
     silence,
 )
+from request_load import REQUEST_TIMEOUT_S
 
 from rhubarbferry.test.processes import ProcessCell, Shape
 
@@ -269,12 +269,12 @@
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
-async def test_requests_keep_their_promises(row: Row, tmp_path: Path) -> None:
+async def test_requests_keep_their_guarantees(row: Row, tmp_path: Path) -> None:
     """Callers send keyed and repeatable requests to two frontends while a fault is injected.
 
     Guards against requests that run twice, answers to other requests, and the outcome "not run"
     for requests that ran. Each case describes how its fault leads to this.
     """
     async with ProcessCell(dir=tmp_path, shape=row.shape) as cell:
-        verdict = await inject_under_load(cell, row.fault, timeout_s=row.timeout_s)
-    assert_guarantees_kept(verdict)
+        evaluation = await inject_under_load(cell, row.fault, timeout_s=row.timeout_s)
+    assert_guarantees_kept(evaluation)
--- a/tests/processes/test_spill.py
+++ b/tests/processes/test_spill.py
@@ -53,7 +53,7 @@
     return answers
 
 
-async def test_a_full_region_sends_to_one_with_room_and_nothing_runs_twice(tmp_path: Path) -> None:
+async def test_a_full_region_forwards_requests_and_each_runs_once(tmp_path: Path) -> None:
     """All runners of a region are busy, and those of another region are idle.
 
     Without an exchange of load between the regions, callers wait for seconds although slots are
--- a/tests/processes/test_store_outage.py
+++ b/tests/processes/test_store_outage.py
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
-async def test_in_an_outage_what_needs_the_store_is_refused_at_once(
+async def test_requests_that_need_the_store_are_rejected_at_once_in_an_outage(
     row: Row, tmp_path: Path
 ) -> None:
     """The store is unavailable for much longer than the leases of the schedulers.
