--- a/demo/drive.py
+++ b/demo/drive.py
@@ -141,10 +141,10 @@
 
 
 def kill_scheduler(results: DemoResults, dir: Path) -> None:
-    victim = read_processes(dir, "scheduler-attiki")[0]
-    os.kill(victim.pid, signal.SIGKILL)
+    scheduler = read_processes(dir, "scheduler-attiki")[0]
+    os.kill(scheduler.pid, signal.SIGKILL)
     results.killed_at = time.monotonic()
-    print(f"  killed {victim.name}", flush=True)
+    print(f"  killed {scheduler.name}", flush=True)
 
 
 async def change_configuration(results: DemoResults, dir: Path) -> None:
@@ -267,7 +267,7 @@
     results.jobs[name] = f"late: {view}"
 
 
-# ---------------------------------------------------------------- the verdict
+# ---------------------------------------------------------------- evaluation
 
 
 async def read_record(session: aiohttp.ClientSession, address: str) -> dict[str, Any]:
@@ -276,7 +276,7 @@
         return record
 
 
-def judge_requests(results: DemoResults, records: list[dict[str, Any]]) -> dict[str, int]:
+def evaluate_requests(results: DemoResults, records: list[dict[str, Any]]) -> dict[str, int]:
     executed: Counter[str] = Counter()
     executed_request_ids: set[str] = set()
     for record in records:
@@ -300,7 +300,7 @@
     }
 
 
-def judge_workers(records: list[dict[str, Any]]) -> int:
+def count_overcommitted_workers(records: list[dict[str, Any]]) -> int:
     over_capacity = 0
     for record in records:
         over_capacity += any(
@@ -344,9 +344,9 @@
     workers = [
         await read_record(session, host.line["control"]) for host in read_processes(dir, "worker")
     ]
-    requests = judge_requests(results, runners)
+    requests = evaluate_requests(results, runners)
     over_slots = sum(record["counts"]["concurrent_max"] > 8 for record in runners)
-    overcommit = judge_workers(workers) + over_slots
+    overcommit = count_overcommitted_workers(workers) + over_slots
     tasks_run = sum(len(record["runs"]) for record in workers)
     waits = [(a.answered_at - a.sent_at) * 1000 - WORK_MS for a in results.answers]
     jobs = {**results.jobs, "tasks_started": tasks_run, "overlapping": count_overlapping(workers)}
--- a/tests/processes/test_configuration_under_faults.py
+++ b/tests/processes/test_configuration_under_faults.py
@@ -182,7 +182,7 @@
 
 
 @frozen(kw_only=True)
-class Row:
+class FaultCase:
     """A fault that is injected while two operators make changes."""
 
     name: str
@@ -190,28 +190,28 @@
     failure: str
 
 
-ROWS = [
-    Row(
+FAULT_CASES = [
+    FaultCase(
         name="race",
         fault=no_fault,
         failure="Each operator edits the revision that the other one changes.",
     ),
-    Row(
+    FaultCase(
         name="lost replies",
         fault=lost_replies,
         failure="A stored change looks failed to its author, or another's looks like theirs.",
     ),
-    Row(
+    FaultCase(
         name="dropped watches",
         fault=dropped_watches,
         failure="Processes miss events; one could stay on an old revision forever.",
     ),
-    Row(
+    FaultCase(
         name="older answers",
         fault=stale_answers,
         failure="The store answers with stale revisions, as after an outage.",
     ),
-    Row(
+    FaultCase(
         name="outage",
         fault=outage,
         failure="The store is unavailable for longer than a lease during the changes.",
@@ -219,8 +219,8 @@
 ]
 
 
-@pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
-async def test_accepted_changes_take_effect_everywhere(row: Row, tmp_path: Path) -> None:
+@pytest.mark.parametrize("case", FAULT_CASES, ids=lambda case: case.name)
+async def test_accepted_changes_take_effect_everywhere(case: FaultCase, tmp_path: Path) -> None:
     """Two operators make 20 changes each while a fault is injected.
 
     Guards against an accepted change that disappears again, and against one revision that is
@@ -232,7 +232,7 @@
         operator_tasks = [
             asyncio.create_task(changes.make_changes(cell, who)) for who in ("eleni", "somchai")
         ]
-        await row.fault(cell)
+        await case.fault(cell)
         await asyncio.gather(*operator_tasks)
         await monitor.wait_until_all_at(changes.highest)
         store = cell.open_store()
--- a/tests/processes/test_cuts.py
+++ b/tests/processes/test_cuts.py
@@ -83,7 +83,7 @@
     failure: str
 
 
-CUTS = [
+CUT_CASES = [
     Cut(
         name="runners' owner from store, both ways",
         fault=cut_owner_from_store(RUNNERS_PARTITION, Mode.CUT),
@@ -146,15 +146,15 @@
 ]
 
 
-@pytest.mark.parametrize("row", CUTS, ids=lambda row: row.name)
-async def test_cuts_break_no_guarantee(row: Cut, tmp_path: Path) -> None:
+@pytest.mark.parametrize("case", CUT_CASES, ids=lambda case: case.name)
+async def test_cuts_break_no_guarantee(case: Cut, tmp_path: Path) -> None:
     """A connection passes no bytes for longer than a lease, then works again.
 
     Guards against requests that run twice, runners with more requests than slots, and the outcome
     "not run" for requests that ran. Each case describes how its cut leads to this.
     """
     async with ProcessCell(dir=tmp_path, shape=RELAYED) as cell:
-        evaluation = await inject_under_load(cell, row.fault)
+        evaluation = await inject_under_load(cell, case.fault)
     assert_guarantees_kept(evaluation)
 
 
@@ -189,7 +189,7 @@
     links: LinkNames
 
 
-SILENCES = [
+SILENCE_CASES = [
     Silence(name="frontend-runner", links=a_runner),
     Silence(name="frontend-scheduler (grants)", links=owner_of_runners),
     Silence(name="frontend-scheduler (keys)", links=owner_of_keys),
@@ -198,8 +198,8 @@
 ]
 
 
-@pytest.mark.parametrize("row", SILENCES, ids=lambda row: row.name)
-async def test_a_silent_connection_is_replaced(row: Silence, tmp_path: Path) -> None:
+@pytest.mark.parametrize("case", SILENCE_CASES, ids=lambda case: case.name)
+async def test_a_silent_connection_is_replaced(case: Silence, tmp_path: Path) -> None:
     """A network device drops the state of open connections, while new connections work.
 
     The endpoints receive no error, so all bytes on the old connections are lost. Without detection
@@ -207,7 +207,7 @@
     """
 
     async def fault(cell: ProcessCell) -> None:
-        silence(cell, *await row.links(cell))
+        silence(cell, *await case.links(cell))
 
     async with ProcessCell(dir=tmp_path, shape=RELAYED) as cell:
         evaluation = await inject_under_load(cell, fault)
--- a/tests/processes/test_jobs_under_faults.py
+++ b/tests/processes/test_jobs_under_faults.py
@@ -123,7 +123,7 @@
 
 
 @frozen(kw_only=True)
-class Row:
+class FaultCase:
     """A fault and the failure that it could cause."""
 
     name: str
@@ -131,58 +131,58 @@
     failure: str
 
 
-ROWS = [
-    Row(
+FAULT_CASES = [
+    FaultCase(
         name="kill rack owner",
         fault=kill_rack_owner,
         failure="It crashes while tasks run. A task that is not adopted would be started again.",
     ),
-    Row(
+    FaultCase(
         name="kill home",
         fault=kill_home,
         failure="It crashes with queued and running tasks. Ends reported to it could be lost.",
     ),
-    Row(
+    FaultCase(
         name="kill home and rack owner",
         fault=kill_home_and_rack_owner,
         failure="Both crash at once. No process has the pending starts in memory.",
     ),
-    Row(
+    FaultCase(
         name="freeze rack owner",
         fault=freeze_rack_owner,
         failure="It is suspended past its lease and resumes. Two owners could fill one worker.",
     ),
-    Row(
+    FaultCase(
         name="freeze a worker",
         fault=freeze_a_worker,
         failure="It is suspended past the task lease. Its tasks could overlap their next attempts.",
     ),
-    Row(
+    FaultCase(
         name="kill a worker",
         fault=kill_a_worker,
         failure="It crashes with all its tasks. Jobs could hang or run tasks twice.",
     ),
-    Row(
+    FaultCase(
         name="workers lose replies",
         fault=worker_loses_replies,
         failure="Tasks start, but the replies are lost. A repeated start would run them twice.",
     ),
-    Row(
+    FaultCase(
         name="a worker fails all",
         fault=worker_fails_all,
         failure="A faulty host ends tasks at once, looks idle and could receive all tasks.",
     ),
-    Row(
+    FaultCase(
         name="store down",
         fault=store_down_past_the_lease,
         failure="The store is down for longer than a lease. Running tasks must keep their leases.",
     ),
-    Row(
+    FaultCase(
         name="store loses replies",
         fault=store_loses_replies,
         failure="Records are written, but replies are lost. A repeated dispatch runs a task twice.",
     ),
-    Row(
+    FaultCase(
         name="planned stop",
         fault=planned_stop,
         failure="The owner of the rack is stopped as planned. No task may be affected.",
@@ -197,8 +197,8 @@
     return running and any(run["end"] == "DONE" for some in runs for run in some)
 
 
-@pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
-async def test_jobs_keep_their_guarantees(row: Row, tmp_path: Path) -> None:
+@pytest.mark.parametrize("case", FAULT_CASES, ids=lambda case: case.name)
+async def test_jobs_keep_their_guarantees(case: FaultCase, tmp_path: Path) -> None:
     """Batch, gang and service jobs are submitted and run while a fault is injected.
 
     Guards against a task that runs in two places, a non-idempotent task that is started twice, a
@@ -213,7 +213,7 @@
                 lambda records: all_workers_busy(records) and len(load.jobs) > JOBS_BEFORE_FAULT,
                 BUSY_TIMEOUT_S,
             )
-            await row.fault(cell, load)
+            await case.fault(cell, load)
             accepted = len(load.jobs)
             target_count = accepted + JOBS_AFTER_FAULT
             await load.wait_until(
--- a/tests/processes/test_requests_under_faults.py
+++ b/tests/processes/test_requests_under_faults.py
@@ -142,7 +142,7 @@
 
 
 @frozen(kw_only=True)
-class Row:
+class FaultCase:
     """A fault and the failure that it could cause.
 
     :param shape: size of the cell.
@@ -156,18 +156,18 @@
     timeout_s: float = REQUEST_TIMEOUT_S
 
 
-ROWS = [
-    Row(
+FAULT_CASES = [
+    FaultCase(
         name="kill runners' owner",
         fault=kill_owner_of_runners,
         failure="The owner of the grants crashes. Requests wait for a few seconds.",
     ),
-    Row(
+    FaultCase(
         name="kill keys' owner",
         fault=kill_owner_of_keys,
         failure="The owner of the intents crashes. Keyed requests wait for a few seconds.",
     ),
-    Row(
+    FaultCase(
         name="freeze runners' owner",
         fault=freeze_owner_past_its_lease,
         failure=(
@@ -175,7 +175,7 @@
             "A slot could be granted twice."
         ),
     ),
-    Row(
+    FaultCase(
         name="freeze keys' owner",
         fault=freeze_owner_of_keys_past_its_lease,
         failure=(
@@ -183,57 +183,57 @@
             "key that its successor has accepted too, so that a request runs twice."
         ),
     ),
-    Row(
+    FaultCase(
         name="lost replies",
         fault=lose_replies_of_the_store,
         failure="Writes take effect, but their replies are lost. A blind retry would run twice.",
     ),
-    Row(
+    FaultCase(
         name="slow store",
         fault=slow_store,
         failure="The store delays each call by 0.4 s. Keyed requests take longer.",
     ),
-    Row(
+    FaultCase(
         name="store down",
         fault=store_down_past_the_lease,
         failure="The store is down for longer than a lease. Keyed requests are rejected.",
     ),
-    Row(
+    FaultCase(
         name="kill a runner",
         fault=kill_a_runner,
         failure="A backend server crashes with requests in progress. Some outcomes are unknown.",
     ),
-    Row(
+    FaultCase(
         name="truncated answers",
         fault=truncated_answers,
         failure="A runner closes its connection within an answer, which must not pass as complete.",
     ),
-    Row(
+    FaultCase(
         name="foreign answers",
         fault=wrong_request_ids,
         failure="A runner answers with a wrong request ID. A caller could see another's data.",
     ),
-    Row(
+    FaultCase(
         name="planned stop",
         fault=planned_stop_of_the_owner,
         failure="A scheduler is stopped as planned. No request may fail because of that.",
     ),
-    Row(
+    FaultCase(
         name="kill and lost replies",
         fault=kill_owner_while_replies_are_lost,
         failure="The owner of the intents crashes while replies of the store are lost.",
     ),
-    Row(
+    FaultCase(
         name="store down and kill",
         fault=store_down_and_kill,
         failure="A scheduler crashes in an outage; no takeover is possible before its end.",
     ),
-    Row(
+    FaultCase(
         name="lost replies and freeze",
         fault=freeze_owner_while_replies_are_lost,
         failure="The owner of the intents is suspended past its lease while replies are lost.",
     ),
-    Row(
+    FaultCase(
         name="silent connections and kill",
         fault=silent_connections_and_kill,
         failure=(
@@ -242,13 +242,13 @@
         ),
         shape=evolve(SHAPE, relayed=frozenset([*SCHEDULERS, *FRONTENDS])),
     ),
-    Row(
+    FaultCase(
         name="two kills",
         fault=kill_two_schedulers,
         failure="The owner of the grants crashes, and a second scheduler within a second.",
         shape=evolve(SHAPE, schedulers=3),
     ),
-    Row(
+    FaultCase(
         name="freeze a frontend",
         fault=freeze_a_frontend,
         failure=(
@@ -256,7 +256,7 @@
             "its expiry would use a slot that was granted to another request."
         ),
     ),
-    Row(
+    FaultCase(
         name="late answers",
         fault=late_answers,
         failure=(
@@ -268,13 +268,13 @@
 ]
 
 
-@pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
-async def test_requests_keep_their_guarantees(row: Row, tmp_path: Path) -> None:
+@pytest.mark.parametrize("case", FAULT_CASES, ids=lambda case: case.name)
+async def test_requests_keep_their_guarantees(case: FaultCase, tmp_path: Path) -> None:
     """Callers send keyed and repeatable requests to two frontends while a fault is injected.
 
     Guards against requests that run twice, answers to other requests, and the outcome "not run"
     for requests that ran. Each case describes how its fault leads to this.
     """
-    async with ProcessCell(dir=tmp_path, shape=row.shape) as cell:
-        evaluation = await inject_under_load(cell, row.fault, timeout_s=row.timeout_s)
+    async with ProcessCell(dir=tmp_path, shape=case.shape) as cell:
+        evaluation = await inject_under_load(cell, case.fault, timeout_s=case.timeout_s)
     assert_guarantees_kept(evaluation)
--- a/tests/processes/test_store_outage.py
+++ b/tests/processes/test_store_outage.py
@@ -156,7 +156,7 @@
 
 
 @frozen(kw_only=True)
-class Row:
+class FaultCase:
     """A way in which the store becomes unavailable.
 
     :param max_rejection_s: maximum delay of a rejection before the outage is detected.
@@ -171,15 +171,15 @@
     repeatable: bool = True
 
 
-ROWS = [
-    Row(name="refuses all calls", fault=reject_calls),
-    Row(
+FAULT_CASES = [
+    FaultCase(name="refuses all calls", fault=reject_calls),
+    FaultCase(
         name="is silent",
         fault=suspend_store,
         max_rejection_s=UNSETTLED_WRITE_S,
         may_be_unclear=True,
     ),
-    Row(
+    FaultCase(
         name="refuses, and the owner of the keys dies",
         fault=reject_calls_and_kill_keys_owner,
         max_rejection_s=DETECTION_S,
@@ -188,9 +188,9 @@
 ]
 
 
-@pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
+@pytest.mark.parametrize("case", FAULT_CASES, ids=lambda case: case.name)
 async def test_requests_that_need_the_store_are_rejected_at_once_in_an_outage(
-    row: Row, tmp_path: Path
+    case: FaultCase, tmp_path: Path
 ) -> None:
     """The store is unavailable for much longer than the leases of the schedulers.
 
@@ -203,7 +203,7 @@
             await cell.until_served(name)
         await wait_until_guards_promise(cell)
         loop = asyncio.get_running_loop()
-        await row.fault(cell)
+        await case.fault(cell)
         begin = loop.time()
         keyed_results, repeatable_results, job_results = await asyncio.gather(
             *(
@@ -235,14 +235,14 @@
     assert all(result.rejected for result in keyed_results), details
     assert not {result.path for result in keyed_results} & ran
     assert all(
-        result.rejected or (row.may_be_unclear and result.outcome == "unknown")
+        result.rejected or (case.may_be_unclear and result.outcome == "unknown")
         for result in job_results
     )
     for result in (*keyed_results, *job_results):
         assert result.duration_s < (
-            IMMEDIATE_S if result.at_s > DETECTION_S else row.max_rejection_s
+            IMMEDIATE_S if result.at_s > DETECTION_S else case.max_rejection_s
         ), result
-    if row.repeatable:
+    if case.repeatable:
         assert not [result for result in repeatable_results if result.outcome != "done"]
     for answers in recovery_results:
         last = answers[-1]
