--- a/rhubarbferry/test/memory_store.py
+++ b/rhubarbferry/test/memory_store.py
@@ -1,4 +1,4 @@
-"""A working store in memory, with faults: for unit tests and as the stand-in's engine."""
+"""In-memory store with fault injection, for unit tests and as the engine of the store stand-in."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 )
 
 T = TypeVar("T")
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 def prefix_end(prefix: str) -> str:
@@ -46,15 +46,16 @@
 
 
 class MemoryStore:
-    """The store port over an engine in this process.
+    """Implement the store port over an engine in this process.
 
-    Two stores over one engine are two clients of one service, each with faults of its own:
+    Two stores over one engine act as two clients of one service, each with its own faults:
     ``MemoryStore(clock=clock, engine=first.engine, gate=first.gate)``.
 
-    :param clock: time of leases, rates and delays.
-    :param engine: the state; a new one by default.
-    :param faults: what goes wrong; may be changed at any time.
-    :param rates: calls allowed a second, unless ``gate`` is given.
+    :param clock: time source of leases, rate limits and delays.
+    :param engine: the stored state; a new one by default.
+    :param faults: faults to inject; may be changed at any time.
+    :param rates: rate limits; ignored if ``gate`` is given.
+    :param gate: a rate limiter shared with other stores.
     """
 
     def __init__(
@@ -72,44 +73,49 @@
         self.gate = gate or RateGate(rates=rates or StoreRates())
         self.counters = StoreCounters()
 
-    async def call(self, kind: CallKind, act: Callable[[], T], *, size: int = 0) -> T:
-        """Carry out one call: count it, apply the faults, expire leases, then ``act``.
+    async def call(self, kind: CallKind, operation: Callable[[], T], *, size: int = 0) -> T:
+        """Execute one call: count it, apply the faults, expire leases, then run ``operation``.
 
-        :param act: what takes effect, at one instant.
-        :raises StoreUnavailable: when it failed before its effect.
-        :raises StoreUnclear: when its reply is lost.
+        :param operation: the function to run; it takes effect at one instant.
+        :param size: number of bytes that the call sends.
+        :raises StoreUnavailable: if the call failed before it took effect.
+        :raises StoreUnclear: if the reply was lost.
         """
         self._admit(kind)
         self.counters.bytes_in += size
         if self.faults.slow_s:
             await self.clock.sleep(self.faults.slow_s)
-        if self.faults.takes_failure():
-            raise StoreUnavailable("the store is down; try again after a pause")
+        if self.faults.consume_failure():
+            raise StoreUnavailable("the store is down; try again later")
         self.engine.expire(self.clock.monotonic())
-        result = act()
+        result = operation()
         if self.faults.slow_reply_s:
             await self.clock.sleep(self.faults.slow_reply_s)
-        if kind.writes and self.faults.takes_reply():
+        if kind.writes and self.faults.consume_lost_reply():
             self.counters.replies_lost += 1
-            raise StoreUnclear("the reply was lost; read back before repeating")
+            raise StoreUnclear("the reply was lost; read the key before retrying")
         return result
 
     async def get(self, key: str) -> KeyValue | None:
-        """Return the key, or ``None``."""
-        back = self.faults.stale_revisions
-        found = await self.call(CallKind.GET, lambda: self.engine.get(key, back=back))
+        """Return the key-value pair, or ``None`` if the key does not exist."""
+        revisions_back = self.faults.stale_revisions
+        found = await self.call(
+            CallKind.GET, lambda: self.engine.get(key, revisions_back=revisions_back)
+        )
         return found.kv if found else None
 
     async def list(self, prefix: str, *, limit: int = 0) -> Listing:
-        """Return the keys under a prefix."""
-        back = self.faults.stale_revisions
+        """Return the key-value pairs under a prefix."""
+        revisions_back = self.faults.stale_revisions
 
-        def act() -> Listing:
-            found = self.engine.read(prefix, prefix_end(prefix), limit=limit, back=back)
+        def operation() -> Listing:
+            found = self.engine.read(
+                prefix, prefix_end(prefix), limit=limit, revisions_back=revisions_back
+            )
             items = tuple(item.kv for item in found)
-            return Listing(revision=self.engine.revision - back, items=items)
+            return Listing(revision=self.engine.revision - revisions_back, items=items)
 
-        return await self.call(CallKind.LIST, act)
+        return await self.call(CallKind.LIST, operation)
 
     async def create(self, key: str, value: bytes, *, lease_id: int = 0) -> int | None:
         """Write a key that must not exist."""
@@ -118,12 +124,12 @@
     async def put_if(
         self, key: str, value: bytes, *, mod_revision: int, lease_id: int = 0
     ) -> int | None:
-        """Write a key whose last write must be ``mod_revision``."""
+        """Write a key whose modification revision must be ``mod_revision``."""
         return await self._put(key, value, mod_revision, lease_id)
 
     async def delete_if(self, key: str, *, mod_revision: int) -> bool:
-        """Delete a key whose last write must be ``mod_revision``."""
-        compare = Compare(key=key, target=Target.MOD, number=mod_revision)
+        """Delete a key whose modification revision must be ``mod_revision``."""
+        compare = Compare(key=key, target=Target.MOD, expected_value=mod_revision)
         result = await self._txn(compare, Delete(key=key))
         return result.succeeded and result.deleted > 0
 
@@ -134,30 +140,30 @@
         return result.deleted
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Open a lease."""
+        """Grant a lease and return its ID."""
         return await self.call(
             CallKind.GRANT_LEASE, lambda: self.engine.grant(ttl_s, self.clock.monotonic())
         )
 
     async def keep_alive(self, lease_id: int) -> float:
-        """Extend a lease; return its seconds, counted from before the call."""
-        begun = self.clock.monotonic()
+        """Renew a lease and return its remaining seconds, counted from the start of the call."""
+        started_at = self.clock.monotonic()
         ttl = await self.call(
             CallKind.KEEP_ALIVE,
             lambda: self.engine.keep_alive(lease_id, self.clock.monotonic()),
         )
         if ttl is None:
             raise LeaseLost(f"lease {lease_id} has lapsed; grant a new one")
-        return ttl - (self.clock.monotonic() - begun)
+        return ttl - (self.clock.monotonic() - started_at)
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease."""
+        """Revoke a lease."""
         await self.call(CallKind.REVOKE_LEASE, lambda: self.engine.revoke(lease_id))
 
     async def watch(
         self, prefix: str, *, from_revision: int
     ) -> AsyncGenerator[tuple[WatchEvent, ...], None]:
-        """Yield changes under a prefix."""
+        """Yield the changes under a prefix."""
         async for events in self.watch_range(prefix, prefix_end(prefix), from_revision):
             if events:
                 yield events
@@ -165,32 +171,33 @@
     async def watch_range(
         self, start: str, end: str, from_revision: int, *, idle_s: float = 0.0
     ) -> AsyncGenerator[tuple[WatchEvent, ...], None]:
-        """Yield changes in ``[start, end)``, and ``()`` after each ``idle_s`` without one.
+        """Yield the changes in ``[start, end)``, and ``()`` after each ``idle_s`` without a
+        change.
 
-        Time may be a test's own, so the wait looks at the state in short steps.
+        The clock may be a fake one, so the wait polls the state at short real-time intervals.
         """
         try:
             self._admit(CallKind.WATCH)
         except StoreRateLimited as exc:
-            raise WatchBroken(f"no watch was begun: {exc}") from exc
-        drops = self.faults.watch_drops
+            raise WatchBroken(f"the watch was not opened: {exc}") from exc
+        initial_drops = self.faults.watch_drops
         next_revision = from_revision
-        said = self.clock.monotonic()
+        last_yield_at = self.clock.monotonic()
         while True:
-            if self.faults.down or self.faults.watch_drops != drops:
+            if self.faults.down or self.faults.watch_drops != initial_drops:
                 raise WatchBroken("the watch ended; read the prefix again, then watch")
             self.engine.expire(self.clock.monotonic())
             events = self._changes(start, end, next_revision)
-            idle = idle_s > 0 and self.clock.monotonic() - said >= idle_s
-            if (events or idle) and not self.faults.silent_watches:
+            idle_elapsed = idle_s > 0 and self.clock.monotonic() - last_yield_at >= idle_s
+            if (events or idle_elapsed) and not self.faults.silent_watches:
                 next_revision = self.engine.revision + 1
-                said = self.clock.monotonic()
+                last_yield_at = self.clock.monotonic()
                 yield tuple(events)
             else:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def close(self) -> None:
-        """Do nothing: there are no connections."""
+        """Do nothing, as there are no connections to close."""
 
     def _changes(self, start: str, end: str, from_revision: int) -> tuple[WatchEvent, ...]:
         if from_revision > self.engine.revision:
@@ -208,8 +215,10 @@
             self.counters.rate_limited += 1
             raise
 
-    async def _put(self, key: str, value: bytes, number: int, lease_id: int) -> int | None:
-        compare = Compare(key=key, target=Target.MOD, number=number)
+    async def _put(
+        self, key: str, value: bytes, expected_revision: int, lease_id: int
+    ) -> int | None:
+        compare = Compare(key=key, target=Target.MOD, expected_value=expected_revision)
         result = await self._txn(compare, Put(key=key, value=value, lease_id=lease_id))
         return result.revision if result.succeeded else None
 
--- a/rhubarbferry/test/platform_store.py
+++ b/rhubarbferry/test/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store, in its own form, over the engine of the other stand-in."""
+"""Stand-in for the platform's store with the platform's HTTP interface, over the store engine."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from rhubarbferry.test.memory_store import prefix_end
 from rhubarbferry.test.store_engine import Compacted, Compare, Delete, Engine, Put, Target
 
-# How often a waiting watch looks for changes.
-LOOK_S = 0.005
-PAGE_ITEMS = 500
-MAX_ENTRIES = 32
+# Interval at which a waiting watch polls for changes.
+POLL_INTERVAL_S = 0.005
+MAX_PAGE_ITEMS = 500
+MAX_TXN_ENTRIES = 32
 
 
 @define(kw_only=True, eq=False)
-class Trouble:
-    """What goes wrong now.
-
-    :param down: every call is turned away with 503.
-    :param over_rate: every call is turned away with 429.
-    :param lose_every: of so many writes one is carried out and not answered; 0 for none.
-    :param late_s: such a write is carried out only after this time.
-    :param answer_s: seconds that each answer takes.
-    :param no_history: watches are told that their history is gone.
-    :param deaf: watches hear of no change, and are answered with the present revision.
-    :param no_bare_conditions: transactions that change nothing are refused with 400.
+class PlatformStoreFaults:
+    """Faults to inject.
+
+    :param down: reject every call with 503.
+    :param over_rate: reject every call with 429.
+    :param lose_every: apply every n-th write but send no reply to it; 0 disables the fault.
+    :param late_s: delay in seconds before a write without a reply is applied.
+    :param answer_s: delay of each answer in seconds.
+    :param no_history: answer watches with 410, as if their history were compacted.
+    :param deaf: answer watches without events but with the current revision.
+    :param no_bare_conditions: reject transactions without writes or removals with 400.
     """
 
     down: bool = False
@@ -50,10 +50,10 @@
 
 @define(kw_only=True, eq=False)
 class PlatformStoreStandIn:
-    """The store: keys, leases, watches by long poll."""
+    """Store stand-in with keys, leases and long-poll watches."""
 
     engine: Engine = field(factory=Engine)
-    trouble: Trouble = field(factory=Trouble)
+    trouble: PlatformStoreFaults = field(factory=PlatformStoreFaults)
     clock: SystemClock = field(factory=SystemClock)
     calls: dict[str, int] = field(factory=dict)
     _writes: int = 0
@@ -73,11 +73,11 @@
         )
 
     def put(self, key: str, value: Any) -> None:
-        """Write as the operator and the hosts do."""
+        """Write a key without access control, as the operator and the hosts do."""
         self.engine.txn([], [Put(key=key, value=json.dumps(value).encode())])
 
     def remove(self, key: str) -> None:
-        """Remove as the operator and the hosts do."""
+        """Remove a key without access control, as the operator and the hosts do."""
         self.engine.txn([], [Delete(key=key)])
 
     def keys(self, prefix: str) -> list[str]:
@@ -88,7 +88,7 @@
     def _expire(self) -> None:
         self.engine.expire(self.clock.monotonic())
 
-    async def _enter(self, call: str) -> Response | None:
+    async def _admit(self, call: str) -> Response | None:
         self.calls[call] = self.calls.get(call, 0) + 1
         await asyncio.sleep(self.trouble.answer_s)
         self._expire()
@@ -97,22 +97,22 @@
         return Response(status_code=503) if self.trouble.down else None
 
     async def _key(self, request: Request) -> Response:
-        refused = await self._enter("key")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("key")
+        if rejection is not None:
+            return rejection
         stored = self.engine.get(request.query_params["key"])
         if stored is None:
             return JSONResponse({"at": self.engine.revision}, status_code=404)
         return JSONResponse({**_item(stored.kv), "at": self.engine.revision})
 
     async def _range(self, request: Request) -> Response:
-        refused = await self._enter("range")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("range")
+        if rejection is not None:
+            return rejection
         prefix = request.query_params["prefix"]
         start = request.query_params.get("after", "")
         found = self.engine.read(max(prefix, start + "\0" if start else ""), prefix_end(prefix))
-        page = found[:PAGE_ITEMS]
+        page = found[:MAX_PAGE_ITEMS]
         return JSONResponse(
             {
                 "items": [_item(stored.kv) for stored in page],
@@ -122,9 +122,9 @@
         )
 
     async def _watch(self, request: Request) -> Response:
-        refused = await self._enter("watch")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("watch")
+        if rejection is not None:
+            return rejection
         prefix = request.query_params["prefix"]
         after = int(request.query_params["after"])
         end = self.clock.monotonic() + int(request.query_params["waitMs"]) / 1000
@@ -142,32 +142,33 @@
                 return JSONResponse(
                     {"events": [_event(event) for event in events], "at": self.engine.revision}
                 )
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _txn(self, request: Request) -> Response:
         body = await request.json()
-        refused = await self._enter("txn")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("txn")
+        if rejection is not None:
+            return rejection
         self._writes += 1
         if self.trouble.lose_every and self._writes % self.trouble.lose_every == 0:
             await asyncio.sleep(self.trouble.late_s)
-            self._carry_out(body)
-            return _Unanswered()
-        return self._carry_out(body)
+            self._apply(body)
+            return _TruncatedResponse()
+        return self._apply(body)
 
-    def _carry_out(self, body: Any) -> Response:
+    def _apply(self, body: Any) -> Response:
         expect = body.get("expect", [])
         write = body.get("write", [])
         remove = body.get("remove", [])
-        if len(expect) + len(write) + len(remove) > MAX_ENTRIES:
+        if len(expect) + len(write) + len(remove) > MAX_TXN_ENTRIES:
             return JSONResponse({"error": "too many entries"}, status_code=400)
         if self.trouble.no_bare_conditions and not write and not remove:
             return JSONResponse({"error": "nothing to change"}, status_code=400)
         if any(put["key"].startswith(("op/", "servers/")) for put in write):
             return Response(status_code=403)
         compares = [
-            Compare(key=row["key"], target=Target.MOD, number=row["revision"]) for row in expect
+            Compare(key=row["key"], target=Target.MOD, expected_value=row["revision"])
+            for row in expect
         ]
         ops: list[Put | Delete] = [
             Put(key=put["key"], value=b64decode(put["value"]), lease_id=put.get("lease", 0))
@@ -188,16 +189,16 @@
 
     async def _grant(self, request: Request) -> Response:
         body = await request.json()
-        refused = await self._enter("grant")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("grant")
+        if rejection is not None:
+            return rejection
         lease = self.engine.grant(body["ttlMs"] / 1000, self.clock.monotonic())
         return JSONResponse({"lease": lease, "ttlMs": body["ttlMs"]})
 
     async def _keep(self, request: Request) -> Response:
-        refused = await self._enter("keep")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("keep")
+        if rejection is not None:
+            return rejection
         lease = request.path_params["lease"]
         ttl_s = self.engine.keep_alive(lease, self.clock.monotonic())
         if ttl_s is None:
@@ -205,15 +206,15 @@
         return JSONResponse({"ttlMs": int(ttl_s * 1000)})
 
     async def _end(self, request: Request) -> Response:
-        refused = await self._enter("end")
-        if refused is not None:
-            return refused
+        rejection = await self._admit("end")
+        if rejection is not None:
+            return rejection
         known = self.engine.revoke(request.path_params["lease"])
         return Response(status_code=200 if known else 404)
 
 
-class _Unanswered(Response):
-    """Announce a body and end without it, so that the caller has no whole answer."""
+class _TruncatedResponse(Response):
+    """Response that announces a body and closes the connection without sending it."""
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         headers = [(b"content-length", b"2"), (b"connection", b"close")]
--- a/rhubarbferry/test/platform_worker.py
+++ b/rhubarbferry/test/platform_worker.py
@@ -1,4 +1,4 @@
-"""A stand-in for a host that runs tasks and for the policy service, in the platform's form."""
+"""Stand-ins for a host that runs tasks and for the platform's policy service."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 
 from rhubarbferry.test.platform_store import PlatformStoreStandIn
 
-LOOK_S = 0.01
-# Longest lease that a host grants.
-LEASE_MS = 6000
-# Tail of a serving task that has its host for itself; each other task adds its pace in percent.
-SERVED_ALONE_MS = 50
+POLL_INTERVAL_S = 0.01
+# Maximum duration of the lease that a host grants.
+MAX_LEASE_MS = 6000
+# Tail latency of a serving task without other tasks on its host; each other task adds its speed in
+# percent to it, as milliseconds.
+UNLOADED_TAIL_LATENCY_MS = 50
 
 
 @define(kw_only=True, eq=False)
-class Run:
-    """A run of a task.
+class TaskRun:
+    """One run of a task.
 
-    :param ends_at: steady time at which its work is done.
-    :param pace: share of its speed, in percent, as last ordered.
+    :param ends_at: monotonic time at which the run completes.
+    :param pace: speed in percent of the full speed, as last set by the scheduler.
+    :param how: reason of the end, empty while the task runs.
     """
 
     task: str
@@ -40,13 +42,12 @@
 
 @define(kw_only=True, eq=False)
 class PlatformWorkerStandIn:
-    """One host.
+    """Stand-in for one host.
 
-    :param work_s: how long each task works.
-    :param fails: tasks that end as failed.
-    :param serving: tasks whose users' tail latency grows with the pace of all others here.
-    :ivar history: every run that began here.
-    :ivar over: task names of starts that the host had no room for.
+    :param work_s: duration of each run in seconds.
+    :param fails: tasks whose runs end as failed.
+    :param serving: tasks whose reported tail latency grows with the load by other tasks.
+    :ivar history: every run that was started on this host.
     """
 
     id: str
@@ -58,13 +59,13 @@
     fails: set[str] = field(factory=set)
     serving: set[str] = field(factory=set)
     silent: bool = False
-    history: list[Run] = field(factory=list)
+    history: list[TaskRun] = field(factory=list)
     fence: int = 0
     _born: int = field(factory=lambda: int(time.time() * 1000))
-    _running: dict[str, Run] = field(factory=dict)
-    _stopped: dict[str, int] = field(factory=dict)
+    _running: dict[str, TaskRun] = field(factory=dict)
+    _ended_attempts: dict[str, int] = field(factory=dict)
     _ended: list[list[Any]] = field(factory=list)
-    _count: int = 0
+    _ended_count: int = 0
     _lease_until: float = 0.0
 
     def app(self) -> Starlette:
@@ -79,7 +80,7 @@
         )
 
     def register(self, address: str, *, state: str = "ready") -> None:
-        """Write the entry in the host list."""
+        """Write the entry of this host to the host list."""
         entry = {
             "service": self.service,
             "addr": address,
@@ -108,15 +109,15 @@
                 failed = run.task in self.fails
                 self._end(run, "failed" if failed else "done")
 
-    def _end(self, run: Run, how: str) -> None:
+    def _end(self, run: TaskRun, how: str) -> None:
         del self._running[run.task]
         run.ended_at = time.monotonic()
         run.how = how
-        self._stopped[run.task] = max(self._stopped.get(run.task, 0), run.attempt)
-        self._count += 1
-        self._ended.append([self._count, run.task, run.attempt, how, ""])
+        self._ended_attempts[run.task] = max(self._ended_attempts.get(run.task, 0), run.attempt)
+        self._ended_count += 1
+        self._ended.append([self._ended_count, run.task, run.attempt, how, ""])
 
-    async def _enter(self, request: Request) -> tuple[dict[str, Any], Response | None]:
+    async def _admit(self, request: Request) -> tuple[dict[str, Any], Response | None]:
         if self.silent:
             await asyncio.sleep(30)
         body = await request.json()
@@ -124,55 +125,57 @@
         if request.headers.get("rhubarbferry-expect-instance") != self.id:
             return body, Response(status_code=421)
         if body.get("fence", 0) < self.fence:
-            return body, self._refuse("fence")
+            return body, self._reject("fence")
         self.fence = body.get("fence", 0)
         return body, None
 
-    def _figure(self, run: Run) -> int:
-        """Return the tail of a serving task in ms: above its goal while others fill the host."""
+    def _tail_latency_ms(self, run: TaskRun) -> int:
+        """Return the tail latency of a serving task in ms."""
         if run.task not in self.serving:
             return 0
-        filling = [other.pace for other in self._running.values() if other is not run]
-        return SERVED_ALONE_MS + sum(filling)
+        other_speeds = [other.pace for other in self._running.values() if other is not run]
+        return UNLOADED_TAIL_LATENCY_MS + sum(other_speeds)
 
-    def _refuse(self, reason: str) -> Response:
+    def _reject(self, reason: str) -> Response:
         return JSONResponse({"clockMs": self._clock_ms(), "reason": reason}, status_code=409)
 
-    def _extend(self, body: dict[str, Any]) -> None:
-        until = min(body.get("deadlineMs", 0), self._clock_ms() + LEASE_MS)
+    def _extend_lease(self, body: dict[str, Any]) -> None:
+        until = min(body.get("deadlineMs", 0), self._clock_ms() + MAX_LEASE_MS)
         self._lease_until = max(self._lease_until, until)
 
     async def _start(self, request: Request) -> Response:
-        body, refusal = await self._enter(request)
-        if refusal is not None:
-            return refusal
+        body, rejection = await self._admit(request)
+        if rejection is not None:
+            return rejection
         task, attempt = body["task"], body["attempt"]
         if body["deadlineMs"] < self._clock_ms():
-            return self._refuse("late")
+            return self._reject("late")
         running = self._running.get(task)
-        if attempt <= self._stopped.get(task, 0) or (running and attempt < running.attempt):
-            return self._refuse("old")
-        self._extend(body)
+        if attempt <= self._ended_attempts.get(task, 0) or (running and attempt < running.attempt):
+            return self._reject("old")
+        self._extend_lease(body)
         if running is None:
-            run = Run(task=task, attempt=attempt, ends_at=time.monotonic() + self.work_s)
+            run = TaskRun(task=task, attempt=attempt, ends_at=time.monotonic() + self.work_s)
             self._running[task] = run
             self.history.append(run)
         return JSONResponse({"clockMs": self._clock_ms()})
 
     async def _stop(self, request: Request) -> Response:
-        body, refusal = await self._enter(request)
-        if refusal is not None:
-            return refusal
+        body, rejection = await self._admit(request)
+        if rejection is not None:
+            return rejection
         run = self._running.get(body["task"])
         if run is not None and run.attempt == body["attempt"]:
             self._end(run, "stopped")
-        self._stopped[body["task"]] = max(self._stopped.get(body["task"], 0), body["attempt"])
+        self._ended_attempts[body["task"]] = max(
+            self._ended_attempts.get(body["task"], 0), body["attempt"]
+        )
         return JSONResponse({"clockMs": self._clock_ms()})
 
     async def _pace(self, request: Request) -> Response:
-        body, refusal = await self._enter(request)
-        if refusal is not None:
-            return refusal
+        body, rejection = await self._admit(request)
+        if rejection is not None:
+            return rejection
         run = self._running.get(body["task"])
         if run is None or run.attempt != body["attempt"]:
             return Response(status_code=400)
@@ -180,17 +183,18 @@
         return JSONResponse({"clockMs": self._clock_ms()})
 
     async def _hold(self, request: Request) -> Response:
-        body, refusal = await self._enter(request)
-        if refusal is not None:
-            return refusal
-        self._extend(body)
+        body, rejection = await self._admit(request)
+        if rejection is not None:
+            return rejection
+        self._extend_lease(body)
         self._ended = [row for row in self._ended if row[0] > body.get("ackIndex", 0)]
         end = time.monotonic() + body.get("waitMs", 0) / 1000
         while not self._ended and time.monotonic() < end:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             self._advance()
         active = [
-            [run.task, run.attempt, "", 50, self._figure(run)] for run in self._running.values()
+            [run.task, run.attempt, "", 50, self._tail_latency_ms(run)]
+            for run in self._running.values()
         ]
         return JSONResponse(
             {
@@ -204,11 +208,11 @@
 
 @define(kw_only=True, eq=False)
 class PlatformPolicyStandIn:
-    """The policy service: approves all hosts but those in ``denied``."""
+    """Stand-in for the policy service; approves all hosts except those in ``denied``."""
 
     denied: set[str] = field(factory=set)
     decision_s: float = 0.01
-    questions: int = 0
+    request_count: int = 0
 
     def app(self) -> Starlette:
         """Return the HTTP application."""
@@ -216,7 +220,7 @@
 
     async def _advise(self, request: Request) -> Response:
         body = await request.json()
-        self.questions += 1
+        self.request_count += 1
         await asyncio.sleep(self.decision_s)
         approved = [[id, f"ticket-{id}"] for id in body["workers"] if id not in self.denied]
         return JSONResponse({"approved": approved, "validMs": 1500})
--- a/rhubarbferry/test/store.py
+++ b/rhubarbferry/test/store.py
@@ -1,8 +1,8 @@
-"""A stand-in for the platform's store: a subset of the etcd v3 JSON gateway, with faults.
+"""Stand-in for the platform's store: a subset of the etcd v3 JSON gateway, with fault injection.
 
-``python -m rhubarbferry.test.store --port 0`` prints one JSON line with its address.
-``POST /faults`` sets fields of :class:`StoreFaults` (and ``{"drop_watches": true}`` ends all
-watches), ``GET /counters`` returns what was counted, ``GET /dump`` the keys.
+``python -m rhubarbferry.test.store --port 0`` prints one JSON line with its address. ``POST
+/faults`` sets fields of :class:`StoreFaults` (and ``{"drop_watches": true}`` ends all watches),
+``GET /counters`` returns the call counters and ``GET /dump`` all keys.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 )
 from rhubarbferry.test.memory_store import MemoryStore
 from rhubarbferry.test.serving import serve_process
-from rhubarbferry.test.store_engine import Compare, Delete, Put, Stored, Target
+from rhubarbferry.test.store_engine import Compare, Delete, Put, StoredItem, Target
 from rhubarbferry.test.store_faults import CallKind, StoreRates
 
 Json = dict[str, Any]
-PROGRESS_S = 1.0
+PROGRESS_INTERVAL_S = 1.0
 ALL_KEYS = b"\x00"
 LAST_KEY = "\U0010ffff"
 OK = 200
@@ -53,10 +53,10 @@
 
 
 class LostReply(Response):
-    """Announce a body and close the connection without it."""
+    """Response that announces a body and closes the connection without sending it."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Send the head only."""
+        """Send only the response head."""
         headers = [(b"content-length", b"2"), (b"connection", b"close")]
         await send({"type": "http.response.start", "status": OK, "headers": headers})
 
@@ -82,7 +82,7 @@
     return b64encode(value).decode()
 
 
-def _kv(item: Stored) -> Json:
+def _kv(item: StoredItem) -> Json:
     kv = item.kv
     found: Json = {
         "key": _text(kv.key.encode()),
@@ -104,8 +104,8 @@
         Target.VERSION: "version",
     }[target]
     if message.get("result", "EQUAL") != "EQUAL":
-        raise StoreRefused("this stand-in compares by EQUAL only")
-    return Compare(key=_key(message), target=target, number=int(message.get(field, 0)))
+        raise StoreRefused("this stand-in supports only the EQUAL comparison")
+    return Compare(key=_key(message), target=target, expected_value=int(message.get(field, 0)))
 
 
 def _op(message: Json) -> Put | Delete:
@@ -115,7 +115,7 @@
         return Put(key=_key(put), value=value, lease_id=int(put.get("lease", 0)))
     delete = message.get("request_delete_range", message.get("requestDeleteRange"))
     if delete is None:
-        raise StoreRefused("this stand-in knows request_put and request_delete_range only")
+        raise StoreRefused("this stand-in supports only request_put and request_delete_range")
     return Delete(key=_key(delete), end=_end(delete))
 
 
@@ -123,21 +123,21 @@
     if isinstance(event, KeyDeleted):
         key = _text(event.key.encode())
         return {"type": "DELETE", "kv": {"key": key, "mod_revision": str(event.revision)}}
-    return {"kv": _kv(Stored(kv=event.kv, version=1))}
+    return {"kv": _kv(StoredItem(kv=event.kv, version=1))}
 
 
 class StoreGateway:
-    """The HTTP interface over a :class:`MemoryStore`.
+    """HTTP interface of a :class:`MemoryStore`.
 
-    :param store: the state and its faults.
+    :param store: the stored state and its faults.
     """
 
     def __init__(self, *, store: MemoryStore) -> None:
         self.store = store
 
     def app(self) -> Starlette:
-        """Return the application."""
-        posts: dict[str, Callable[[Json], Awaitable[Json]]] = {
+        """Return the HTTP application."""
+        methods: dict[str, Callable[[Json], Awaitable[Json]]] = {
             "/v3/kv/range": self._range,
             "/v3/kv/txn": self._txn,
             "/v3/kv/deleterange": self._delete_range,
@@ -146,7 +146,8 @@
             "/v3/lease/revoke": self._revoke,
         }
         routes = [
-            Route(path, self._endpoint(serve), methods=["POST"]) for path, serve in posts.items()
+            Route(path, self._endpoint(method), methods=["POST"])
+            for path, method in methods.items()
         ]
         routes += [
             Route("/v3/watch", self._watch, methods=["POST"]),
@@ -157,11 +158,11 @@
         return Starlette(routes=routes)
 
     def _endpoint(
-        self, serve: Callable[[Json], Awaitable[Json]]
+        self, method: Callable[[Json], Awaitable[Json]]
     ) -> Callable[[Request], Awaitable[Response]]:
         async def endpoint(req: Request) -> Response:
             try:
-                answer = await serve(await req.json())
+                answer = await method(await req.json())
             except StoreUnclear:
                 return LostReply()
             except (StoreRefused, StoreUnavailable) as exc:
@@ -173,20 +174,24 @@
 
     async def _range(self, req: Json) -> Json:
         store = self.store
-        back = store.faults.stale_revisions
+        revisions_back = store.faults.stale_revisions
         kind = CallKind.LIST if req.get("range_end") else CallKind.GET
         limit = int(req.get("limit", 0))
 
-        def act() -> Json:
+        def operation() -> Json:
             if kind is CallKind.GET:
-                item = store.engine.get(_key(req), back=back)
+                item = store.engine.get(_key(req), revisions_back=revisions_back)
                 items = [item] if item else []
             else:
-                items = list(store.engine.read(_key(req), _end(req), limit=limit, back=back))
-            header = {"revision": str(store.engine.revision - back)}
+                items = list(
+                    store.engine.read(
+                        _key(req), _end(req), limit=limit, revisions_back=revisions_back
+                    )
+                )
+            header = {"revision": str(store.engine.revision - revisions_back)}
             return {"header": header, "kvs": [_kv(item) for item in items]}
 
-        return await store.call(kind, act)
+        return await store.call(kind, operation)
 
     async def _txn(self, req: Json) -> Json:
         compares = [_compare(message) for message in req.get("compare", ())]
@@ -223,10 +228,10 @@
         return {"result": result}
 
     async def _revoke(self, req: Json) -> Json:
-        known = await self.store.call(
+        existed = await self.store.call(
             CallKind.REVOKE_LEASE, lambda: self.store.engine.revoke(int(req["ID"]))
         )
-        if not known:
+        if not existed:
             raise LeaseLost("requested lease not found")
         return {}
 
@@ -240,7 +245,7 @@
         from_revision = int(create.get("start_revision", 0)) or self.store.engine.revision + 1
         yield self._line({"created": True})
         changes = self.store.watch_range(
-            _key(create), _end(create), from_revision, idle_s=PROGRESS_S
+            _key(create), _end(create), from_revision, idle_s=PROGRESS_INTERVAL_S
         )
         try:
             async with aclosing(changes):
@@ -254,16 +259,21 @@
         return json.dumps({"result": result}).encode() + b"\n"
 
     async def _set_faults(self, req: Request) -> Response:
-        wanted = await req.json()
-        if wanted.pop("drop_watches", False):
+        changes = await req.json()
+        if changes.pop("drop_watches", False):
             self.store.faults.drop_watches()
-        known = {field.name for field in attrs.fields(type(self.store.faults)) if field.init}
-        unknown = sorted(set(wanted) - known)
-        if unknown:
-            return JSONResponse({"error": f"no fault {unknown}; there are {sorted(known)}"}, 400)
-        for name, value in wanted.items():
+        known_faults = {field.name for field in attrs.fields(type(self.store.faults)) if field.init}
+        unknown_faults = sorted(set(changes) - known_faults)
+        if unknown_faults:
+            return JSONResponse(
+                {"error": f"unknown faults {unknown_faults}; available: {sorted(known_faults)}"},
+                400,
+            )
+        for name, value in changes.items():
             setattr(self.store.faults, name, value)
-        return JSONResponse({name: getattr(self.store.faults, name) for name in sorted(known)})
+        return JSONResponse(
+            {name: getattr(self.store.faults, name) for name in sorted(known_faults)}
+        )
 
     async def _counters(self, _req: Request) -> Response:
         counters = self.store.counters
--- a/rhubarbferry/test/store_engine.py
+++ b/rhubarbferry/test/store_engine.py
@@ -1,4 +1,4 @@
-"""Keys, revisions, leases and history of the store stand-in: no I/O and no clock of its own."""
+"""Keys, revisions, leases and history of the store stand-in, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Target(StrEnum):
-    """What a comparison looks at."""
+    """The attribute of a key that a comparison checks."""
 
     MOD = "MOD"
     CREATE = "CREATE"
@@ -32,11 +32,11 @@
 
 @frozen(kw_only=True, slots=True)
 class Compare:
-    """A key must have ``number`` as its revision or version; 0 means that there is no key."""
+    """Condition on an attribute of a key; ``expected_value`` 0 means that the key is absent."""
 
     key: str
     target: Target
-    number: int
+    expected_value: int
 
 
 @frozen(kw_only=True, slots=True)
@@ -50,7 +50,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Delete:
-    """Delete the keys in ``[key, end)``, or ``key`` alone when ``end`` is empty."""
+    """Delete the keys in ``[key, end)``, or only ``key`` if ``end`` is empty."""
 
     key: str
     end: str = ""
@@ -58,7 +58,7 @@
 
 @frozen(kw_only=True, slots=True)
 class TxnResult:
-    """What a transaction did; ``deleted`` counts keys over all its operations."""
+    """Result of a transaction; ``deleted`` counts the keys deleted by all its operations."""
 
     succeeded: bool
     revision: int
@@ -66,8 +66,8 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Stored:
-    """A key with its number of writes since it was created."""
+class StoredItem:
+    """A key-value pair with its version, the number of writes since the key was created."""
 
     kv: KeyValue
     version: int
@@ -75,21 +75,24 @@
 
 @frozen(kw_only=True, slots=True)
 class Change:
-    """One change, with what stood before it."""
+    """One change of a key, with the states before and after it."""
 
     revision: int
     key: str
-    after: Stored | None
-    before: Stored | None
+    after: StoredItem | None
+    before: StoredItem | None
 
 
 class Compacted(Exception):
-    """The history does not reach back to the revision asked for."""
+    """The history no longer contains the requested revision."""
 
 
 @define(kw_only=True, slots=True)
 class Lease:
-    """A lease and the keys that hang on it."""
+    """A lease and its attached keys.
+
+    :param ends: time at which the lease expires.
+    """
 
     ttl_s: float
     ends: float
@@ -101,9 +104,9 @@
 
 
 class Engine:
-    """The state of the store; every method takes the present time in seconds.
+    """State of the store; time-dependent methods take the current time in seconds.
 
-    :param history: changes kept for watches and for answers out of the past.
+    :param history: number of changes kept for watches and for reads of past revisions.
     """
 
     def __init__(self, *, history: int = HISTORY_EVENTS) -> None:
@@ -114,32 +117,34 @@
         self._next_lease = 7_000_000
 
     def expire(self, now: float) -> None:
-        """Delete the keys of leases that have lapsed."""
-        lapsed = [lease_id for lease_id, lease in self.leases.items() if lease.ends <= now]
-        for lease_id in lapsed:
-            self._end_lease(lease_id)
+        """Remove the expired leases and their keys."""
+        expired = [lease_id for lease_id, lease in self.leases.items() if lease.ends <= now]
+        for lease_id in expired:
+            self._remove_lease(lease_id)
 
-    def next_lapse(self) -> float | None:
-        """Return when the next lease lapses."""
+    def next_expiry(self) -> float | None:
+        """Return the time at which the next lease expires."""
         return min((lease.ends for lease in self.leases.values()), default=None)
 
-    def read(self, start: str, end: str, *, limit: int = 0, back: int = 0) -> Sequence[Stored]:
-        """Return the keys in ``[start, end)``, as they were ``back`` revisions ago."""
-        items = self._as_of(self.revision - back) if back else self._items
+    def read(
+        self, start: str, end: str, *, limit: int = 0, revisions_back: int = 0
+    ) -> Sequence[StoredItem]:
+        """Return the keys in ``[start, end)`` as of ``revisions_back`` revisions ago."""
+        items = self._as_of(self.revision - revisions_back) if revisions_back else self._items
         found = [items[key] for key in items.irange(start, end, inclusive=(True, False))]
         return found[:limit] if limit else found
 
-    def get(self, key: str, *, back: int = 0) -> Stored | None:
-        """Return one key, as it was ``back`` revisions ago."""
-        items = self._as_of(self.revision - back) if back else self._items
+    def get(self, key: str, *, revisions_back: int = 0) -> StoredItem | None:
+        """Return one key as of ``revisions_back`` revisions ago."""
+        items = self._as_of(self.revision - revisions_back) if revisions_back else self._items
         return items.get(key)
 
     def txn(self, compares: Sequence[Compare], ops: Sequence[Put | Delete]) -> TxnResult:
-        """Carry out all of ``ops`` under one revision when all comparisons hold."""
-        if not all(self._holds(compare) for compare in compares):
+        """Apply all ``ops`` under one revision if all comparisons match."""
+        if not all(self._matches(compare) for compare in compares):
             return TxnResult(succeeded=False, revision=self.revision)
         for op in ops:
-            self._check(op)
+            self._validate(op)
         deleted = 0
         before = self.revision
         revision = before + 1
@@ -152,13 +157,13 @@
         return TxnResult(succeeded=True, revision=self.revision, deleted=deleted)
 
     def grant(self, ttl_s: float, now: float) -> int:
-        """Open a lease; return its id."""
+        """Grant a lease and return its ID."""
         self._next_lease += 1
         self.leases[self._next_lease] = Lease(ttl_s=ttl_s, ends=now + ttl_s)
         return self._next_lease
 
     def keep_alive(self, lease_id: int, now: float) -> float | None:
-        """Extend a lease; return its seconds, or ``None`` when it is gone."""
+        """Renew a lease and return its TTL, or ``None`` if it does not exist."""
         lease = self.leases.get(lease_id)
         if lease is None:
             return None
@@ -166,19 +171,19 @@
         return lease.ttl_s
 
     def revoke(self, lease_id: int) -> bool:
-        """End a lease; tell whether there was one."""
+        """Revoke a lease; return whether it existed."""
         if lease_id not in self.leases:
             return False
-        self._end_lease(lease_id)
+        self._remove_lease(lease_id)
         return True
 
     def changes(self, start: str, end: str, from_revision: int) -> Sequence[WatchEvent]:
-        """Return the changes in ``[start, end)`` from a revision on.
+        """Return the changes in ``[start, end)`` since a revision, inclusive.
 
-        :raises Compacted: when the history does not reach back so far.
+        :raises Compacted: if the history no longer contains that revision.
         """
         oldest = self._history[0].revision if self._history else self.revision + 1
-        if from_revision <= oldest and self._forgot():
+        if from_revision <= oldest and self._history_is_full():
             raise Compacted(f"revision {from_revision} is gone; the oldest kept is {oldest}")
         found = [
             change
@@ -187,7 +192,7 @@
         ]
         return [self._event(change) for change in reversed(found)]
 
-    def _forgot(self) -> bool:
+    def _history_is_full(self) -> bool:
         return len(self._history) == self._history.maxlen
 
     def _event(self, change: Change) -> WatchEvent:
@@ -206,19 +211,19 @@
                 items[change.key] = change.before
         return items
 
-    def _holds(self, compare: Compare) -> bool:
-        item: Stored | None = self._items.get(compare.key)
+    def _matches(self, compare: Compare) -> bool:
+        item: StoredItem | None = self._items.get(compare.key)
         if item is None:
-            return compare.number == 0
+            return compare.expected_value == 0
         match compare.target:
             case Target.MOD:
-                return item.kv.mod_revision == compare.number
+                return item.kv.mod_revision == compare.expected_value
             case Target.CREATE:
-                return item.kv.create_revision == compare.number
+                return item.kv.create_revision == compare.expected_value
             case Target.VERSION:
-                return item.version == compare.number
+                return item.version == compare.expected_value
 
-    def _check(self, op: Put | Delete) -> None:
+    def _validate(self, op: Put | Delete) -> None:
         if isinstance(op, Delete):
             return
         if len(op.value) > MAX_VALUE_BYTES:
@@ -227,8 +232,8 @@
             raise LeaseLost(f"lease {op.lease_id} has lapsed; grant a new one")
 
     def _put(self, op: Put, revision: int) -> None:
-        before: Stored | None = self._items.get(op.key)
-        self._unhang(before)
+        before: StoredItem | None = self._items.get(op.key)
+        self._detach_from_lease(before)
         kv = KeyValue(
             key=op.key,
             value=op.value,
@@ -236,7 +241,7 @@
             create_revision=before.kv.create_revision if before else revision,
             lease_id=op.lease_id,
         )
-        after = Stored(kv=kv, version=before.version + 1 if before else 1)
+        after = StoredItem(kv=kv, version=before.version + 1 if before else 1)
         if op.lease_id:
             self.leases[op.lease_id].keys.add(op.key)
         self._record(Change(revision=revision, key=op.key, after=after, before=before))
@@ -248,11 +253,11 @@
             keys = list(self._items.irange(op.key, op.end, inclusive=(True, False)))
         for key in keys:
             before = self._items[key]
-            self._unhang(before)
+            self._detach_from_lease(before)
             self._record(Change(revision=revision, key=key, after=None, before=before))
         return len(keys)
 
-    def _unhang(self, item: Stored | None) -> None:
+    def _detach_from_lease(self, item: StoredItem | None) -> None:
         lease = self.leases.get(item.kv.lease_id) if item else None
         if item and lease:
             lease.keys.discard(item.kv.key)
@@ -265,7 +270,7 @@
         self.revision = change.revision
         self._history.append(change)
 
-    def _end_lease(self, lease_id: int) -> None:
+    def _remove_lease(self, lease_id: int) -> None:
         lease = self.leases.pop(lease_id)
         revision = self.revision + 1
         for key in sorted(lease.keys):
--- a/rhubarbferry/test/worker.py
+++ b/rhubarbferry/test/worker.py
@@ -1,7 +1,7 @@
-"""A stand-in for one worker: runs tasks on paper, under leases, and records what it saw.
+"""Stand-in for a worker: simulates tasks under leases and records what happened.
 
-Its record is what tests of failures judge by: every start and end with times, attempt and epoch,
-and the largest sums of sizes that it ever carried.
+Failure tests use its record as their oracle: every start and end with times, attempt and epoch,
+and the peak of the total resources in use.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 from rhubarbferry.rpc.gen import ttypes as t
 from rhubarbferry.rpc.services import WORKER
 
-TICK_S = 0.02
+TICK_INTERVAL_S = 0.02
 HOUR_S = 3600.0
 
 
 @define(kw_only=True, slots=True)
 class Faults:
-    """What goes wrong on purpose.
-
-    :param fail_all: every task fails as soon as it starts.
-    :param pause_s: answer nothing for this long; leases run on meanwhile.
-    :param lose_replies: the next so many calls take effect, but are never answered.
-    :param usage_factor: used size over declared size.
-    :param usage_lag_s: age of the usage that is reported.
-    :param ignore_orders: tasks go on when told to throttle, checkpoint or stop.
-    :param die: end the process at once.
+    """Faults to inject.
+
+    :param fail_all: make every task fail as soon as it starts.
+    :param pause_s: answer no calls for this many seconds; leases keep expiring meanwhile.
+    :param lose_replies: number of next calls that take effect but are never answered.
+    :param usage_factor: ratio of reported usage to declared size.
+    :param usage_lag_s: age of the reported usage in seconds.
+    :param ignore_orders: ignore orders to throttle, checkpoint or stop a task.
+    :param die: exit the process at once.
     """
 
     fail_all: bool = False
@@ -50,7 +50,7 @@
 
 @define(kw_only=True, slots=True)
 class Run:
-    """One start of one task, as recorded; times are seconds on ``CLOCK_MONOTONIC``."""
+    """One recorded start of a task; times are seconds on ``CLOCK_MONOTONIC``."""
 
     worker: str
     task_id: str
@@ -66,11 +66,11 @@
 
 @define(kw_only=True, slots=True)
 class Record:
-    """All that the worker saw.
+    """Everything that the worker recorded.
 
-    :param used: the sum of the sizes it carries.
-    :param max_used: the largest value of each sum at any moment.
-    :param refused: starts that it refused, by verdict.
+    :param used: the total size of its running tasks.
+    :param max_used: the peak of each resource in ``used``.
+    :param refused: number of rejected starts by verdict.
     """
 
     runs: list[Run] = Factory(list)
@@ -80,7 +80,7 @@
 
 
 @define(kw_only=True, slots=True)
-class _Held:
+class _HeldTask:
     task: t.WorkerTask
     run: Run
     ends_at: float
@@ -88,8 +88,8 @@
     end: int | None = None
 
 
-def size_of(resources: t.Resources) -> Size:
-    """Return the size that a message carries."""
+def _size_from_resources(resources: t.Resources) -> Size:
+    """Convert a resources message to a size."""
     return Size(
         millicores=resources.millicores,
         memory_bytes=resources.memory_bytes,
@@ -97,7 +97,7 @@
     )
 
 
-def _resources(size: Size) -> t.Resources:
+def _resources_from_size(size: Size) -> t.Resources:
     return t.Resources(
         millicores=size.millicores,
         memory_bytes=size.memory_bytes,
@@ -106,11 +106,11 @@
 
 
 class WorkerEngine:
-    """The worker without its sockets.
+    """The worker logic without its server.
 
-    :param id: its name.
-    :param capacity: what it holds.
-    :param clock: its own clock, by which leases lapse.
+    :param id: the worker ID.
+    :param capacity: its total resources.
+    :param clock: its own clock, by which leases expire.
     """
 
     def __init__(self, *, id: str, capacity: Size, clock: Clock) -> None:
@@ -119,34 +119,35 @@
         self.faults = Faults()
         self.record = Record()
         self._clock = clock
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _HeldTask] = {}
         self._epochs: dict[str, int] = {}
-        self._settled: dict[str, int] = {}
-        self._answered_at: dict[int, float] = {}
-        # A worker that was restarted must not take an answer of its former self for its own.
-        self._number = int(clock.monotonic() * 1000)
-        self._floor: dict[str, int] = {}
+        self._settled_epochs: dict[str, int] = {}
+        self._replied_at: dict[int, float] = {}
+        # Start the numbers at the current time, so that a restarted worker does not accept the
+        # number of a reply that its previous process sent.
+        self._last_number = int(clock.monotonic() * 1000)
+        self._oldest_valid_number: dict[str, int] = {}
         self._longest_lease_s = 0.0
 
     def adopt(self, req: t.WorkerAdoptRequest) -> t.WorkerAdoptReply:
-        """Raise the epoch and say what is held; older requests are void from here on."""
+        """Accept a new owner and return the held tasks; older requests become invalid."""
         self.tick()
         accepted = self._accepts(req.partition, req.epoch)
-        number = self._answer()
+        number = self._next_number()
         if accepted:
-            self._floor[req.partition] = number
+            self._oldest_valid_number[req.partition] = number
         return t.WorkerAdoptReply(
             accepted=accepted,
             highest_epoch=self._epochs[req.partition],
-            capacity=_resources(self.capacity),
-            tasks=[self._told(held) for held in self._held.values()],
+            capacity=_resources_from_size(self.capacity),
+            tasks=[self._task_message(held) for held in self._held.values()],
             longest_lease_ms=int(self._longest_lease_s * 1000),
             number=number,
-            settled_epoch=self._settled.get(req.partition, 0),
+            settled_epoch=self._settled_epochs.get(req.partition, 0),
         )
 
     def start(self, req: t.StartRequest) -> t.StartReply:
-        """Start tasks, each with a verdict of its own."""
+        """Start tasks; return a verdict for each."""
         self.tick()
         lease_until = self._lease_until(req.partition, req.answered, req.lease_ms)
         current = self._accepts(req.partition, req.epoch) and lease_until is not None
@@ -158,19 +159,19 @@
                 self.record.refused[name] = self.record.refused.get(name, 0) + 1
             results.append(t.StartResult(task_id=task.task_id, verdict=verdict))
         return t.StartReply(
-            highest_epoch=self._epochs[req.partition], results=results, number=self._answer()
+            highest_epoch=self._epochs[req.partition], results=results, number=self._next_number()
         )
 
     def renew(self, req: t.RenewRequest) -> t.RenewReply:
-        """Extend the leases, take acknowledgements and orders, tell what has ended."""
+        """Extend the leases, apply acknowledgements and orders, and return the ended tasks."""
         self.tick()
         accepted = self._accepts(req.partition, req.epoch)
         lease_until = self._lease_until(req.partition, req.answered, req.lease_ms)
         if accepted and lease_until is not None:
             if req.settled:
-                self._settled[req.partition] = req.epoch
-            self._apply(req, lease_until)
-        ended = [self._told(held) for held in self._held.values() if held.end is not None]
+                self._settled_epochs[req.partition] = req.epoch
+            self._apply_renewal(req, lease_until)
+        ended = [self._task_message(held) for held in self._held.values() if held.end is not None]
         running = [held for held in self._held.values() if held.end is None]
         return t.RenewReply(
             accepted=accepted and lease_until is not None,
@@ -178,26 +179,27 @@
             ended=ended,
             usage=self._usage(running),
             running=len(running),
-            number=self._answer(),
+            number=self._next_number(),
         )
 
     def tick(self) -> None:
-        """End what has run its time and what has outlived its lease."""
+        """End the tasks that have completed and those whose lease has expired."""
         now = self._clock.monotonic()
         for held in self._held.values():
             if held.end is not None:
                 continue
             if held.lease_until <= min(now, held.ends_at):
-                # Also after this process was stopped: the host ends a task with its lease.
+                # Applies also after this process was suspended: a host ends a task together with
+                # its lease.
                 self._end(held, t.TaskEnd.LEASE_LAPSED, held.lease_until)
             elif held.ends_at <= now:
                 self._end(held, t.TaskEnd.DONE, held.ends_at)
 
-    def _answer(self) -> int:
-        self._number += 1
-        self._answered_at[self._number] = self._clock.monotonic()
-        self._answered_at.pop(self._number - 1000, None)
-        return self._number
+    def _next_number(self) -> int:
+        self._last_number += 1
+        self._replied_at[self._last_number] = self._clock.monotonic()
+        self._replied_at.pop(self._last_number - 1000, None)
+        return self._last_number
 
     def _accepts(self, partition: str, epoch: int) -> bool:
         highest = max(self._epochs.get(partition, 0), epoch)
@@ -205,26 +207,26 @@
         return epoch == highest
 
     def _lease_until(self, partition: str, answered: int | None, lease_ms: int) -> float | None:
-        """Return when a lease of this request ends, or ``None`` when the request is too old."""
+        """Return when a lease of this request expires, or ``None`` if the request is outdated."""
         now = self._clock.monotonic()
         if answered is None:
             return now + lease_ms / 1000
-        given = self._answered_at.get(answered)
-        floor = self._floor.get(partition)
-        if given is None or floor is None or answered < floor:
+        replied_at = self._replied_at.get(answered)
+        oldest_valid = self._oldest_valid_number.get(partition)
+        if replied_at is None or oldest_valid is None or answered < oldest_valid:
             return None
-        until = given + lease_ms / 1000
+        until = replied_at + lease_ms / 1000
         return until if until > now else None
 
     def _start(self, task: t.WorkerTask, req: t.StartRequest, lease_until: float | None) -> int:
         assert lease_until is not None
         if task.task_id in self._held:
             return t.StartVerdict.ALREADY_HELD
-        size = size_of(task.size)
+        size = _size_from_resources(task.size)
         if not size.fits(self.capacity - self.record.used):
             return t.StartVerdict.NO_ROOM
         now = self._clock.monotonic()
-        forever = task.kind == t.JobKind.SERVICE
+        endless = task.kind == t.JobKind.SERVICE
         run = Run(
             worker=self.id,
             task_id=task.task_id,
@@ -234,30 +236,30 @@
             epoch=req.epoch,
             started_at=now,
         )
-        held = _Held(
+        held = _HeldTask(
             task=task,
             run=run,
-            ends_at=float("inf") if forever else now + task.run_ms / 1000,
+            ends_at=float("inf") if endless else now + task.run_ms / 1000,
             lease_until=lease_until,
         )
         self._held[task.task_id] = held
         self.record.runs.append(run)
-        self._carry(self.record.used + size)
+        self._set_used(self.record.used + size)
         self._longest_lease_s = max(self._longest_lease_s, req.lease_ms / 1000)
         if self.faults.fail_all:
             self._end(held, t.TaskEnd.FAILED, now)
         return t.StartVerdict.STARTED
 
-    def _carry(self, used: Size) -> None:
+    def _set_used(self, used: Size) -> None:
         self.record.used = used
-        top = self.record.max_used
+        peak = self.record.max_used
         self.record.max_used = Size(
-            millicores=max(top.millicores, used.millicores),
-            memory_bytes=max(top.memory_bytes, used.memory_bytes),
-            accelerators=max(top.accelerators, used.accelerators),
+            millicores=max(peak.millicores, used.millicores),
+            memory_bytes=max(peak.memory_bytes, used.memory_bytes),
+            accelerators=max(peak.accelerators, used.accelerators),
         )
 
-    def _apply(self, req: t.RenewRequest, lease_until: float) -> None:
+    def _apply_renewal(self, req: t.RenewRequest, lease_until: float) -> None:
         self._longest_lease_s = max(self._longest_lease_s, req.lease_ms / 1000)
         for task_id in req.acknowledged:
             held = self._held.get(task_id)
@@ -267,9 +269,9 @@
             held.lease_until = max(held.lease_until, lease_until)
         if not self.faults.ignore_orders:
             for order in req.orders:
-                self._obey(order)
+                self._execute_order(order)
 
-    def _obey(self, order: t.TaskOrder) -> None:
+    def _execute_order(self, order: t.TaskOrder) -> None:
         held = self._held.get(order.task_id)
         if held is None or held.end is not None:
             return
@@ -281,13 +283,13 @@
             case _:
                 self._end(held, t.TaskEnd.STOPPED, self._clock.monotonic())
 
-    def _end(self, held: _Held, end: int, at: float) -> None:
+    def _end(self, held: _HeldTask, end: int, at: float) -> None:
         held.end = end
         held.run.ended_at = at
         held.run.end = t.TaskEnd(end).name
-        self._carry(self.record.used - size_of(held.task.size))
+        self._set_used(self.record.used - _size_from_resources(held.task.size))
 
-    def _told(self, held: _Held) -> t.WorkerHeldTask:
+    def _task_message(self, held: _HeldTask) -> t.WorkerHeldTask:
         until = self._clock.monotonic() if held.run.ended_at is None else held.run.ended_at
         return t.WorkerHeldTask(
             task=held.task,
@@ -296,17 +298,17 @@
             ran_ms=int((until - held.run.started_at) * 1000),
         )
 
-    def _usage(self, running: list[_Held]) -> list[t.TaskUsage]:
-        seen_until = self._clock.monotonic() - self.faults.usage_lag_s
+    def _usage(self, running: list[_HeldTask]) -> list[t.TaskUsage]:
+        reported_until = self._clock.monotonic() - self.faults.usage_lag_s
         return [
-            t.TaskUsage(task_id=held.task.task_id, used=self._used(held))
+            t.TaskUsage(task_id=held.task.task_id, used=self._reported_usage(held))
             for held in running
-            if held.run.started_at <= seen_until
+            if held.run.started_at <= reported_until
         ]
 
-    def _used(self, held: _Held) -> t.Resources:
+    def _reported_usage(self, held: _HeldTask) -> t.Resources:
         factor = 1.0 if held.run.throttled else self.faults.usage_factor
-        size = size_of(held.task.size)
+        size = _size_from_resources(held.task.size)
         return t.Resources(
             millicores=int(size.millicores * factor),
             memory_bytes=int(size.memory_bytes * factor),
@@ -317,7 +319,7 @@
 class WorkerStandIn:
     """The worker with its RPC server.
 
-    :param engine: what it decides.
+    :param engine: the worker logic.
     """
 
     def __init__(self, *, engine: WorkerEngine, clock: Clock) -> None:
@@ -329,26 +331,26 @@
 
     @property
     def address(self) -> str:
-        """``ip:port`` once it listens."""
+        """Return the ``ip:port`` of the server once it listens."""
         return self._server.address
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen and let time pass for the tasks."""
+        """Start to listen and to advance the tasks periodically."""
         await self._server.start(host, port)
         self._ticker = asyncio.create_task(self._tick())
 
     async def close(self) -> None:
-        """Stop listening; all tasks are gone with it."""
+        """Stop listening; all tasks are lost."""
         if self._ticker is not None:
             self._ticker.cancel()
         await self._server.close()
 
     def set_faults(self, changes: Mapping[str, Any]) -> None:
-        """Change the named faults; the others stay."""
+        """Change the given faults; the other faults stay unchanged."""
         known = {a.name for a in fields(Faults)}
         for name, value in changes.items():
             if name not in known:
-                raise ValueError(f"no fault {name!r}; there are {sorted(known)}")
+                raise ValueError(f"unknown fault {name!r}; available: {sorted(known)}")
             setattr(self.engine.faults, name, value)
         if self.engine.faults.pause_s:
             self._paused_until = self._clock.monotonic() + self.engine.faults.pause_s
@@ -377,18 +379,18 @@
         return reply
 
     async def _pause(self) -> None:
-        left = self._paused_until - self._clock.monotonic()
-        if left > 0:
-            await asyncio.sleep(left)
+        remaining_s = self._paused_until - self._clock.monotonic()
+        if remaining_s > 0:
+            await asyncio.sleep(remaining_s)
 
     async def _tick(self) -> None:
         while True:
             self.engine.tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
 
 async def _control(stand_in: WorkerStandIn, host: str, port: int) -> Any:
-    """Serve ``GET /record`` and ``POST /faults``; return the running server and its port."""
+    """Serve ``GET /record`` and ``POST /faults``; return the running application."""
     from aiohttp import web
 
     async def record(_: web.Request) -> web.Response:
