--- a/bench/dispatch_backlog.py
+++ b/bench/dispatch_backlog.py
@@ -1,7 +1,7 @@
-"""Placements a second while 10,000 tasks wait that do not fit.
+"""Measure placements per second while 10,000 tasks that do not fit are waiting.
 
-Run: python bench/dispatch_backlog.py. The pattern is that of a burst of large jobs on a full cell:
-whatever comes free is too small for them, and small jobs go past. Prints one JSON line.
+Run: python bench/dispatch_backlog.py. The load models a burst of large jobs on a full cell: freed
+capacity is too small for them, and small jobs are placed ahead. Prints one JSON line.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 class Cell:
-    """The dispatcher and hosts that end each task as soon as it has started."""
+    """A dispatcher with simulated hosts that end each task as soon as it has started."""
 
     def __init__(self) -> None:
         self.now = 1.0
@@ -81,7 +81,7 @@
         self.dispatcher.reported(host, report, sent_at=self.now, now=self.now)
 
     def turn(self) -> int:
-        """Decide once, start and end what was decided; return how many tasks that were."""
+        """Decide once, start and end the placed tasks; return their number."""
         self.now += 0.001
         orders = self.dispatcher.decide(now=self.now, wall_s=self.now)
         starts = [order for order in orders if isinstance(order, StartOrder)]
@@ -101,7 +101,7 @@
 def measure(waiting_tasks: int) -> float:
     cell = Cell()
     for index in range(waiting_tasks // TASKS_PER_LARGE_JOB):
-        # Larger than any host: it waits for the whole run, as what does not fit does.
+        # Larger than any host, so the tasks wait during the whole run.
         large = job(f"large{index}", TASKS_PER_LARGE_JOB, 65_000)
         cell.dispatcher.add_job(large, now=cell.now, wall_s=cell.now)
     cell.turn()
--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -1,7 +1,9 @@
-"""Run a cell of the size that is aimed at: 552 workers, real daemons, worker stand-ins in fleets.
+"""Run a cell of the target size: 552 workers, with real daemons and simulated workers.
 
-Phases: fill it with 5,800 tasks; leave it alone; start short tasks at 240 a second; kill a
-scheduler. Prints one JSON object. Run: python bench/full_size.py
+Each fleet process simulates many workers. Phases: start 5,800 tasks; leave the cell idle; start
+short tasks at 240 per second; kill a scheduler. Prints one JSON object.
+
+Run: python bench/full_size.py
 """
 
 from __future__ import annotations
@@ -39,7 +41,7 @@
 
 @frozen(kw_only=True)
 class Usage:
-    """Processor seconds and resident MiB of one process."""
+    """Processor time in seconds and resident memory in MiB of one process."""
 
     cpu_s: float
     rss_mib: float
@@ -51,7 +53,7 @@
 
 @define(kw_only=True)
 class Bench:
-    """The cell and what was measured of it."""
+    """The cell and its measurements."""
 
     cell: ProcessCell
     result: dict[str, Any] = Factory(dict)
--- a/bench/job_starts.py
+++ b/bench/job_starts.py
@@ -1,4 +1,4 @@
-"""Measure starts of tasks through a cell of processes: rate, waits, writes to the store, CPU.
+"""Measure task starts in a cell of real processes: rate, waits, store writes and CPU time.
 
 Prints one JSON object. Run: python bench/job_starts.py [--rate 240] [--tasks 4] [--seconds 10]
 """
@@ -34,7 +34,7 @@
 )
 RUN_MS = 800
 SIZE = {"millicores": 1000, "memory_bytes": 2**30}
-# The first scheduler wins all partitions and gives the others their shares after a while.
+# The first scheduler to start acquires all partitions; rebalancing to the others takes time.
 WARM_S = 9.0
 READY_S = 30.0
 SETTLED_S = 60.0
@@ -43,7 +43,7 @@
 
 @frozen(kw_only=True)
 class Marks:
-    """Readings at one moment."""
+    """Counter values at one point in time."""
 
     at: float
     writes: int
@@ -52,7 +52,7 @@
 
 @define(kw_only=True)
 class Submitter:
-    """Submit jobs at an even rate, whatever the answers take."""
+    """Submit jobs at a constant rate, independent of the response times."""
 
     cell: ProcessCell
     tasks: int
@@ -62,7 +62,7 @@
     number: int = 0
 
     async def run(self, seconds: float) -> None:
-        """Submit for so long, then wait for the answers."""
+        """Submit jobs for ``seconds`` seconds, then wait for all responses."""
         begun = time.perf_counter()
         async with asyncio.TaskGroup() as group:
             for n in range(int(seconds * self.per_s)):
@@ -70,7 +70,7 @@
                 group.create_task(self.submit())
 
     async def submit(self) -> None:
-        """Submit one job."""
+        """Submit one job and count whether it is accepted."""
         self.number += 1
         status, view = await self.cell.submit(
             FRONTEND,
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,6 +1,6 @@
-"""Measure the placement index beside first fit and random; print figures as JSON.
+"""Compare the placement index with first fit and random placement; print results as JSON.
 
-The same as ``rhubarbferry bench placement --profile aim``.
+Equivalent to ``rhubarbferry bench placement --profile aim``.
 
 Run: python -m bench.placement [--seed N] [--steps N]
 """
--- a/bench/probe.py
+++ b/bench/probe.py
@@ -1,4 +1,4 @@
-"""Read what processes use and count, and fit slopes through what was read."""
+"""Read resource usage and counters of processes, and fit slopes to the readings."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @frozen(kw_only=True)
 class Point:
-    """One reading: ``amount`` of work (or state) cost ``value``."""
+    """One reading: an ``amount`` of work or state had the cost ``value``."""
 
     amount: float
     value: float
@@ -37,7 +37,7 @@
 
 
 def listed(points: Sequence[Point]) -> list[list[float]]:
-    """Return the readings for the report."""
+    """Return the readings in the form used in reports."""
     return [[p.amount, round(p.value, 4)] for p in points]
 
 
@@ -57,7 +57,7 @@
 
 
 async def metric(cell: ProcessCell, process: Process, name: str, label: str = "") -> float:
-    """Return the sum of a counter's samples whose labels hold ``label``."""
+    """Return the sum of a counter's samples whose labels contain ``label``."""
     async with cell.session.get(f"{process.http}/metrics") as answer:
         text = await answer.text()
     total = 0.0
@@ -70,9 +70,9 @@
 
 @frozen(kw_only=True)
 class StoreCounts:
-    """What the store has served.
+    """Counters of the calls and bytes that the store has served.
 
-    :param calls: by kind; a watch counts once, when it is opened.
+    :param calls: number of calls by kind; a watch counts once, when it is opened.
     """
 
     calls: dict[str, int]
@@ -82,12 +82,12 @@
 
     @property
     def total(self) -> int:
-        """All calls."""
+        """Return the number of calls of all kinds."""
         return sum(self.calls.values())
 
 
 async def store_counts(cell: ProcessCell) -> StoreCounts:
-    """Ask the stand-in of the store."""
+    """Return the counters of the simulated store."""
     async with cell.session.get(f"{cell.processes['store'].http}/counters") as answer:
         found = await answer.json()
     return StoreCounts(
@@ -100,9 +100,9 @@
 
 @define(kw_only=True)
 class CountingProxy:
-    """Pass one TCP server's bytes on and count them.
+    """TCP proxy in front of one server that counts the bytes it forwards.
 
-    :param target: ``ip:port`` behind it.
+    :param target: ``ip:port`` of the server.
     """
 
     target: str
--- a/bench/request_latency.py
+++ b/bench/request_latency.py
@@ -1,4 +1,4 @@
-"""Measure requests through a small cell of processes: latency alone, and rate with many at once.
+"""Measure requests in a small cell: latency of single requests, and rate of concurrent ones.
 
 Prints one JSON object. Run: python bench/request_latency.py
 """
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,24 +1,24 @@
-"""Measure the slopes that docs/CAPACITY.md is worked out from; print them as JSON.
+"""Measure the slopes that docs/CAPACITY.md is computed from; print them as JSON.
 
-Parts, each with real daemons and stand-ins unless said otherwise:
+Parts, each with real daemons and simulated dependencies unless stated otherwise:
 
 requests
     frontend and runner partition: processor time, bytes and store calls per idempotent and per
-    keyed request; memory at rest and per request in progress or waiting.
+    keyed request; memory when idle and per request in progress or waiting.
 jobs
-    worker partitions and job homes: at rest with 8 and 24 workers, per task start, per running
+    worker partitions and job homes: idle with 8 and 24 workers, per task start, per running
     task, per waiting job; bytes between a scheduler and a worker.
 store
-    calls at rest over the number of members.
+    calls while idle against the number of members.
 config
-    time until a change is in force in eight members, calls and bytes for each.
+    time until a change is active in eight members; store calls and bytes for each change.
 takeover
-    what callers see when the owner of a service is killed, eight times.
+    latency and outcomes of requests when the owner of a service is killed, eight times.
 plan
     sizes and planning time of the ownership table (in process).
 memory
-    resident memory step by step as a daemon imports what it uses (bare interpreters), and of a
-    daemon at rest; without and with cached bytecode.
+    resident memory after each import of a daemon's dependencies (bare interpreters), and of an
+    idle daemon; without and with cached bytecode.
 
 Run: python -m bench.slopes --part NAME
 """
--- a/bench/slopes_dispatch.py
+++ b/bench/slopes_dispatch.py
@@ -1,9 +1,9 @@
-"""Processor time of the dispatcher against the number of hosts.
+"""Measure the processor time of the dispatcher against the number of hosts.
 
-Jobs, and the processes that ask the policy service, are in proportion to the hosts.
+The job rate and the number of policy service clients are proportional to the number of hosts.
 
-Run: python bench/slopes_dispatch.py [HOSTS ...]. Plays the calm generated day, scaled, and counts
-the processor time that passes in calls of the dispatcher. Prints one JSON line for each size.
+Run: python bench/slopes_dispatch.py [HOSTS ...]. Simulates the fault-free day, scaled, and
+sums the processor time spent in calls to the dispatcher. Prints one JSON line for each size.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Meter:
-    """Sums the processor time of wrapped calls."""
+    """Sum the processor time of wrapped calls."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
--- a/bench/slopes_jobs.py
+++ b/bench/slopes_jobs.py
@@ -1,4 +1,4 @@
-"""Slopes of jobs: worker partitions and job homes, with real processes."""
+"""Measure the cost of jobs in worker partitions and job homes, with real processes."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
 
 @define(kw_only=True)
 class ProxiedCell(ProcessCell):
-    """A cell whose workers are listed at counting proxies."""
+    """A cell whose worker addresses are those of byte-counting proxies."""
 
     proxies: list[CountingProxy] = Factory(list)
 
     async def publish_hosts(self) -> None:
-        """Put a proxy before each worker, then send the list."""
+        """Start a proxy for each worker, then publish the host list."""
         for host in self.hosts:
             if host["labels"]["kind"] == "worker" and not self._is_proxied(host):
                 proxy = CountingProxy(target=host["targets"][0])
@@ -62,14 +62,14 @@
 
 @define(kw_only=True)
 class Bench:
-    """A running cell and the proxies before its workers."""
+    """A running cell and the proxies of its workers."""
 
     cell: ProxiedCell
     proxies: list[CountingProxy]
 
     @property
     def scheduler(self) -> Any:
-        """The only scheduler."""
+        """Return the only scheduler of the cell."""
         return self.cell.processes[SCHEDULER]
 
     async def submit(self, *, tasks: int, run_ms: int, millicores: int = MILLICORES) -> str:
@@ -89,7 +89,7 @@
         return str(document["id"])
 
     async def until(self, ids: list[str], state: str) -> None:
-        """Wait until every job is in a phase."""
+        """Wait until all jobs have reached a phase."""
         async with asyncio.timeout(WAIT_S):
             for id in ids:
                 while True:
@@ -108,7 +108,7 @@
 
 @frozen(kw_only=True)
 class Reading:
-    """Counters at one moment."""
+    """Counter values at one point in time."""
 
     at: float
     scheduler_ms: float
@@ -136,7 +136,7 @@
 
 
 async def rest(bench: Bench, seconds: float = REST_S) -> dict[str, float]:
-    """Return what is used while no task starts or ends."""
+    """Return the resource usage while no task starts or ends."""
     before = await read(bench)
     await asyncio.sleep(seconds)
     after = await read(bench)
@@ -154,7 +154,7 @@
 
 
 async def starts(bench: Bench) -> dict[str, object]:
-    """Return slopes over task starts: submission, start, end and report together."""
+    """Return the cost per task start, including submission, end and report."""
     names = ("scheduler_ms", "worker_ms", "sent", "received")
     points: dict[str, list[Point]] = {name: [] for name in (*names, "store_calls", "store_bytes")}
     seconds = []
@@ -181,7 +181,7 @@
 
 
 async def states(bench: Bench, amounts: tuple[int, ...], *, waiting: bool) -> dict[str, object]:
-    """Return slopes over running tasks, or over waiting jobs, of a scheduler without churn."""
+    """Return the cost per running task, or per waiting job, while no task starts or ends."""
     ids: list[str] = []
     names = ("scheduler_cpu_percent", "scheduler_mib", "bytes_to_worker_per_s")
     names += ("bytes_from_worker_per_s", "worker_stand_in_cpu_percent")
@@ -190,7 +190,7 @@
     for amount in amounts:
         while held < amount:
             if waiting:
-                # Larger than what the running one has left free on any worker.
+                # Larger than the capacity that the running tasks leave free on any worker.
                 ids.append(await bench.submit(tasks=1, run_ms=FOREVER_MS, millicores=32_000))
                 held += 1
             else:
@@ -210,7 +210,7 @@
 
 
 async def fill(bench: Bench) -> None:
-    """Put one task on every worker, so that no whole worker is free."""
+    """Start one task on every worker, so that no worker is completely free."""
     workers = len(bench.proxies)
     await bench.submit(tasks=workers * 8, run_ms=FOREVER_MS, millicores=4000)
     await asyncio.sleep(SETTLE_S)
@@ -235,7 +235,7 @@
 
 
 async def measure(dir: Path) -> dict[str, object]:
-    """Measure one rack and three racks; the slopes over tasks with the three."""
+    """Measure cells of one and three racks; fit the per-task slopes with three."""
     found: dict[str, Any] = {}
     for racks in RACKS:
         part = dir / str(racks)
--- a/bench/slopes_members.py
+++ b/bench/slopes_members.py
@@ -1,4 +1,4 @@
-"""Slopes over members: the store at rest, configuration changes, and takeover."""
+"""Measure costs per member: store load while idle, configuration changes, and takeover."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 async def rest(dir: Path, members: int) -> dict[str, float]:
-    """Return what the store serves with nothing to do."""
+    """Return the load on the store and the daemons of an idle cell."""
     shape = Shape(runners=1, workers=1, schedulers=members // 2, frontends=members // 2)
     async with ProcessCell(dir=dir, shape=shape) as cell:
         await cell.until_served(FRONTEND)
@@ -76,7 +76,7 @@
 
 
 async def measure_store(dir: Path) -> dict[str, object]:
-    """Measure calls at rest over the number of members."""
+    """Measure store calls of an idle cell against the number of members."""
     found: dict[int, Any] = {}
     for members in MEMBERS:
         part = dir / f"members-{members}"
@@ -100,7 +100,7 @@
 
 
 async def revision_of(pools: tuple[Pool, Pool], process: Any) -> int:
-    """Ask a member which revision it has in force; -1 while it does not answer."""
+    """Return the active configuration revision of a member, or -1 if it does not respond."""
     pool = pools[0] if process.name.startswith("scheduler") else pools[1]
     try:
         reply = await pool.call(process.address, "status", t.StatusRequest(), timeout_s=2.0)
@@ -110,7 +110,7 @@
 
 
 async def until_in_force(cell: ProcessCell, pools: tuple[Pool, Pool], revision: int) -> None:
-    """Return once every member says that a revision is in force."""
+    """Wait until all members report that a revision is active."""
     async with asyncio.timeout(IN_FORCE_S):
         for process in daemons(cell):
             while True:
@@ -120,7 +120,7 @@
 
 
 async def measure_config(dir: Path) -> dict[str, object]:
-    """Measure the time from the start of a change until it is in force in eight members."""
+    """Measure the time from submitting a change until it is active in eight members."""
     shape = Shape(runners=1, workers=1, schedulers=4, frontends=4)
     times = HdrHistogram(1, MAX_US, 3)
     async with ProcessCell(dir=dir, shape=shape) as cell:
@@ -179,7 +179,7 @@
 
 
 async def probe(cell: ProcessCell, seen: list[tuple[float, str]], *, keyed: bool) -> None:
-    """Send a request and note when it ended and how."""
+    """Send a request and record its duration and outcome."""
     headers = {"Idempotent": "true", "Request-Timeout": "20"}
     if keyed:
         headers["Idempotent"] = "false"
@@ -190,7 +190,7 @@
 
 
 async def one_kill(cell: ProcessCell, pool: Pool, number: int) -> dict[str, Any] | None:
-    """Kill the owner of the service under probes; return what callers saw."""
+    """Kill the owner of the probed service; return the latencies and outcomes of requests."""
     owner = await owner_of(pool, cell, RUNNER_PARTITION)
     if owner is None:
         return None
@@ -212,7 +212,7 @@
 
 
 async def measure_takeover(dir: Path) -> dict[str, object]:
-    """Measure what callers see when the owner of a service is killed."""
+    """Measure latency and outcomes of requests when the owner of a service is killed."""
     shape = Shape(runners=4, workers=1, schedulers=3)
     found: list[dict[str, Any]] = []
     async with ProcessCell(dir=dir, shape=shape) as cell:
--- a/bench/slopes_memory.py
+++ b/bench/slopes_memory.py
@@ -1,4 +1,4 @@
-"""Resident memory of a daemon, step by step as it imports what it uses."""
+"""Measure the resident memory of a daemon after each import of its dependencies."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 async def _running(dir: Path, env: dict[str, str]) -> dict[str, float]:
-    """Return the memory of daemons that serve, with nothing to do yet."""
+    """Return the memory of serving, idle daemons."""
     dir.mkdir()  # noqa: ASYNC240
     kept = dict(os.environ)
     os.environ.clear()
--- a/bench/slopes_plan.py
+++ b/bench/slopes_plan.py
@@ -1,4 +1,4 @@
-"""Sizes and planning time of the ownership table, straight in process."""
+"""Measure the size and planning time of the ownership table, in process."""
 
 from __future__ import annotations
 
@@ -61,12 +61,12 @@
 
 
 def size_of(table: Table) -> int:
-    """Return the bytes of the value in the store."""
+    """Return the size in bytes of the value written to the store."""
     return len(encode(TableRecord(table=table, writer_id="scheduler-1-0a1b2c3d", write_id="17")))
 
 
 def timed_plan(table: Table, members: list[Member], partitions: list[PartitionId]) -> float:
-    """Return the best time of a plan, in milliseconds."""
+    """Return the shortest planning time in milliseconds."""
     best = float("inf")
     for _ in range(ROUNDS):
         begun = time.perf_counter()
@@ -76,7 +76,7 @@
 
 
 def measure_one(workers: int) -> dict[str, float]:
-    """Plan a whole table, then again without one scheduler."""
+    """Plan a whole table, then plan it again with one scheduler removed."""
     members = make_members(Role.SCHEDULER, SCHEDULERS)
     frontends = make_members(Role.FRONTEND, SCHEDULERS)
     partitions = make_partitions(workers)
@@ -100,7 +100,7 @@
 
 
 def measure() -> dict[str, object]:
-    """Measure at rising numbers of workers."""
+    """Measure with increasing numbers of workers."""
     found = {workers: measure_one(workers) for workers in WORKERS}
     sizes = [Point(amount=f["partitions"], value=f["table_bytes"]) for f in found.values()]
     times = [Point(amount=f["partitions"], value=f["plan_death_ms"]) for f in found.values()]
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -1,4 +1,4 @@
-"""Slopes of requests: frontend and runner partition, with real processes."""
+"""Measure the cost of requests in frontend and runner partition, with real processes."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 
 async def send(cell: ProcessCell, *, keyed: bool, work_ms: int = 0, timeout_s: int = 60) -> float:
-    """Send one request and return its seconds.
+    """Send one request and return its latency in seconds.
 
-    :raises RuntimeError: when its outcome is not "done".
+    :raises RuntimeError: if its outcome is not "done".
     """
     headers = {"Idempotent": "true", "Request-Timeout": str(timeout_s)}
     if keyed:
@@ -43,7 +43,7 @@
 
 
 async def send_many(cell: ProcessCell, count: int, *, keyed: bool) -> None:
-    """Send ``count`` requests, some at once."""
+    """Send ``count`` requests with limited concurrency."""
     room = asyncio.Semaphore(AT_ONCE)
 
     async def bounded() -> None:
@@ -55,7 +55,7 @@
 
 @frozen(kw_only=True)
 class Reading:
-    """Counters of the cell at one moment."""
+    """Counters of the cell at one point in time."""
 
     frontend_ms: float
     scheduler_ms: float
@@ -86,7 +86,7 @@
 
 
 async def per_request(cell: ProcessCell, *, keyed: bool) -> dict[str, object]:
-    """Return slopes over the number of requests."""
+    """Return the cost per request, as slopes."""
     readings: dict[str, list[Point]] = {name: [] for name in Reading.__annotations__}
     await send_many(cell, SIZES[0], keyed=keyed)
     for size in SIZES:
@@ -102,7 +102,7 @@
 
 
 async def at_rest(cell: ProcessCell) -> dict[str, float]:
-    """Return what the daemons use with nothing to do."""
+    """Return the resource usage of idle daemons."""
     before = await read(cell)
     await asyncio.sleep(REST_S)
     after = await read(cell)
@@ -115,7 +115,7 @@
 
 
 async def held_memory(cell: ProcessCell, amounts: tuple[int, ...]) -> dict[str, object]:
-    """Return memory over the number of requests in progress."""
+    """Return the memory per request in progress."""
     frontend: list[Point] = []
     scheduler: list[Point] = []
     for amount in amounts:
@@ -137,7 +137,7 @@
 
 
 async def alone_p50_ms(cell: ProcessCell, *, keyed: bool) -> float:
-    """Return the median latency of requests one after the other."""
+    """Return the median latency of sequential requests."""
     times = sorted([await send(cell, keyed=keyed) for _ in range(ALONE)])
     return round(1000 * times[ALONE // 2], 2)
 
--- a/rhubarbferry/bench/baselines.py
+++ b/rhubarbferry/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Plain policies to compare the decision core with."""
+"""Baseline policies that the decision core is compared with."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Scan:
-    """Look at one worker after the other: first fit, or random with ``rng``."""
+    """Scan workers linearly: first fit in list order, or in random order with ``rng``."""
 
     def __init__(self, workers: Sequence[Worker], rng: random.Random | None = None) -> None:
         self._order = [worker.id for worker in workers]
@@ -24,7 +24,7 @@
         self._rng = rng
 
     def choose(self, need: Need) -> str | None:
-        """Return the first worker with room."""
+        """Return the first worker with enough free capacity, or ``None``."""
         order = self._order
         if self._rng is not None:
             order = self._rng.sample(self._order, len(self._order))
@@ -34,27 +34,27 @@
         return None
 
     def take(self, worker: str, job_id: str, size: Size) -> bool:
-        """Take room."""
+        """Reserve capacity on a worker."""
         self._free[worker] = self._free[worker] - size
         return True
 
     def give_back(self, worker: str, job_id: str, size: Size) -> None:
-        """Return room."""
+        """Release capacity on a worker."""
         self._free[worker] = self._free[worker] + size
 
 
 class FifoJobs:
-    """Jobs in the order of their arrival, without shares; what does not fit is passed over."""
+    """Job queue in arrival order, without fair shares; jobs that do not fit are skipped."""
 
     def __init__(self) -> None:
         self._jobs: dict[str, Job] = {}
 
     def put(self, job: Job) -> None:
-        """Append a job, unless it is there."""
+        """Append a job, unless it is already queued."""
         self._jobs.setdefault(job.id, job)
 
     def drop(self, job: Job) -> None:
-        """Take a job out."""
+        """Remove a job."""
         self._jobs.pop(job.id, None)
 
     def pick(
@@ -67,7 +67,7 @@
         epoch: int,
         home_epoch: int,
     ) -> list[Picked]:
-        """Claim tasks for a room, as the core's queue does."""
+        """Claim tasks for a partition's free capacity, as ``JobQueue.pick`` does."""
         picked: list[Picked] = []
         for job in list(self._jobs.values())[:LOOK_AHEAD]:
             size = job.spec.size
--- a/rhubarbferry/bench/day_work.py
+++ b/rhubarbferry/bench/day_work.py
@@ -1,8 +1,8 @@
-"""Generated days of jobs: what comes in, and what goes wrong meanwhile.
+"""Generated days of jobs: the arrivals of jobs and the faults injected meanwhile.
 
-The figures are those of the two groups of users: short urgent jobs, wide jobs of long tasks that
-work only together, and batches between the two. Sizes are drawn log-normally, as most tasks are
-small and a few are large.
+The parameters model the workloads of the two groups of users: short urgent jobs, wide jobs whose
+long tasks run only together (gangs), and batch jobs between the two. Sizes follow a log-normal
+distribution because most tasks are small and a few are large.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 @frozen(kw_only=True, slots=True)
 class Draw:
-    """A log-normal figure.
+    """A log-normal distribution with an upper bound.
 
-    :param mean: its mean.
-    :param spread: standard deviation of its logarithm.
-    :param most: upper bound.
+    :param mean: mean of the distribution before the bound is applied.
+    :param spread: standard deviation of the logarithm.
+    :param most: upper bound of the samples.
     """
 
     mean: float
@@ -30,26 +30,29 @@
     most: float
 
     def __call__(self, rng: random.Random) -> float:
-        """Return one figure."""
+        """Return one sample."""
         mu = math.log(self.mean) - self.spread**2 / 2
         return min(self.most, rng.lognormvariate(mu, self.spread))
 
 
 @frozen(kw_only=True, slots=True)
 class Work:
-    """One kind of job.
-
-    :param per_s: jobs a second.
-    :param worth: of a job of mean size that ends in time.
-    :param late_worth: of one that ends later, up to three times its objective.
-    :param steps: steps of a job, one after the other.
-    :param width: tasks of a step.
-    :param run_s: of a task on a host of speed 1.
-    :param estimate_spread: how far off the declared duration is, as ``Draw.spread``.
-    :param gang: share of the jobs whose tasks work only together.
-    :param saves: share of the jobs whose tasks can resume from a saved point.
-    :param fails: share of the runs that fail by their own fault.
-    :param approved: share of the hosts that the policy lets run a step.
+    """The distribution of one kind of job.
+
+    :param per_s: arrival rate in jobs per second.
+    :param worth: value of a job of mean size that ends within its objective.
+    :param late_worth: value of a job that ends later, up to three times its objective.
+    :param steps: number of sequential steps of a job.
+    :param width: number of tasks in a step.
+    :param run_s: duration of a task in seconds on a host of speed 1.
+    :param cores: cores of a task.
+    :param memory_mb: memory of a task in MB.
+    :param estimate_spread: error of the declared duration, as the standard deviation of the
+        logarithm of its ratio to the true one.
+    :param gang: fraction of the jobs whose tasks run only together.
+    :param saves: fraction of the jobs whose tasks can resume from a checkpoint.
+    :param fails: fraction of the attempts that fail because of the task itself.
+    :param approved: fraction of the hosts that the policy service approves for a step.
     """
 
     queue: Queue
@@ -70,7 +73,10 @@
 
 @frozen(kw_only=True, slots=True)
 class Burst:
-    """Jobs of one queue come ``times`` as often for a while; of all queues where it is empty."""
+    """Multiply the arrival rate of one queue by ``times`` for ``for_s`` seconds.
+
+    An empty ``queue`` selects all queues.
+    """
 
     at_s: float
     for_s: float
@@ -80,7 +86,7 @@
 
 @frozen(kw_only=True, slots=True)
 class HostsLost:
-    """A share of the hosts dies at once and comes back empty after a while."""
+    """Fail a fraction of the hosts at once and restart them empty after ``for_s`` seconds."""
 
     at_s: float
     for_s: float
@@ -89,7 +95,10 @@
 
 @frozen(kw_only=True, slots=True)
 class HostsSlow:
-    """A share of the hosts works ``times`` as long for a while, and goes on to answer."""
+    """Slow a fraction of the hosts down by a factor of ``times`` for ``for_s`` seconds.
+
+    Slow hosts keep answering requests.
+    """
 
     at_s: float
     for_s: float
@@ -99,7 +108,7 @@
 
 @frozen(kw_only=True, slots=True)
 class StartsLost:
-    """A share of the starts is neither carried out nor answered for a while."""
+    """Drop a fraction of the start requests for ``for_s`` seconds: no execution, no response."""
 
     at_s: float
     for_s: float
@@ -108,7 +117,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Pause:
-    """Nobody decides for a while, as when the owner of the work is being replaced."""
+    """Suspend all decisions for ``for_s`` seconds, as during a takeover by a new owner."""
 
     at_s: float
     for_s: float
@@ -116,10 +125,11 @@
 
 @frozen(kw_only=True, slots=True)
 class Day:
-    """A day to play.
+    """A simulated day: the hosts, the workload and the injected faults.
 
-    :param seconds: how long jobs come in.
-    :param speeds: hosts work at one of these, in turn.
+    :param seconds: period in seconds during which jobs arrive.
+    :param speeds: relative speeds, assigned to the hosts in round-robin order.
+    :param members: number of processes that send requests to the policy service.
     """
 
     seconds: float
@@ -138,9 +148,9 @@
 
 @frozen(kw_only=True, slots=True)
 class Arrival:
-    """A job that comes in, with what only the model knows of it.
+    """A submitted job, with properties that the dispatcher does not see.
 
-    :param run_s: true duration of a task of each step on a host of speed 1.
+    :param run_s: true task duration in seconds of each step, on a host of speed 1.
     """
 
     at_s: float
@@ -150,12 +160,12 @@
 
     @property
     def objective_s(self) -> float:
-        """By when its client wants it to be done, from its arrival."""
+        """Return the time from arrival within which the job should end, in seconds."""
         return self.work.queue.slack_factor * sum(self.run_s) + self.work.queue.objective_s
 
     @property
     def core_s(self) -> float:
-        """Its work."""
+        """Return the total work of the job in core-seconds, at speed 1."""
         return sum(
             step.count * step.sizes.millicores / 1000 * run_s
             for step, run_s in zip(self.req.steps, self.run_s, strict=True)
@@ -163,7 +173,7 @@
 
 
 def arrivals(day: Day, rng: random.Random) -> Iterator[Arrival]:
-    """Yield the jobs of a day, not in order."""
+    """Yield the jobs of a day; they are ordered by time only within each kind."""
     for work in day.works:
         now = 0.0
         while True:
--- a/rhubarbferry/bench/days.py
+++ b/rhubarbferry/bench/days.py
@@ -1,8 +1,9 @@
 """Experiment ``days``: the dispatcher on generated days of jobs.
 
-Hosts, the policy service and clients are played in generated time, so that a day takes a second
-or two and the same seed gives the same figures. What is judged is what users see: which share of
-the worth of all jobs was earned, over the day and over the two worst windows of two seconds.
+Hosts, the policy service and clients are simulated in virtual time, so a day takes a second or
+two and the same seed gives the same results. The results measure the value delivered to users:
+the fraction of the total worth of all jobs that was earned, over the whole day and over the two
+worst windows of two seconds.
 """
 
 from __future__ import annotations
@@ -42,25 +43,28 @@
 )
 from rhubarbferry.dispatch.succession import Succession
 
-# One way to a host or to the policy service, and the time until an end is on record.
+# One-way network delay to a host or to the policy service, and the time to persist the end of a
+# job.
 WAY_S = 0.02
 RECORD_S = 0.04
-# Between two decisions for what depends on time alone, and two looks at a host at least.
+# Interval of decisions that depend on time alone, and the longest interval between two status
+# reports of a host.
 TICK_S = 0.1
 LOOK_S = 0.7
 LEASE_S = 6.0
 STOP_S = 0.5
 RESTORE_S = 0.1
-# The hosts that may run a step hold it this many times over when they are empty.
+# The hosts approved for a step have, when empty, at least this many times the capacity it needs.
 ROOM_FOR_STEP = 1.3
-# Times of one event, worked out in two ways, differ by less.
+# Tolerance in seconds for the floating-point error between two computations of the same time.
 SAME_TIME_S = 1e-6
 WINDOW_S = 2.0
 WORST_WINDOWS = 2
-# Jobs go on for this long after the last has come in.
+# The simulation continues for this long after the arrival period ends, so that jobs can finish.
 REST_S = 40.0
 LATE_FACTOR = 3
-# A job's worth grows with its work: this part is fixed, the rest goes by the mean of its kind.
+# The worth of a job grows with its work: this fraction is fixed, the rest is proportional to the
+# job's work relative to the mean of its kind.
 FIXED_SHARE = 0.3
 MOST_TIMES_WORTH = 4.0
 
@@ -69,7 +73,7 @@
 
 @define(kw_only=True, eq=False)
 class _Host:
-    """A host of the model."""
+    """A simulated host."""
 
     entry: HostEntry
     speed: float
@@ -98,7 +102,7 @@
 
 @define(kw_only=True, eq=False)
 class Cell:
-    """One day as it is played."""
+    """Discrete-event simulation of one day."""
 
     day: Day
     seed: str
@@ -168,7 +172,10 @@
         self._look(entry.id)
 
     def _rng(self, what: str) -> random.Random:
-        """Return the chance of one thing, the same whatever else is decided otherwise."""
+        """Return a random generator for one purpose.
+
+        Each purpose has its own sequence, so different decisions elsewhere do not change it.
+        """
         return random.Random(f"{self.seed} {what}")
 
     def _at(self, when: float, act: Callable[[], None]) -> None:
@@ -217,7 +224,7 @@
         self._report(id)
 
     def _change_speed(self, id: str, times: float) -> None:
-        """Let a host work faster or slower; gangs with a member there go at its pace."""
+        """Change the speed of a host; gangs with a task there change speed with it."""
         self._hosts[id].speed *= times
         steps = {(run[0].job, run[0].step) for run in self._hosts[id].running}
         for host in self._hosts.values():
@@ -227,7 +234,7 @@
                     self._stretch(host, run, 1 / times)
 
     def _stretch(self, host: _Host, run: Run, times: float) -> None:
-        """Let what is left of a run take ``times`` as long; what is done of it stays."""
+        """Multiply the remaining time of a run by ``times``, keeping its progress."""
         begun, end = host.begun[run], host.running[run]
         done = (self.now - begun) / max(1e-9, end - begun)
         left = (end - self.now) * times
@@ -264,7 +271,7 @@
         )
 
     def _speed(self, order: StartOrder) -> float:
-        """Return the speed of a run: a gang works at that of its slowest host."""
+        """Return the speed of a run; a gang runs at the speed of its slowest host."""
         job = self._dispatcher.jobs.get(order.task.job)
         task = job.task(order.task) if job is not None else None
         if task is None or not task.step.req.gang:
@@ -274,7 +281,7 @@
         return min(self._hosts[id].speed for id in hosts)
 
     def _end_if_due(self, host: _Host, run: Run, how: EndKind) -> None:
-        """End a run, unless it takes longer or shorter by now and has another event for its end."""
+        """End a run, unless a change of speed has rescheduled its end."""
         if run in host.running and abs(host.running[run] - self.now) < SAME_TIME_S:
             self._end(host, run, how)
 
@@ -363,7 +370,10 @@
         return rng.random() < share
 
     def _start_unanswered(self, order: StartOrder) -> None:
-        """Do as the owner does: settle with a stop and a look what is not sent again."""
+        """Handle a lost start as the owner does.
+
+        If the start is not retried, stop the task and poll the host.
+        """
         dispatcher = self._dispatcher
         dispatcher.start_answered(order.host, order.task, order.attempt, Unanswered(), now=self.now)
         if dispatcher.unclear(order.host, order.task, order.attempt):
@@ -398,7 +408,10 @@
         self._dispatcher.advised(advice, now=self.now)
 
     def _draw_approved(self, id: StepId) -> frozenset[str]:
-        """Choose the hosts that may run a step: a share of all, and room for all of its tasks."""
+        """Choose the hosts approved for a step.
+
+        They are a fraction of all hosts, with enough total capacity for all tasks of the step.
+        """
         arrival = self._arrivals[id.job]
         req = arrival.req.steps[id.step]
         hosts = self._rng(f"approved {id}").sample(sorted(self._hosts), len(self._hosts))
@@ -418,7 +431,7 @@
     # ------------------------------------------------------------ figures
 
     def figures(self) -> dict[str, Any]:
-        """Return what users got."""
+        """Return the results as users see them."""
         means = self._mean_work()
         kinds: dict[str, dict[str, Any]] = {}
         windows: dict[int, list[float]] = {}
@@ -462,9 +475,9 @@
 
 
 def experiment(*, seed: int, seconds: float) -> dict[str, Any]:
-    """Play each of the days.
+    """Simulate each of the days.
 
-    :param seconds: how long jobs come in.
+    :param seconds: period in seconds during which jobs arrive.
     """
     report: dict[str, Any] = {}
     for name, day in DAYS.items():
--- a/rhubarbferry/bench/figures.py
+++ b/rhubarbferry/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures of an experiment: percentiles and shares."""
+"""Statistics for experiments: latency percentiles and fair-share errors."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class Times:
-    """Percentiles of times, in seconds, to three digits."""
+    """Histogram of durations in seconds, with three significant digits."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(1, MAX_US, DIGITS)
         self._count = 0
 
     def add(self, seconds: float) -> None:
-        """Take in one more; below a microsecond counts as one."""
+        """Record one duration; durations below one microsecond count as one microsecond."""
         self._histogram.record_value(min(MAX_US, max(1, int(seconds * 1e6))))
         self._count += 1
 
     def figures(self) -> dict[str, float]:
-        """Return count and percentiles in milliseconds."""
+        """Return the count and the percentiles in milliseconds."""
         if not self._count:
             return {"count": 0}
         marks = {
@@ -35,7 +35,7 @@
         return {"count": self._count, **marks, "max_ms": self._histogram.get_max_value() / 1000}
 
     def counts(self) -> list[tuple[float, float]]:
-        """Return pairs of seconds and the part that took no longer, for a plot."""
+        """Return the cumulative distribution for a plot, as pairs of seconds and fraction."""
         steps = [mark / 10 for mark in range(0, 1000, 5)] + [99.9, 99.99]
         return [(self._histogram.get_value_at_percentile(step) / 1e6, step / 100) for step in steps]
 
@@ -43,11 +43,12 @@
 def water_fill(
     weights: Mapping[str, float], wanted: Mapping[str, float], capacity: float
 ) -> dict[str, float]:
-    """Return what each account is entitled to.
+    """Return the capacity that each account is entitled to (weighted max-min fairness).
 
-    Capacity goes to accounts by weight; what one does not want goes to the others by weight.
+    Capacity is divided by weight; capacity that an account does not demand is divided among the
+    other accounts by weight.
 
-    :param wanted: what each account would use if it were alone.
+    :param wanted: demand of each account if it had the whole capacity for itself.
     """
     due = dict.fromkeys(weights, 0.0)
     open_ = {name for name in weights if wanted[name] > 0}
@@ -67,7 +68,7 @@
 
 
 def share_errors(used: Mapping[str, float], due: Mapping[str, float]) -> dict[str, Any]:
-    """Return each account's use over its due, and the largest error of these."""
+    """Return the ratio of use to entitlement for each account, and the largest error."""
     ratios = {name: used.get(name, 0.0) / part for name, part in sorted(due.items()) if part > 0}
     return {
         "used_over_due": {name: round(ratio, 4) for name, ratio in ratios.items()},
--- a/rhubarbferry/bench/placement.py
+++ b/rhubarbferry/bench/placement.py
@@ -1,14 +1,14 @@
-"""Experiment ``placement``: the placement index beside first fit and random.
+"""Experiment ``placement``: compare the placement index with first fit and random placement.
 
 speed
-    The cell is filled, then in each step a batch of tasks ends and as many waiting ones are
-    placed. Only the choice and the taking of room is timed. A third of the tasks belong to
-    services, which are spread.
+    Fill the cell; then, in each step, end a batch of tasks and place as many new ones. Only
+    choosing a worker and reserving its capacity are timed. A third of the tasks belong to
+    services, which are spread over failure domains.
 packing
-    A fixed set of batch tasks, more than the cell holds, is placed in order of arrival, sorted
-    by size within each batch of 256. The bound: a full cell can't hold more than all of its
-    scarcest dimension, so the figure is the part of that dimension that is in use when nothing
-    of the set fits any more.
+    Place a fixed set of batch tasks, larger than the capacity of the cell, in arrival order,
+    sorted by size within each batch of 256. A full cell cannot use more than all of its scarcest
+    dimension, so the result is the fraction of that dimension in use when no remaining task
+    fits.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 def make_index(workers: Sequence[Worker], rng: random.Random) -> Placement:
-    """Return the index of the decision core."""
+    """Return the placement index of the decision core."""
     index = Placement()
     for worker in workers:
         index.put(worker.id, capacity=worker.capacity, failure_domain=worker.failure_domain)
@@ -54,7 +54,7 @@
 
 @define(kw_only=True)
 class Speed:
-    """Times of the batches of one run."""
+    """Placement times of one run, per batch and per task."""
 
     placed: int = 0
     tried: int = 0
@@ -63,7 +63,7 @@
     each: Times = Factory(Times)
 
     def figures(self) -> dict[str, Any]:
-        """Return the figures; all but the last are of the wall clock."""
+        """Return the statistics; all but the last are wall-clock times."""
         return {
             "wall_placements_per_s": round(self.placed / self.seconds),
             "wall_tries_per_s": round(self.tried / self.seconds),
@@ -76,7 +76,7 @@
 
 @define(kw_only=True)
 class Churn:
-    """A cell that is kept full while tasks end and others come."""
+    """A cell that is kept full while tasks end and new ones arrive."""
 
     policy: Policy
     workers: int
@@ -86,7 +86,7 @@
     _number: int = 0
 
     def fill(self) -> None:
-        """Place tasks until about as many run as fit."""
+        """Place tasks until the cell is approximately full."""
         wanted = self.workers * 10 + self.workers // 2
         while len(self.running) < wanted and self._number < 3 * wanted:
             need = self._next()
@@ -95,7 +95,7 @@
                 self.running.append((worker, need))
 
     def step(self) -> None:
-        """Let a batch end, and place another."""
+        """End a batch of random tasks and place another batch."""
         for _ in range(min(BATCH, len(self.running))):
             at = self.rng.randrange(len(self.running))
             self.running[at], self.running[-1] = self.running[-1], self.running[at]
@@ -124,7 +124,7 @@
 
 
 def measure_speed(policy: Policy, *, workers: int, seed: int, steps: int) -> Speed:
-    """Return the times of ``steps`` batches."""
+    """Measure the placement times of ``steps`` batches."""
     churn = Churn(policy=policy, workers=workers, rng=random.Random(seed))
     churn.fill()
     for _ in range(steps):
@@ -133,7 +133,7 @@
 
 
 def measure_packing(policy: Policy, workers: Sequence[Worker], seed: int) -> dict[str, float]:
-    """Return the parts of the dimensions that are in use on a full cell."""
+    """Return the fraction of each resource dimension in use on a full cell."""
     rng = random.Random(seed)
     count = len(workers) * OFFERED_PER_WORKER
     needs = [task_need(rng, number, services=False) for number in range(count)]
@@ -180,6 +180,6 @@
 
 
 def _cut(profile: Profile, workers: int) -> Profile:
-    """Return a profile with fewer workers and its part of the accelerators."""
+    """Return a profile with fewer workers and proportionally fewer accelerators."""
     accelerators = round(profile.accelerators * workers / profile.workers)
     return evolve(profile, workers=workers, accelerators=accelerators)
--- a/rhubarbferry/bench/plots.py
+++ b/rhubarbferry/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plots of an experiment's figures; matplotlib is loaded here alone."""
+"""Plots of experiment reports. This is the only module that imports matplotlib."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def draw(report: dict[str, Any], path: Path) -> None:
-    """Write one PNG with a panel for each experiment that the report holds.
+    """Write a PNG file with one panel for each experiment in the report.
 
-    :raises ImportError: when matplotlib is not installed.
+    :raises ImportError: if matplotlib is not installed.
     """
     from matplotlib.figure import Figure
 
--- a/rhubarbferry/bench/profiles.py
+++ b/rhubarbferry/bench/profiles.py
@@ -1,4 +1,4 @@
-"""Sizes of cells that the experiments generate work for."""
+"""Sizes of the cells that the experiments simulate."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 
 @frozen(kw_only=True, slots=True)
 class Profile:
-    """One cell.
-
-    :param runners: of one service in one region: one partition's.
-    :param accelerators: in all; they are spread over every fifth and every tenth worker.
-    :param running_tasks: on the full cell.
-    :param starts_per_s: task starts a second at the peak.
+    """The size and load of one cell.
+
+    :param runners: backend runners of one partition, that is of one service in one region.
+    :param slots: slots of each runner.
+    :param worker: capacity of each worker, without accelerators.
+    :param rack_size: workers in each rack.
+    :param accelerators: total number, placed on two of every five workers.
+    :param running_tasks: number of tasks that run on the full cell.
+    :param starts_per_s: task starts per second at peak load.
     """
 
     name: str
@@ -35,7 +38,10 @@
 
     @property
     def run_s(self) -> float:
-        """Return the mean time of a task: what the starts and the running tasks make it."""
+        """Return the mean task duration in seconds.
+
+        By Little's law it is the number of running tasks over the start rate.
+        """
         return self.running_tasks / self.starts_per_s
 
 
@@ -80,24 +86,24 @@
 
 
 def make_workers(profile: Profile) -> list[Worker]:
-    """Return the workers; racks lie within failure domains.
+    """Return the workers; each rack lies within one failure domain.
 
-    Accelerators stand on two workers of five, four or eight on each: where they are found, tasks
-    with and without them contend for processors.
+    Two of every five workers have accelerators, four or eight each. On these workers, tasks with
+    and without accelerators compete for processors.
     """
     counts = accelerators_of(profile)
     return [_worker(profile, number, counts[number]) for number in range(profile.workers)]
 
 
 def accelerators_of(profile: Profile) -> list[int]:
-    """Return how many accelerators each worker has; they add up to those of the profile."""
+    """Return the number of accelerators of each worker; the sum equals that of the profile."""
     left = profile.accelerators
     counts = []
     for number in range(profile.workers):
         mine = min(left, (0, 0, 0, 4, 8)[number % 5])
         counts.append(mine)
         left -= mine
-    # What is left over goes onto the first workers that have some, one by one.
+    # The remainder goes, one each, to the first workers that already have accelerators.
     holders = [number for number, count in enumerate(counts) if count]
     for number in holders * (left // max(1, len(holders)) + 1):
         if left == 0:
--- a/rhubarbferry/bench/request_work.py
+++ b/rhubarbferry/bench/request_work.py
@@ -1,4 +1,4 @@
-"""Requests as the experiments generate them."""
+"""Generator of the requests for the experiments."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 
 @frozen(kw_only=True, slots=True)
 class Arrival:
-    """One request.
+    """One generated request.
 
-    :param service_s: time that it takes on a healthy runner.
+    :param at: arrival time in seconds.
+    :param service_s: service time in seconds on a healthy runner.
     """
 
     id: str
@@ -35,9 +36,10 @@
 
 @frozen(kw_only=True, slots=True)
 class Mix:
-    """What requests are like.
+    """Distribution of the priority classes and timeouts of requests.
 
-    :param classes: parts of the priority classes, the most urgent first.
+    :param classes: fractions of the priority classes, the most urgent first.
+    :param timeouts_s: timeouts in seconds, drawn with equal probability.
     """
 
     classes: tuple[float, float, float]
@@ -45,31 +47,33 @@
 
 
 MIXED = Mix(classes=(0.05, 0.65, 0.30), timeouts_s=(1.0, 2.0, 5.0, 10.0))
-# With classes and short deadlines in play what an account gets is not by its share alone.
+# With several classes and short deadlines, the slot time of an account depends on more than its
+# share. This mix isolates the effect of the shares.
 ONE_CLASS = Mix(classes=(0.0, 1.0, 0.0), timeouts_s=(10.0,))
 
 
 def account_names(count: int) -> list[str]:
-    """Return names of accounts."""
+    """Return the names of ``count`` client accounts."""
     return [f"account-{number:02}" for number in range(count)]
 
 
 def share_of(number: int) -> float:
-    """Return the weight of an account."""
+    """Return the fair-share weight of an account."""
     return SHARES[number % len(SHARES)]
 
 
 def demand_of(number: int) -> float:
-    """Return how much an account asks for, relative to others; not the order of the weights."""
+    """Return the relative demand of an account, in another order than the weights."""
     return DEMANDS[(number * 3 + 1) % len(DEMANDS)]
 
 
 def arrivals(
     profile: Profile, *, load: float, seconds: float, seed: int, mix: Mix = MIXED
 ) -> Iterator[Arrival]:
-    """Yield requests in order of time.
+    """Yield requests in order of arrival time.
 
-    :param load: work offered, over what the slots of the profile can do.
+    :param load: offered work as a multiple of the total slot capacity of the profile.
+    :param seconds: length of the arrival period.
     """
     rng = random.Random(seed)
     rate = load * profile.runners * profile.slots / MEAN_S
--- a/rhubarbferry/bench/requests.py
+++ b/rhubarbferry/bench/requests.py
@@ -1,9 +1,9 @@
-"""Experiment ``requests``: the queue and the slot ledger under load, beside a plain FIFO.
+"""Experiment ``requests``: the request queue and slot ledger under load, compared with a FIFO.
 
-Requests come at 1, 2 and 10 times what the slots can do. A request that is not done by its
-deadline is cut off there: the slot time it had is then lost. Useful work is the slot time of the
-requests that were done in time, over all slot time. Now and then a wave of callers gives up, and
-some runners are slow for a while.
+Requests arrive at 1, 2 and 10 times the capacity of the slots. A request that has not ended by
+its deadline is terminated and the slot time it used is wasted. Useful work is the slot time of
+the requests that ended in time, as a fraction of all slot time. At regular intervals a fraction of
+the waiting clients abandons its requests, and some runners are slow for part of the run.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 @frozen(kw_only=True, slots=True)
 class Start:
-    """One request that got a slot."""
+    """One request that was granted a slot."""
 
     arrival: Arrival
     runner: str
@@ -57,35 +57,35 @@
 
 
 class Policy(Protocol):
-    """What decides about slots."""
+    """Interface of a policy that assigns slots to requests."""
 
     def offer(self, arrival: Arrival, now: float) -> bool:
-        """Take a request in; ``False`` when it is refused for good."""
+        """Enqueue a request; return ``False`` if it is rejected."""
         ...
 
     def starts(self, now: float) -> list[Start]:
-        """Return the requests that start now."""
+        """Assign free slots and return the requests that start."""
         ...
 
     def ended(self, start: Start, *, done: bool, held_s: float, now: float) -> None:
-        """Note that a request has given its slot back."""
+        """Release the slot of a request."""
         ...
 
     def give_up(self, request_id: str) -> bool:
-        """Note that a caller went away; tell whether it was waiting."""
+        """Abandon a request; return whether it was waiting."""
         ...
 
     def waiting(self) -> list[str]:
-        """Return the requests that wait, in order."""
+        """Return the ids of the waiting requests, in order."""
         ...
 
     def depth(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         ...
 
 
 class CorePolicy:
-    """The decision core, put together as a runner partition does it."""
+    """The queue and slot ledger of the decision core, used as in a runner partition."""
 
     def __init__(self, profile: Profile) -> None:
         self._queue = RequestQueue(rules=QueueRules(max_waiting=MAX_WAITING))
@@ -109,7 +109,7 @@
         self._keys = 0
 
     def offer(self, arrival: Arrival, now: float) -> bool:
-        """Offer it to the queue."""
+        """Offer a request to the queue."""
         waiting = Waiting(
             request_id=arrival.id,
             frontend_id="f",
@@ -130,7 +130,7 @@
         raise AssertionError("unreachable")
 
     def starts(self, now: float) -> list[Start]:
-        """Give free slots to those whose turn it is."""
+        """Drop expired requests, then grant free slots in queue order."""
         for late in self._queue.expire(now=now):
             del self._arrivals[late.request_id]
         found: list[Start] = []
@@ -162,7 +162,7 @@
         return None
 
     def ended(self, start: Start, *, done: bool, held_s: float, now: float) -> None:
-        """Release the slot and settle the account."""
+        """Release the slot and charge the account for the time held."""
         lease = self._ledger.release(start.key, SlotEnd.DONE, now=now)
         assert lease is not None
         if done:
@@ -172,12 +172,12 @@
         self._queue.finish(start.arrival.account, charged_s=charged, used_s=held_s)
 
     def give_up(self, request_id: str) -> bool:
-        """Take it out of the queue."""
+        """Remove a request from the queue; return whether it was waiting."""
         self._arrivals.pop(request_id, None)
         return self._queue.abandon(request_id) is not None
 
     def waiting(self) -> list[str]:
-        """Return the ids of those that wait."""
+        """Return the ids of the waiting requests."""
         return list(self._arrivals)
 
     def depth(self) -> int:
@@ -186,9 +186,9 @@
 
 
 class FifoPolicy:
-    """The baseline: first come, first served, on the first runner with a free slot.
+    """Baseline: first come, first served, on the first runner with a free slot.
 
-    It refuses when as many wait as in the core's queue, and skips those whose deadline is over.
+    Its queue is limited to the length of the core's queue, and expired requests are skipped.
     """
 
     def __init__(self, profile: Profile) -> None:
@@ -198,14 +198,14 @@
         self._keys = 0
 
     def offer(self, arrival: Arrival, now: float) -> bool:
-        """Append it to the line."""
+        """Append a request to the queue, unless the queue is full."""
         if len(self._line) >= MAX_WAITING:
             return False
         self._line.append(arrival)
         return True
 
     def starts(self, now: float) -> list[Start]:
-        """Start from the head of the line."""
+        """Start requests from the head of the queue."""
         found: list[Start] = []
         for runner, free in self._free.items():
             while free and (arrival := self._pop(now)) is not None:
@@ -225,20 +225,20 @@
         return None
 
     def ended(self, start: Start, *, done: bool, held_s: float, now: float) -> None:
-        """Free the slot."""
+        """Release the slot."""
         self._free[start.runner] += 1
 
     def give_up(self, request_id: str) -> bool:
-        """Mark it, so that it is skipped."""
+        """Mark a request as abandoned, so that it is skipped."""
         self._gone.add(request_id)
         return True
 
     def waiting(self) -> list[str]:
-        """Return the ids of those that wait."""
+        """Return the ids of the waiting requests."""
         return [arrival.id for arrival in self._line if arrival.id not in self._gone]
 
     def depth(self) -> int:
-        """Return the length of the line."""
+        """Return the length of the queue."""
         return len(self._line)
 
 
@@ -250,10 +250,12 @@
 
 @define(kw_only=True)
 class Tally:
-    """What came out of one run; the warm-up is left out of the sums.
+    """Counters and sums of one run. The sums exclude the warm-up period.
 
-    :param useful_s: slot time of requests done in time.
-    :param held_s: slot time taken, per account.
+    :param useful_s: slot time in seconds of requests that ended in time.
+    :param lost_s: slot time in seconds of requests terminated at their deadline.
+    :param held_s: slot time in seconds used by each account.
+    :param wanted_s: slot time in seconds demanded by each account.
     """
 
     offered: int = 0
@@ -274,7 +276,7 @@
 
 @define(kw_only=True, eq=False)
 class Run:
-    """One run of one policy at one load."""
+    """Simulation of one policy at one load."""
 
     profile: Profile
     policy: Policy
@@ -286,7 +288,7 @@
     _ends: list[tuple[float, int, Start, float]] = Factory(list)
 
     def go(self) -> Tally:
-        """Run to the end and return the tally."""
+        """Run the simulation and return its counters."""
         rng = random.Random(self.seed + 1)
         next_wave = WAVE_EVERY_S
         for arrival in arrivals(
@@ -344,7 +346,8 @@
     def _count_end(self, arrival: Arrival, done: bool, began: float, now: float) -> None:
         tally, account = self.tally, arrival.account
         if arrival.at >= self._warm:
-            # What it took in place of what it asked for: more on a slow runner, less cut off.
+            # Replace the estimated demand by the slot time used, which is longer on a slow runner
+            # and shorter for a terminated request.
             asked = arrival.service_s + 2 * HOP_S
             tally.wanted_s[account] += now - began - asked
         held = now - max(began, self._warm)
@@ -374,7 +377,7 @@
 
 
 def figures(run: Run) -> dict[str, Any]:
-    """Return the figures of a finished run."""
+    """Return the statistics of a finished run."""
     tally, profile = run.tally, run.profile
     measured_s = (1.0 - WARM_UP_PART) * run.seconds
     slot_s = profile.runners * profile.slots * measured_s
@@ -401,10 +404,11 @@
 def experiment(
     profile: Profile, *, seed: int, seconds: float, share_seconds: float
 ) -> dict[str, Any]:
-    """Run all policies at all loads; return the figures and the parameters.
+    """Run all policies at all loads; return the statistics and the parameters.
 
-    :param share_seconds: length of the run at twice the capacity with one class of requests,
-        from which the shares are told.
+    :param seconds: length of each run.
+    :param share_seconds: length of the run at twice the capacity with one priority class, which
+        measures the shares of the accounts.
     """
     found: dict[str, Any] = {
         "seconds": seconds,
--- a/rhubarbferry/bench/run.py
+++ b/rhubarbferry/bench/run.py
@@ -1,4 +1,4 @@
-"""Run experiments and put their report together."""
+"""Run experiments and assemble their report."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @frozen(kw_only=True, slots=True)
 class Plan:
-    """What to run.
+    """Parameters of the experiments.
 
-    :param request_seconds: of generated time for each load.
-    :param share_seconds: of generated time for the runs that tell shares.
-    :param day_seconds: of generated time for which jobs come in on each day.
-    :param steps: batches of the placement experiment.
+    :param request_seconds: simulated seconds of requests at each load.
+    :param share_seconds: simulated seconds of the runs that measure fair shares.
+    :param day_seconds: simulated seconds during which jobs arrive on each day.
+    :param steps: number of batches in the placement experiment.
     """
 
     profile: str = "today"
@@ -35,9 +35,10 @@
 
 
 def run(plan: Plan, names: Iterable[str] = EXPERIMENTS) -> dict[str, Any]:
-    """Run experiments one after the other.
+    """Run experiments one after the other and return their report.
 
-    All figures but those whose names begin with ``wall_`` are the same for the same plan.
+    Values whose keys begin with ``wall_`` depend on the machine. All others are reproducible for
+    the same plan.
     """
     profile = PROFILES[plan.profile]
     report: dict[str, Any] = {
@@ -68,7 +69,7 @@
 
 
 def without_wall(value: Any) -> Any:
-    """Return a report without what differs from run to run."""
+    """Return a report without the ``wall_`` values, which differ between runs."""
     if isinstance(value, dict):
         return {k: without_wall(v) for k, v in value.items() if not k.startswith(WALL)}
     return value
--- a/rhubarbferry/bench/shares.py
+++ b/rhubarbferry/bench/shares.py
@@ -1,9 +1,9 @@
-"""Experiment ``shares``: ten minutes of saturation with jobs, beside a FIFO without shares.
+"""Experiment ``shares``: ten minutes of saturation with jobs, compared with a FIFO queue.
 
-One home with its queue and standings claims tasks from worker partitions of one rack each, as
-the daemons do, but for the messages. All accounts have more work than they get, and ask for
-unlike amounts of unlike tasks. Jobs that no worker can hold come in between, waves of
-cancellations pass, and some workers fall silent for longer than their leases.
+One home, with its queue and fair-share state, places tasks in worker partitions of one rack each,
+as the daemons do but without messages. All accounts demand more than they receive, in different
+amounts and with different task sizes. Some jobs fit no worker, many jobs are cancelled at regular
+intervals, and some workers become unreachable for longer than their leases.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 @define(kw_only=True, eq=False)
 class Rack:
-    """One worker partition, with what its home knows of it."""
+    """One worker partition, with the home's view of its free capacity."""
 
     name: str
     ledger: WorkerLedger
@@ -61,11 +61,11 @@
     stale: bool = True
 
     def digest(self, share: FairShare, now: float) -> None:
-        """Tell the home what is held and free."""
+        """Send the partition's used and free capacity to the home."""
         self.ledger.expire(now)
         share.put_digest(self.name, UsageDigest(taken_at=now, used=self.ledger.usage()))
         free, largest = self.ledger.free(), self.ledger.placement.largest_free()
-        # What found no room is tried again only when something has become free.
+        # Sizes that did not fit are retried only after the free capacity has changed.
         keep = self.room.free == free and self.room.largest == largest
         self.room = Room(
             partition=self.name,
@@ -79,7 +79,7 @@
 
 
 def make_racks(profile: Profile) -> list[Rack]:
-    """Return the partitions, all workers live and empty."""
+    """Return the worker partitions, with all workers live and empty."""
     groups: dict[str, list[Worker]] = defaultdict(list)
     for worker in make_workers(profile):
         groups[worker.rack].append(worker)
@@ -96,7 +96,7 @@
 
 @frozen(kw_only=True, slots=True, order=True)
 class Ending:
-    """When an attempt will end by itself."""
+    """The scheduled end of an attempt."""
 
     at: float
     task_id: str
@@ -105,11 +105,11 @@
 
 @define(kw_only=True, eq=False, slots=False)
 class Cellful:
-    """The whole cell under one policy.
+    """Simulation of the whole cell under one policy.
 
-    :param queue: of the core, or a baseline.
-    :param keeps: whether workers are kept free for large tasks that have waited long.
-    :param rate: tasks submitted a second; 0 keeps each account's backlog full.
+    :param queue: job queue of the decision core, or a baseline.
+    :param keeps: whether workers are reserved for large tasks after a long wait.
+    :param rate: tasks submitted per second; with 0, each account's backlog is kept full.
     """
 
     profile: Profile
@@ -147,7 +147,7 @@
         self._extents = [_extent(rack) for rack in self._racks]
 
     def go(self) -> None:
-        """Run to the end."""
+        """Run the simulation."""
         for tick in range(int(self.seconds / TICK_S)):
             now = 1.0 + tick * TICK_S
             self._end_until(now)
@@ -160,7 +160,7 @@
     # ------------------------------------------------------------ work
 
     def _submit(self, now: float) -> None:
-        """Submit at the rate, or keep each account's backlog at what it asks for."""
+        """Submit jobs at the given rate, or refill each account's backlog to its demand."""
         if self.rate:
             while self._submitted < self.rate * now:
                 self._submit_one(self._rng.choice(self._names), now)
@@ -281,7 +281,7 @@
             self.queue.drop(job)
             del self._jobs[job.id]
 
-    # ------------------------------------------------------------ trouble
+    # ------------------------------------------------------------ faults
 
     def _events(self, tick: int, now: float) -> None:
         if tick and tick % round(WAVE_EVERY_S / TICK_S) == 0:
@@ -289,7 +289,7 @@
         if tick and tick % round(SICK_EVERY_S / TICK_S) == 0:
             self._fall_silent(now)
         for number, rack in enumerate(self._racks):
-            # The ledger keeps sets, whose order differs from process to process.
+            # The ledger uses sets, whose iteration order differs between processes.
             lapsed = sorted(rack.ledger.lapse(now), key=lambda held: held.attempt.task_id)
             for held in lapsed:
                 self.counts["lapsed"] += 1
@@ -318,7 +318,7 @@
                     self.counts["silent_workers"] += 1
 
     def _cancel_wave(self) -> None:
-        """Cancel waiting jobs of every other account; what runs goes on to its end."""
+        """Cancel a fraction of the jobs of every second account; running tasks continue."""
         for job, made in list(self._jobs.values()):
             if self._rng.random() >= WAVE_PART or made.spec.account not in self._names[::2]:
                 continue
@@ -339,7 +339,7 @@
             _add(self.free_s, rack.ledger.free())
 
     def figures(self) -> dict[str, Any]:
-        """Return the figures of a finished run."""
+        """Return the statistics of a finished run."""
         totals = _parts(self._total)
         ticks = int(self.seconds / TICK_S) - int((WARM_UP_S - 1.0) / TICK_S) - 1
         dominant = {
@@ -387,7 +387,7 @@
 
 
 def make_queue() -> JobQueue:
-    """Return the queue of the decision core."""
+    """Return the job queue of the decision core."""
     return JobQueue(far_after_s=0.0, patience_s=PATIENCE_S)
 
 
@@ -395,7 +395,7 @@
 
 
 def experiment(profile: Profile, *, seed: int, seconds: float) -> dict[str, Any]:
-    """Run all policies; return the figures and the parameters."""
+    """Run all policies; return the statistics and the parameters."""
     found: dict[str, Any] = {
         "seconds": seconds,
         "warm_up_s": WARM_UP_S,
--- a/rhubarbferry/bench/task_work.py
+++ b/rhubarbferry/bench/task_work.py
@@ -1,4 +1,4 @@
-"""Tasks and jobs as the experiments generate them."""
+"""Generator of the tasks and jobs for the experiments."""
 
 from __future__ import annotations
 
@@ -32,18 +32,19 @@
 
 
 def task_need(rng: random.Random, number: int, *, services: bool) -> Need:
-    """Return one task that looks for a worker; with ``services`` a third of them spread."""
+    """Return the placement request of one task; with ``services``, every third is spread."""
     spread = Spread.APART if services and number % 3 == 0 else Spread.PACK
     return Need(job_id=f"j{number // 8}", size=task_size(rng), spread=spread)
 
 
 @frozen(kw_only=True, slots=True)
 class Submission:
-    """One job.
+    """One generated job.
 
-    :param run_s: time of each of its tasks.
-    :param used: part of the declared size that its tasks really use: a quarter to four times.
-    :param impossible: no worker of the cell can hold one of its tasks.
+    :param run_s: duration of each task in seconds.
+    :param used: ratio of the resources that the tasks use to the declared size, from a quarter to
+        four.
+    :param impossible: whether its tasks are larger than any worker of the cell.
     """
 
     spec: JobSpec
--- a/tests/bench/test_bench.py
+++ b/tests/bench/test_bench.py
@@ -21,8 +21,8 @@
 
 @pytest.mark.parametrize("name", EXPERIMENTS)
 def test_the_same_seed_gives_the_same_figures_but_for_times(name: str) -> None:
-    """The figures are compared between commits and machines. Were they to depend on the order of
-    a set, which each process hashes in its own way, they would differ without any change.
+    """Results are compared between commits and machines. If they depended on the iteration order
+    of a set, which varies with the hash seed of the process, they would differ without a change.
     """
     first, second = (figures_of_process(name, hash_seed) for hash_seed in "12")
     assert first == second
@@ -97,8 +97,8 @@
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_no_request_is_lost_or_counted_twice(policy: str) -> None:
-    """A request that is refused, gives up, is cut off and done in one run would make the useful
-    work look larger or smaller than it is, and the comparison with the baseline void.
+    """Guards against requests that are lost or counted under several outcomes. Such errors would
+    distort the useful work and invalidate the comparison with the baseline.
     """
     profile = PROFILES["today"]
     run_ = Run(profile=profile, policy=POLICIES[policy](profile), load=3.0, seconds=20.0, seed=2)
--- a/tests/bench/test_days.py
+++ b/tests/bench/test_days.py
@@ -1,4 +1,4 @@
-"""Generated days: a mechanism must earn more than it costs on the load that it is for."""
+"""Simulated days: a mechanism must raise the earned worth under the load that it addresses."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_starts_that_are_sent_again_serve_more_while_hosts_lose_orders(monkeypatch):
-    """Guards against wide gangs that begin too late where hosts lose one start in five."""
+    """Guards against wide gangs that start too late when hosts lose one start request in five."""
     with_retries = worth()
     monkeypatch.setattr(tracker, "next_try", lambda run, host, now: None)
     assert with_retries > worth() + 0.05
