--- a/bench/dispatch_backlog.py
+++ b/bench/dispatch_backlog.py
@@ -33,7 +33,7 @@
 QUEUE = Queue(name="queue", service="pool")
 
 
-def entry(index: int) -> HostEntry:
+def host_entry(index: int) -> HostEntry:
     return HostEntry(
         id=f"h{index}",
         incarnation=1,
@@ -53,7 +53,7 @@
     )
 
 
-class Cell:
+class DispatchSimulation:
     """A dispatcher with simulated hosts that end each task as soon as it has started."""
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
         self.dispatcher = Dispatcher(succession=succession, lease_s=LEASE_S)
         self.ends = {f"h{index}": 0 for index in range(HOSTS)}
         for index in range(HOSTS):
-            self.dispatcher.host_listed(entry(index), now=self.now)
+            self.dispatcher.host_listed(host_entry(index), now=self.now)
             self.report(f"h{index}", [])
 
     def report(self, host: str, orders: list[StartOrder]) -> None:
@@ -80,7 +80,7 @@
         report = HostReport(clock_s=self.now, incarnation=1, running=(), ended=tuple(ended))
         self.dispatcher.reported(host, report, sent_at=self.now, now=self.now)
 
-    def turn(self) -> int:
+    def step(self) -> int:
         """Decide once, start and end the placed tasks; return their number."""
         self.now += 0.001
         orders = self.dispatcher.decide(now=self.now, wall_s=self.now)
@@ -99,19 +99,19 @@
 
 
 def measure(waiting_tasks: int) -> float:
-    cell = Cell()
+    simulation = DispatchSimulation()
     for index in range(waiting_tasks // TASKS_PER_LARGE_JOB):
         # Larger than any host, so the tasks wait during the whole run.
         large = job(f"large{index}", TASKS_PER_LARGE_JOB, 65_000)
-        cell.dispatcher.add_job(large, now=cell.now, wall_s=cell.now)
-    cell.turn()
+        simulation.dispatcher.add_job(large, now=simulation.now, wall_s=simulation.now)
+    simulation.step()
     for index in range(SMALL_JOBS):
         small = job(f"small{index}", 1, 2_000)
-        cell.dispatcher.add_job(small, now=cell.now, wall_s=cell.now)
+        simulation.dispatcher.add_job(small, now=simulation.now, wall_s=simulation.now)
     placed = 0
     begun = time.perf_counter()
     while placed < SMALL_JOBS:
-        placed += cell.turn()
+        placed += simulation.step()
     return placed / (time.perf_counter() - begun)
 
 
--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -21,7 +21,7 @@
 
 from rhubarbferry.test.processes import Process, ProcessCell, Shape
 
-RACK = 8
+WORKERS_PER_RACK = 8
 RACKS = 69
 DOMAINS = {"attiki": 4, "kriti": 3}
 SCHEDULERS = 4
@@ -30,13 +30,13 @@
 TASKS = 5800
 SERVICE_TASKS = TASKS // 5
 JOB_TASKS = 50
-LONG_MS = 600_000
+LONG_RUN_MS = 600_000
 CHURN_PER_S = 240
 CHURN_S = 12
 CHURN_TASKS = 20
-CHURN_MS = 1000
+CHURN_RUN_MS = 1000
 IDLE_S = 10
-BOUND_S = 90
+TIMEOUT_S = 90
 
 
 @frozen(kw_only=True)
@@ -61,7 +61,7 @@
     # ------------------------------------------------------------ the cell
 
     async def start_fleets(self) -> None:
-        places = [(rack, n) for rack in range(RACKS) for n in range(RACK)]
+        places = [(rack, n) for rack in range(RACKS) for n in range(WORKERS_PER_RACK)]
         per_fleet = -(-len(places) // FLEETS)
         await asyncio.gather(
             *(
@@ -125,10 +125,10 @@
             found: dict[str, Any] = await answer.json()
         return found
 
-    async def until_running(self, count: int) -> float:
+    async def wait_until_running(self, count: int) -> float:
         begun = time.monotonic()
         while (await self.counts())["running"] < count:
-            if time.monotonic() - begun > BOUND_S:
+            if time.monotonic() - begun > TIMEOUT_S:
                 break
             await asyncio.sleep(0.25)
         return time.monotonic() - begun
@@ -144,7 +144,7 @@
             "size": {"millicores": 4000, "memory_bytes": 8 * 2**30, "accelerators": 0},
             **job,
         }
-        until = time.monotonic() + BOUND_S
+        until = time.monotonic() + TIMEOUT_S
         while True:
             status, doc = await self.cell.submit(frontends[n % len(frontends)], **body)
             if status == 202:
@@ -160,12 +160,12 @@
             kinds.append("service" if left < SERVICE_TASKS else "batch")
         await asyncio.gather(
             *(
-                self.submit(n, kind=kind, tasks=JOB_TASKS, run_ms=LONG_MS)
+                self.submit(n, kind=kind, tasks=JOB_TASKS, run_ms=LONG_RUN_MS)
                 for n, kind in enumerate(kinds)
             )
         )
         accepted = time.monotonic() - begun
-        await self.until_running(TASKS)
+        await self.wait_until_running(TASKS)
         took = time.monotonic() - begun
         counts = await self.counts()
         self.result["fill"] = {
@@ -176,7 +176,7 @@
             "starts_per_s": round(counts["started"] / took, 1),
         }
 
-    async def watch(self, name: str, seconds: float, work: Any = None) -> None:
+    async def measure_phase(self, name: str, seconds: float, work: Any = None) -> None:
         daemons = self.cell.named("scheduler") + self.cell.named("frontend")
         daemons = [d for d in daemons if d.running]
         before = {d.name: usage_of(d) for d in daemons}
@@ -214,7 +214,7 @@
         pending = []
         for n in range(int(CHURN_S / gap)):
             await asyncio.sleep(max(0.0, begun + n * gap - time.monotonic()))
-            job = self.submit(n, tasks=CHURN_TASKS, run_ms=CHURN_MS)
+            job = self.submit(n, tasks=CHURN_TASKS, run_ms=CHURN_RUN_MS)
             pending.append(asyncio.create_task(job))
         jobs = list(await asyncio.gather(*pending))
         waits = []
@@ -229,7 +229,7 @@
         }
 
     async def job_done(self, job_id: str) -> dict[str, Any]:
-        until = time.monotonic() + BOUND_S
+        until = time.monotonic() + TIMEOUT_S
         doc: dict[str, Any] = {}
         while time.monotonic() < until:
             doc = await self.cell.job(self.frontends()[0], job_id)
@@ -245,10 +245,10 @@
         await victim.kill()
         waits = []
         for n in range(16):
-            asked = time.monotonic()
+            submitted_at = time.monotonic()
             job_id = await self.submit(n, tasks=1, run_ms=0, priority="urgent", kind="batch")
             await self.job_done(job_id)
-            waits.append(time.monotonic() - asked)
+            waits.append(time.monotonic() - submitted_at)
         after = await self.counts()
         self.result["kill"] = {
             "urgent_done_s_max": round(max(waits), 2),
@@ -257,7 +257,7 @@
             "running_after": after["running"],
         }
 
-    async def judge(self) -> None:
+    async def check_runs(self) -> None:
         spans: dict[str, list[tuple[float, float]]] = {}
         for fleet in self.cell.named("fleet"):
             for task, start, end in (await self.cell.record(fleet.name))["runs"]:
@@ -294,12 +294,12 @@
             await bench.start_fleets()
             await bench.start_daemons()
             await cell.until_served(bench.frontends()[0], within_s=60)
-            await bench.watch("empty", IDLE_S)
+            await bench.measure_phase("empty", IDLE_S)
             await bench.fill()
-            await bench.watch("full", IDLE_S)
-            await bench.watch("churn", CHURN_S, bench.churn())
+            await bench.measure_phase("full", IDLE_S)
+            await bench.measure_phase("churn", CHURN_S, bench.churn())
             await bench.kill()
-            await bench.judge()
+            await bench.check_runs()
             if "--logs" in sys.argv:
                 for process in cell.named("scheduler")[:3]:
                     print(process.last_lines(30), file=sys.stderr)
--- a/bench/job_starts.py
+++ b/bench/job_starts.py
@@ -35,14 +35,14 @@
 RUN_MS = 800
 SIZE = {"millicores": 1000, "memory_bytes": 2**30}
 # The first scheduler to start acquires all partitions; rebalancing to the others takes time.
-WARM_S = 9.0
-READY_S = 30.0
-SETTLED_S = 60.0
+WARM_UP_S = 9.0
+READY_TIMEOUT_S = 30.0
+JOBS_END_TIMEOUT_S = 60.0
 MAX_MS = 600_000
 
 
 @frozen(kw_only=True)
-class Marks:
+class Reading:
     """Counter values at one point in time."""
 
     at: float
@@ -87,15 +87,15 @@
             self.refused += 1
 
 
-async def marks(cell: ProcessCell) -> Marks:
+async def read(cell: ProcessCell) -> Reading:
     async with cell.session.get(f"{cell.processes['store'].http}/counters") as answer:
         counters = await answer.json()
     used = {name: cpu_ms(process) / 1000 for name, process in cell.processes.items()}
-    return Marks(at=time.monotonic(), writes=counters["writes"], cpu_s=used)
+    return Reading(at=time.monotonic(), writes=counters["writes"], cpu_s=used)
 
 
-async def until_ready(cell: ProcessCell, submitter: Submitter) -> None:
-    async with asyncio.timeout(READY_S):
+async def wait_until_ready(cell: ProcessCell, submitter: Submitter) -> None:
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while not submitter.accepted:
             await submitter.submit()
             await asyncio.sleep(0.2)
@@ -110,8 +110,8 @@
     return found
 
 
-async def until_done(cell: ProcessCell) -> list[dict[str, Any]]:
-    async with asyncio.timeout(SETTLED_S):
+async def wait_until_done(cell: ProcessCell) -> list[dict[str, Any]]:
+    async with asyncio.timeout(JOBS_END_TIMEOUT_S):
         while True:
             found = await jobs(cell)
             if all(job["phase"] not in ("waiting", "running") for job in found):
@@ -126,7 +126,7 @@
     return {f"p{mark}": times.get_value_at_percentile(mark) for mark in (50, 99, 100)}
 
 
-def per_start_ms(before: Marks, after: Marks, starts: int) -> dict[str, float]:
+def per_start_ms(before: Reading, after: Reading, starts: int) -> dict[str, float]:
     used = {name: after.cpu_s[name] - before.cpu_s[name] for name in after.cpu_s}
     workers = sum(value for name, value in used.items() if name.startswith("worker"))
     named = {name: value for name, value in used.items() if not name.startswith("worker")}
@@ -136,13 +136,13 @@
 
 async def measure(cell: ProcessCell, args: argparse.Namespace) -> dict[str, object]:
     submitter = Submitter(cell=cell, tasks=args.tasks, per_s=args.rate / args.tasks)
-    await until_ready(cell, submitter)
-    await submitter.run(WARM_S)
+    await wait_until_ready(cell, submitter)
+    await submitter.run(WARM_UP_S)
     warm, submitter.refused = set(submitter.accepted), 0
-    before = await marks(cell)
+    before = await read(cell)
     await submitter.run(args.seconds)
-    after = await marks(cell)
-    found = await until_done(cell)
+    after = await read(cell)
+    found = await wait_until_done(cell)
     runs = [run for record in await cell.records("worker") for run in record["runs"]]
     starts = sum(before.at <= run["started_at"] < after.at for run in runs)
     took_s = after.at - before.at
--- a/bench/request_latency.py
+++ b/bench/request_latency.py
@@ -17,18 +17,21 @@
 
 from rhubarbferry.test.processes import ProcessCell, Shape
 
-ALONE = 200
-MANY = 3000
-AT_ONCE = 32
+SEQUENTIAL_REQUESTS = 200
+CONCURRENT_REQUESTS = 3000
+CONCURRENCY = 32
 MAX_US = 60_000_000
 
 
 def summary(times: HdrHistogram) -> dict[str, float]:
-    marks = {"p50": 50, "p99": 99, "max": 100}
-    return {name: times.get_value_at_percentile(mark) / 1000 for name, mark in marks.items()}
+    percentiles = {"p50": 50, "p99": 99, "max": 100}
+    return {
+        name: times.get_value_at_percentile(percentile) / 1000
+        for name, percentile in percentiles.items()
+    }
 
 
-async def one(cell: ProcessCell, keyed: bool, times: HdrHistogram) -> None:
+async def send_request(cell: ProcessCell, keyed: bool, times: HdrHistogram) -> None:
     headers = {"Idempotent": "true"}
     if keyed:
         headers = {"Idempotent": "false", "Idempotency-Key": secrets.token_hex(8)}
@@ -39,24 +42,24 @@
     times.record_value(int((time.perf_counter() - begun) * 1e6))
 
 
-async def alone(cell: ProcessCell, keyed: bool) -> dict[str, float]:
+async def measure_sequential(cell: ProcessCell, keyed: bool) -> dict[str, float]:
     times = HdrHistogram(1, MAX_US, 3)
-    for _ in range(ALONE):
-        await one(cell, keyed, times)
+    for _ in range(SEQUENTIAL_REQUESTS):
+        await send_request(cell, keyed, times)
     return summary(times)
 
 
-async def many(cell: ProcessCell, keyed: bool) -> dict[str, float]:
+async def measure_concurrent(cell: ProcessCell, keyed: bool) -> dict[str, float]:
     times = HdrHistogram(1, MAX_US, 3)
-    room = asyncio.Semaphore(AT_ONCE)
+    semaphore = asyncio.Semaphore(CONCURRENCY)
 
     async def bounded() -> None:
-        async with room:
-            await one(cell, keyed, times)
+        async with semaphore:
+            await send_request(cell, keyed, times)
 
     begun = time.perf_counter()
-    await asyncio.gather(*(bounded() for _ in range(MANY)))
-    return {**summary(times), "per_s": MANY / (time.perf_counter() - begun)}
+    await asyncio.gather(*(bounded() for _ in range(CONCURRENT_REQUESTS)))
+    return {**summary(times), "per_s": CONCURRENT_REQUESTS / (time.perf_counter() - begun)}
 
 
 async def main() -> None:
@@ -65,10 +68,10 @@
         async with ProcessCell(dir=Path(dir), shape=shape) as cell:
             await cell.until_served("frontend-attiki-1")
             result = {
-                "alone_ms": await alone(cell, False),
-                "alone_keyed_ms": await alone(cell, True),
-                "many_ms": await many(cell, False),
-                "many_keyed_ms": await many(cell, True),
+                "alone_ms": await measure_sequential(cell, False),
+                "alone_keyed_ms": await measure_sequential(cell, True),
+                "many_ms": await measure_concurrent(cell, False),
+                "many_keyed_ms": await measure_concurrent(cell, True),
             }
             if "--errors" in sys.argv:
                 print(cell.processes["frontend-attiki-1"].last_lines(40), file=sys.stderr)
--- a/bench/slopes_dispatch.py
+++ b/bench/slopes_dispatch.py
@@ -16,14 +16,14 @@
 
 from attrs import evolve
 
-from rhubarbferry.bench.day_work import CALM
-from rhubarbferry.bench.days import Cell
+from rhubarbferry.bench.day_work import FAULT_FREE_DAY
+from rhubarbferry.bench.days import DaySimulation
 from rhubarbferry.dispatch.dispatcher import Dispatcher
 from rhubarbferry.dispatch.messages import StartOrder
 
-SIZES = (24, 176, 270, 550)
-SECONDS = 20.0
-CALLS = ("add_job", "reported", "start_answered", "advised", "decide", "retry", "recorded")
+HOST_COUNTS = (24, 176, 270, 550)
+ARRIVAL_S = 20.0
+TIMED_METHODS = ("add_job", "reported", "start_answered", "advised", "decide", "retry", "recorded")
 
 
 class Meter:
@@ -49,29 +49,33 @@
 
 def measure(hosts: int) -> dict[str, float]:
     meter = Meter()
-    originals = {name: getattr(Dispatcher, name) for name in CALLS}
+    originals = {name: getattr(Dispatcher, name) for name in TIMED_METHODS}
     for name, call in originals.items():
         setattr(Dispatcher, name, meter.wrap(call))
     try:
-        scale = hosts / CALM.hosts
-        works = tuple(evolve(work, per_s=work.per_s * scale) for work in CALM.works)
-        members = round(CALM.members * scale)
-        day = evolve(CALM, hosts=hosts, members=members, works=works, seconds=SECONDS)
-        Cell(day=day, seed=f"slopes {hosts}").play()
+        scale = hosts / FAULT_FREE_DAY.hosts
+        job_kinds = tuple(
+            evolve(kind, jobs_per_s=kind.jobs_per_s * scale) for kind in FAULT_FREE_DAY.job_kinds
+        )
+        members = round(FAULT_FREE_DAY.members * scale)
+        day = evolve(
+            FAULT_FREE_DAY, hosts=hosts, members=members, job_kinds=job_kinds, seconds=ARRIVAL_S
+        )
+        DaySimulation(day=day, seed=f"slopes {hosts}").run()
     finally:
         for name, call in originals.items():
             setattr(Dispatcher, name, call)
     return {
         "hosts": hosts,
         "starts": meter.starts,
-        "starts_per_s": round(meter.starts / SECONDS, 1),
+        "starts_per_s": round(meter.starts / ARRIVAL_S, 1),
         "ms_per_start": round(1000 * meter.seconds / max(1, meter.starts), 3),
-        "core_share": round(meter.seconds / SECONDS, 4),
+        "core_share": round(meter.seconds / ARRIVAL_S, 4),
     }
 
 
 def main() -> None:
-    for hosts in [int(arg) for arg in sys.argv[1:]] or SIZES:
+    for hosts in [int(arg) for arg in sys.argv[1:]] or HOST_COUNTS:
         print(json.dumps(measure(hosts)), flush=True)
 
 
--- a/bench/slopes_jobs.py
+++ b/bench/slopes_jobs.py
@@ -24,18 +24,18 @@
 
 FRONTEND = "frontend-attiki-1"
 SCHEDULER = "scheduler-attiki-1"
-RACK = 8
-RACKS = (1, 3)
-REST_S = 10.0
-STARTS = (200, 800)
+WORKERS_PER_RACK = 8
+RACK_COUNTS = (1, 3)
+IDLE_S = 10.0
+START_COUNTS = (200, 800)
 TASKS_PER_JOB = 10
-SHORT_MS = 300
-FOREVER_MS = 3_600_000
-RUNNING = (0, 200, 600)
-WAITING = (0, 200, 600)
-WAIT_S = 60.0
+SHORT_RUN_MS = 300
+LONG_RUN_MS = 3_600_000
+RUNNING_COUNTS = (0, 200, 600)
+WAITING_COUNTS = (0, 200, 600)
+PHASE_TIMEOUT_S = 60.0
 SETTLE_S = 3.0
-LOOK_S = 0.3
+POLL_INTERVAL_S = 0.3
 MILLICORES = 100
 MEMORY_BYTES = 2**24
 
@@ -88,15 +88,15 @@
             raise RuntimeError(f"{status}: {document}")
         return str(document["id"])
 
-    async def until(self, ids: list[str], state: str) -> None:
+    async def wait_until(self, ids: list[str], state: str) -> None:
         """Wait until all jobs have reached a phase."""
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(PHASE_TIMEOUT_S):
             for id in ids:
                 while True:
                     document = await self.cell.job(FRONTEND, id)
                     if document.get("phase") == state:
                         break
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
 
     async def cancel(self, ids: list[str]) -> None:
         """Cancel jobs."""
@@ -119,7 +119,7 @@
     store: StoreCounts
 
 
-async def read(bench: Bench) -> Reading:
+async def take_reading(bench: Bench) -> Reading:
     """Read all counters."""
     workers = bench.cell.named("worker-")
     return Reading(
@@ -135,11 +135,11 @@
     )
 
 
-async def rest(bench: Bench, seconds: float = REST_S) -> dict[str, float]:
+async def measure_idle(bench: Bench, seconds: float = IDLE_S) -> dict[str, float]:
     """Return the resource usage while no task starts or ends."""
-    before = await read(bench)
+    before = await take_reading(bench)
     await asyncio.sleep(seconds)
-    after = await read(bench)
+    after = await take_reading(bench)
     took = after.at - before.at
     workers = len(bench.proxies)
     return {
@@ -153,17 +153,17 @@
     }
 
 
-async def starts(bench: Bench) -> dict[str, object]:
+async def measure_starts(bench: Bench) -> dict[str, object]:
     """Return the cost per task start, including submission, end and report."""
     names = ("scheduler_ms", "worker_ms", "sent", "received")
     points: dict[str, list[Point]] = {name: [] for name in (*names, "store_calls", "store_bytes")}
     seconds = []
-    for count in STARTS:
-        before = await read(bench)
+    for count in START_COUNTS:
+        before = await take_reading(bench)
         jobs = count // TASKS_PER_JOB
-        ids = [await bench.submit(tasks=TASKS_PER_JOB, run_ms=SHORT_MS) for _ in range(jobs)]
-        await bench.until(ids, "done")
-        after = await read(bench)
+        ids = [await bench.submit(tasks=TASKS_PER_JOB, run_ms=SHORT_RUN_MS) for _ in range(jobs)]
+        await bench.wait_until(ids, "done")
+        after = await take_reading(bench)
         seconds.append(round(after.at - before.at, 2))
         for name in names:
             points[name].append(
@@ -180,7 +180,9 @@
     return {**found, "seconds": seconds, "tasks_per_job": TASKS_PER_JOB}
 
 
-async def states(bench: Bench, amounts: tuple[int, ...], *, waiting: bool) -> dict[str, object]:
+async def measure_states(
+    bench: Bench, amounts: tuple[int, ...], *, waiting: bool
+) -> dict[str, object]:
     """Return the cost per running task, or per waiting job, while no task starts or ends."""
     ids: list[str] = []
     names = ("scheduler_cpu_percent", "scheduler_mib", "bytes_to_worker_per_s")
@@ -191,13 +193,13 @@
         while held < amount:
             if waiting:
                 # Larger than the capacity that the running tasks leave free on any worker.
-                ids.append(await bench.submit(tasks=1, run_ms=FOREVER_MS, millicores=32_000))
+                ids.append(await bench.submit(tasks=1, run_ms=LONG_RUN_MS, millicores=32_000))
                 held += 1
             else:
-                ids.append(await bench.submit(tasks=TASKS_PER_JOB, run_ms=FOREVER_MS))
+                ids.append(await bench.submit(tasks=TASKS_PER_JOB, run_ms=LONG_RUN_MS))
                 held += TASKS_PER_JOB
         await asyncio.sleep(SETTLE_S)
-        found = await rest(bench, REST_S / 2)
+        found = await measure_idle(bench, IDLE_S / 2)
         for name in names:
             points[name].append(Point(amount=amount, value=found[name]))
     if not waiting:
@@ -212,23 +214,23 @@
 async def fill(bench: Bench) -> None:
     """Start one task on every worker, so that no worker is completely free."""
     workers = len(bench.proxies)
-    await bench.submit(tasks=workers * 8, run_ms=FOREVER_MS, millicores=4000)
+    await bench.submit(tasks=workers * 8, run_ms=LONG_RUN_MS, millicores=4000)
     await asyncio.sleep(SETTLE_S)
 
 
 async def measure_racks(dir: Path, racks: int, *, full: bool) -> dict[str, object]:
     """Measure a cell with racks of eight workers and one scheduler."""
-    shape = Shape(runners=1, racks=racks, workers=RACK, schedulers=1)
+    shape = Shape(runners=1, racks=racks, workers=WORKERS_PER_RACK, schedulers=1)
     async with ProxiedCell(dir=dir, shape=shape) as cell:
         bench = Bench(cell=cell, proxies=cell.proxies)
         await cell.until_served(FRONTEND)
         await asyncio.sleep(SETTLE_S)
-        result: dict[str, object] = {"at_rest": await rest(bench)}
+        result: dict[str, object] = {"at_rest": await measure_idle(bench)}
         if full:
-            result["starts"] = await starts(bench)
-            result["running_tasks"] = await states(bench, RUNNING, waiting=False)
+            result["starts"] = await measure_starts(bench)
+            result["running_tasks"] = await measure_states(bench, RUNNING_COUNTS, waiting=False)
             await fill(bench)
-            result["waiting_jobs"] = await states(bench, WAITING, waiting=True)
+            result["waiting_jobs"] = await measure_states(bench, WAITING_COUNTS, waiting=True)
         for proxy in bench.proxies:
             await proxy.close()
     return result
@@ -237,10 +239,12 @@
 async def measure(dir: Path) -> dict[str, object]:
     """Measure cells of one and three racks; fit the per-task slopes with three."""
     found: dict[str, Any] = {}
-    for racks in RACKS:
+    for racks in RACK_COUNTS:
         part = dir / str(racks)
         part.mkdir()
-        found[str(racks * RACK)] = await measure_racks(part, racks, full=racks == RACKS[-1])
+        found[str(racks * WORKERS_PER_RACK)] = await measure_racks(
+            part, racks, full=racks == RACK_COUNTS[-1]
+        )
     names = ("scheduler_cpu_percent", "scheduler_mib")
     per_worker = {
         name: round(
--- a/bench/slopes_members.py
+++ b/bench/slopes_members.py
@@ -19,19 +19,19 @@
 from rhubarbferry.rpc.services import GUARD, SCHEDULER
 from rhubarbferry.test.processes import ProcessCell, Shape
 
-MEMBERS = (2, 4, 8)
-REST_S = 10.0
+MEMBER_COUNTS = (2, 4, 8)
+IDLE_S = 10.0
 CHANGES = 40
-POLL_S = 0.005
-IN_FORCE_S = 15.0
+POLL_INTERVAL_S = 0.005
+ACTIVE_TIMEOUT_S = 15.0
 KILLS = 8
-PROBE_S = 0.02
+PROBE_INTERVAL_S = 0.02
 SETTLE_S = 6.0
 MAX_US = 120_000_000
 ACCOUNTS = 20
 FRONTEND = "frontend-attiki-1"
 RUNNER_PARTITION = "runner/attiki/orders"
-ACCOUNT = """
+ACCOUNT_TEMPLATE = """
 [account team-{number}]
 share = {share}
 priority = normal
@@ -48,7 +48,7 @@
     return [process for process in found if process.running]
 
 
-async def rest(dir: Path, members: int) -> dict[str, float]:
+async def measure_idle(dir: Path, members: int) -> dict[str, float]:
     """Return the load on the store and the daemons of an idle cell."""
     shape = Shape(runners=1, workers=1, schedulers=members // 2, frontends=members // 2)
     async with ProcessCell(dir=dir, shape=shape) as cell:
@@ -56,7 +56,7 @@
         await asyncio.sleep(SETTLE_S)
         before, began = await store_counts(cell), time.monotonic()
         used = {p.name: cpu_ms(p) for p in daemons(cell)}
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(IDLE_S)
         after, took = await store_counts(cell), time.monotonic() - began
         cpu = {p.name: (cpu_ms(p) - used[p.name]) / took / 10 for p in daemons(cell)}
         memory = [rss_mib(p) for p in daemons(cell)]
@@ -78,10 +78,10 @@
 async def measure_store(dir: Path) -> dict[str, object]:
     """Measure store calls of an idle cell against the number of members."""
     found: dict[int, Any] = {}
-    for members in MEMBERS:
+    for members in MEMBER_COUNTS:
         part = dir / f"members-{members}"
         part.mkdir()
-        found[members] = await rest(part, members)
+        found[members] = await measure_idle(part, members)
     names = ("calls_per_s", "writes_per_s", "reads_per_s", "bytes_in_per_s")
     slopes = {
         name: round(slope([Point(amount=n, value=f[name]) for n, f in found.items()]), 3)
@@ -93,7 +93,7 @@
 def cell_with_accounts(base: str, count: int, change: int) -> str:
     """Return an INI text with ``count`` more accounts; ``change`` varies one parameter."""
     more = [
-        ACCOUNT.format(number=n, share=change % 7 + 1 if n == 0 else 1 + n % 3)
+        ACCOUNT_TEMPLATE.format(number=n, share=change % 7 + 1 if n == 0 else 1 + n % 3)
         for n in range(count)
     ]
     return base + "".join(more)
@@ -109,14 +109,14 @@
     return int(reply.config_revision)
 
 
-async def until_in_force(cell: ProcessCell, pools: tuple[Pool, Pool], revision: int) -> None:
+async def wait_until_active(cell: ProcessCell, pools: tuple[Pool, Pool], revision: int) -> None:
     """Wait until all members report that a revision is active."""
-    async with asyncio.timeout(IN_FORCE_S):
+    async with asyncio.timeout(ACTIVE_TIMEOUT_S):
         for process in daemons(cell):
             while True:
                 if await revision_of(pools, process) >= revision:
                     break
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def measure_config(dir: Path) -> dict[str, object]:
@@ -139,16 +139,16 @@
                 clock=SystemClock(),
                 write_id=secrets.token_hex(4),
             )
-            await until_in_force(cell, pools, change + 1)
+            await wait_until_active(cell, pools, change + 1)
             times.record_value(int(1e6 * (time.perf_counter() - begun)))
             await asyncio.sleep(0.1)
         after, took = await store_counts(cell), time.monotonic() - began
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(IDLE_S)
         rested = await store_counts(cell)
         await store.close()
         for pool in pools:
             await pool.close()
-    rest_per_s = (rested.total - after.total) / REST_S
+    rest_per_s = (rested.total - after.total) / IDLE_S
     sizes = [Point(amount=n, value=len(cell_with_accounts("", n, 1).encode())) for n in (0, 10, 20)]
     return {
         "in_force_ms": {
@@ -178,7 +178,7 @@
     return None
 
 
-async def probe(cell: ProcessCell, seen: list[tuple[float, str]], *, keyed: bool) -> None:
+async def send_probe(cell: ProcessCell, seen: list[tuple[float, str]], *, keyed: bool) -> None:
     """Send a request and record its duration and outcome."""
     headers = {"Idempotent": "true", "Request-Timeout": "20"}
     if keyed:
@@ -189,7 +189,7 @@
     seen.append((time.monotonic() - begun, answer.outcome))
 
 
-async def one_kill(cell: ProcessCell, pool: Pool, number: int) -> dict[str, Any] | None:
+async def measure_kill(cell: ProcessCell, pool: Pool, number: int) -> dict[str, Any] | None:
     """Kill the owner of the probed service; return the latencies and outcomes of requests."""
     owner = await owner_of(pool, cell, RUNNER_PARTITION)
     if owner is None:
@@ -200,8 +200,8 @@
     await owner.kill()
     while time.monotonic() - killed < SETTLE_S:
         keyed = len(tasks) % 4 == 0
-        tasks.append(asyncio.create_task(probe(cell, seen, keyed=keyed)))
-        await asyncio.sleep(PROBE_S)
+        tasks.append(asyncio.create_task(send_probe(cell, seen, keyed=keyed)))
+        await asyncio.sleep(PROBE_INTERVAL_S)
     await asyncio.gather(*tasks)
     await cell.start_daemon("scheduler", f"scheduler-attiki-r{number}", region="attiki")
     await asyncio.sleep(SETTLE_S + 2)
@@ -220,7 +220,7 @@
         await asyncio.sleep(SETTLE_S)
         pool = Pool(service=SCHEDULER)
         for number in range(KILLS):
-            one = await one_kill(cell, pool, number)
+            one = await measure_kill(cell, pool, number)
             if one is not None:
                 found.append(one)
         await pool.close()
--- a/bench/slopes_memory.py
+++ b/bench/slopes_memory.py
@@ -10,11 +10,11 @@
 from bench.probe import rss_mib
 from rhubarbferry.test.processes import ProcessCell, Shape
 
-STEPS = ("", "asyncio", "attrs", "loguru", "thrift.Thrift", "prometheus_client", "cattrs",
+IMPORTS = ("", "asyncio", "attrs", "loguru", "thrift.Thrift", "prometheus_client", "cattrs",
          "aiohttp", "starlette.applications", "uvicorn")  # fmt: skip
 DAEMONS = ("rhubarbferry.scheduler.daemon", "rhubarbferry.frontend.daemon")
 MANAGEMENT = "rhubarbferry.management.daemons"
-CODE = """\
+RSS_SCRIPT = """\
 import sys
 for name in sys.argv[1].split(","):
     if name:
@@ -25,15 +25,19 @@
 
 def _rss_mib(imports: str, env: dict[str, str]) -> float:
     done = subprocess.run(
-        [sys.executable, "-c", CODE, imports], env=env, check=True, capture_output=True, text=True
+        [sys.executable, "-c", RSS_SCRIPT, imports],
+        env=env,
+        check=True,
+        capture_output=True,
+        text=True,
     )
     return round(int(done.stdout) / 1024, 1)
 
 
 def _steps(env: dict[str, str]) -> dict[str, float]:
     found = {}
-    for at in range(1, len(STEPS) + 1):
-        found["+" + (STEPS[at - 1] or "interpreter")] = _rss_mib(",".join(STEPS[:at]), env)
+    for at in range(1, len(IMPORTS) + 1):
+        found["+" + (IMPORTS[at - 1] or "interpreter")] = _rss_mib(",".join(IMPORTS[:at]), env)
     for daemon in DAEMONS:
         found[daemon] = _rss_mib(f"{MANAGEMENT},{daemon}", env)
     return found
--- a/bench/slopes_plan.py
+++ b/bench/slopes_plan.py
@@ -12,12 +12,12 @@
 from rhubarbferry.ports.ownership import Guard, Member, Role
 
 REGIONS = ("region-1", "region-2")
-DOMAINS = 7
-RACK = 8
+FAILURE_DOMAINS = 7
+WORKERS_PER_RACK = 8
 SERVICES = 2
 KEYS_PER_REGION = 8
 SCHEDULERS = 9
-WORKERS = (24, 138, 275, 550, 1100)
+WORKER_COUNTS = (24, 138, 275, 550, 1100)
 ROUNDS = 20
 
 
@@ -30,7 +30,7 @@
             address=f"10.0.{number}.12:40123",
             http_address=f"10.0.{number}.12:40124",
             region=REGIONS[number % len(REGIONS)],
-            failure_domain=f"domain-{number % DOMAINS}",
+            failure_domain=f"domain-{number % FAILURE_DOMAINS}",
             config_revision=480,
         )
         for number in range(count)
@@ -39,7 +39,7 @@
 
 def make_partitions(workers: int) -> list[PartitionId]:
     """Return racks, services and key partitions."""
-    racks = -(-workers // RACK)
+    racks = -(-workers // WORKERS_PER_RACK)
     names = [f"worker/{REGIONS[n % len(REGIONS)]}/rack-{n}" for n in range(racks)]
     for region in REGIONS:
         names += [f"runner/{region}/service-{n}" for n in range(SERVICES)]
@@ -101,7 +101,7 @@
 
 def measure() -> dict[str, object]:
     """Measure with increasing numbers of workers."""
-    found = {workers: measure_one(workers) for workers in WORKERS}
+    found = {workers: measure_one(workers) for workers in WORKER_COUNTS}
     sizes = [Point(amount=f["partitions"], value=f["table_bytes"]) for f in found.values()]
     times = [Point(amount=f["partitions"], value=f["plan_death_ms"]) for f in found.values()]
     return {
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -12,16 +12,16 @@
 from bench.probe import Point, cpu_ms, listed, metric, rss_mib, slope, store_counts
 from rhubarbferry.test.processes import ProcessCell, Shape
 
-SIZES = (300, 1200, 2400)
-AT_ONCE = 24
-REST_S = 8.0
-HELD = (0, 100, 200)
-QUEUED = (0, 500, 1100)
+REQUEST_COUNTS = (300, 1200, 2400)
+CONCURRENCY = 24
+IDLE_S = 8.0
+IN_PROGRESS_COUNTS = (0, 100, 200)
+WAITING_COUNTS = (0, 500, 1100)
 FRONTEND = "frontend-attiki-1"
 SCHEDULER = "scheduler-attiki-1"
 BODY = b"x" * 100
-ROOM = "\n[requests]\nrunner_connections = 32\n"
-ALONE = 150
+RUNNER_OVERRIDES = "\n[requests]\nrunner_connections = 32\n"
+SEQUENTIAL_REQUESTS = 150
 
 
 async def send(cell: ProcessCell, *, keyed: bool, work_ms: int = 0, timeout_s: int = 60) -> float:
@@ -44,10 +44,10 @@
 
 async def send_many(cell: ProcessCell, count: int, *, keyed: bool) -> None:
     """Send ``count`` requests with limited concurrency."""
-    room = asyncio.Semaphore(AT_ONCE)
+    semaphore = asyncio.Semaphore(CONCURRENCY)
 
     async def bounded() -> None:
-        async with room:
+        async with semaphore:
             await send(cell, keyed=keyed)
 
     await asyncio.gather(*(bounded() for _ in range(count)))
@@ -68,7 +68,7 @@
     scheduler_kib: float
 
 
-async def read(cell: ProcessCell) -> Reading:
+async def take_reading(cell: ProcessCell) -> Reading:
     """Read all counters."""
     frontend, scheduler = cell.processes[FRONTEND], cell.processes[SCHEDULER]
     counts = await store_counts(cell)
@@ -88,11 +88,11 @@
 async def per_request(cell: ProcessCell, *, keyed: bool) -> dict[str, object]:
     """Return the cost per request, as slopes."""
     readings: dict[str, list[Point]] = {name: [] for name in Reading.__annotations__}
-    await send_many(cell, SIZES[0], keyed=keyed)
-    for size in SIZES:
-        before = await read(cell)
+    await send_many(cell, REQUEST_COUNTS[0], keyed=keyed)
+    for size in REQUEST_COUNTS:
+        before = await take_reading(cell)
         await send_many(cell, size, keyed=keyed)
-        after = await read(cell)
+        after = await take_reading(cell)
         for name, points in readings.items():
             points.append(Point(amount=size, value=getattr(after, name) - getattr(before, name)))
     return {
@@ -101,14 +101,14 @@
     }
 
 
-async def at_rest(cell: ProcessCell) -> dict[str, float]:
+async def idle_usage(cell: ProcessCell) -> dict[str, float]:
     """Return the resource usage of idle daemons."""
-    before = await read(cell)
-    await asyncio.sleep(REST_S)
-    after = await read(cell)
+    before = await take_reading(cell)
+    await asyncio.sleep(IDLE_S)
+    after = await take_reading(cell)
     return {
-        "frontend_cpu_percent": round((after.frontend_ms - before.frontend_ms) / REST_S / 10, 3),
-        "scheduler_cpu_percent": round((after.scheduler_ms - before.scheduler_ms) / REST_S / 10, 3),
+        "frontend_cpu_percent": round((after.frontend_ms - before.frontend_ms) / IDLE_S / 10, 3),
+        "scheduler_cpu_percent": round((after.scheduler_ms - before.scheduler_ms) / IDLE_S / 10, 3),
         "frontend_mib": round(rss_mib(cell.processes[FRONTEND]), 1),
         "scheduler_mib": round(rss_mib(cell.processes[SCHEDULER]), 1),
     }
@@ -124,7 +124,7 @@
         frontend.append(Point(amount=amount, value=1024 * rss_mib(cell.processes[FRONTEND])))
         scheduler.append(Point(amount=amount, value=1024 * rss_mib(cell.processes[SCHEDULER])))
         for task in tasks:
-            if amount > HELD[-1]:
+            if amount > IN_PROGRESS_COUNTS[-1]:
                 task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await asyncio.sleep(1.0)
@@ -136,24 +136,24 @@
     }
 
 
-async def alone_p50_ms(cell: ProcessCell, *, keyed: bool) -> float:
+async def sequential_p50_ms(cell: ProcessCell, *, keyed: bool) -> float:
     """Return the median latency of sequential requests."""
-    times = sorted([await send(cell, keyed=keyed) for _ in range(ALONE)])
-    return round(1000 * times[ALONE // 2], 2)
+    times = sorted([await send(cell, keyed=keyed) for _ in range(SEQUENTIAL_REQUESTS)])
+    return round(1000 * times[SEQUENTIAL_REQUESTS // 2], 2)
 
 
 async def measure(dir: Path) -> dict[str, object]:
     """Measure one frontend and one scheduler with eight runners."""
-    shape = Shape(runners=8, workers=1, schedulers=1, slots=32, overrides=ROOM)
+    shape = Shape(runners=8, workers=1, schedulers=1, slots=32, overrides=RUNNER_OVERRIDES)
     async with ProcessCell(dir=dir, shape=shape) as cell:
         await cell.until_served(FRONTEND)
-        result: dict[str, object] = {"at_rest": await at_rest(cell)}
-        result["in_progress"] = await held_memory(cell, HELD)
+        result: dict[str, object] = {"at_rest": await idle_usage(cell)}
+        result["in_progress"] = await held_memory(cell, IN_PROGRESS_COUNTS)
         result["idempotent"] = await per_request(cell, keyed=False)
         result["keyed"] = await per_request(cell, keyed=True)
-        plain = await alone_p50_ms(cell, keyed=False)
-        keyed = await alone_p50_ms(cell, keyed=True)
+        plain = await sequential_p50_ms(cell, keyed=False)
+        keyed = await sequential_p50_ms(cell, keyed=True)
         result["latency_ms"] = {"idempotent_p50": plain, "keyed_p50": keyed}
         result["intent_added_ms"] = round(keyed - plain, 2)
-        result["waiting"] = await held_memory(cell, QUEUED)
+        result["waiting"] = await held_memory(cell, WAITING_COUNTS)
     return result
--- a/rhubarbferry/bench/baselines.py
+++ b/rhubarbferry/bench/baselines.py
@@ -12,10 +12,10 @@
 from rhubarbferry.core.jobs import Job
 from rhubarbferry.core.placement import Need
 
-LOOK_AHEAD = 64
+MAX_SCANNED_JOBS = 64
 
 
-class Scan:
+class LinearScan:
     """Scan workers linearly: first fit in list order, or in random order with ``rng``."""
 
     def __init__(self, workers: Sequence[Worker], rng: random.Random | None = None) -> None:
@@ -69,7 +69,7 @@
     ) -> list[Picked]:
         """Claim tasks for a partition's free capacity, as ``JobQueue.pick`` does."""
         picked: list[Picked] = []
-        for job in list(self._jobs.values())[:LOOK_AHEAD]:
+        for job in list(self._jobs.values())[:MAX_SCANNED_JOBS]:
             size = job.spec.size
             while job.waiting() and len(picked) < limit:
                 fits = size.fits(room.free) and size.fits(room.largest)
--- a/rhubarbferry/bench/day_work.py
+++ b/rhubarbferry/bench/day_work.py
@@ -17,110 +17,113 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Draw:
+class BoundedLogNormal:
     """A log-normal distribution with an upper bound.
 
     :param mean: mean of the distribution before the bound is applied.
     :param spread: standard deviation of the logarithm.
-    :param most: upper bound of the samples.
+    :param maximum: upper bound of the samples.
     """
 
     mean: float
     spread: float
-    most: float
+    maximum: float
 
     def __call__(self, rng: random.Random) -> float:
         """Return one sample."""
         mu = math.log(self.mean) - self.spread**2 / 2
-        return min(self.most, rng.lognormvariate(mu, self.spread))
+        return min(self.maximum, rng.lognormvariate(mu, self.spread))
 
 
 @frozen(kw_only=True, slots=True)
-class Work:
+class JobKind:
     """The distribution of one kind of job.
 
-    :param per_s: arrival rate in jobs per second.
+    :param jobs_per_s: arrival rate in jobs per second.
     :param worth: value of a job of mean size that ends within its objective.
     :param late_worth: value of a job that ends later, up to three times its objective.
     :param steps: number of sequential steps of a job.
-    :param width: number of tasks in a step.
+    :param tasks_per_step: number of tasks in a step.
     :param run_s: duration of a task in seconds on a host of speed 1.
     :param cores: cores of a task.
     :param memory_mb: memory of a task in MB.
     :param estimate_spread: error of the declared duration, as the standard deviation of the
         logarithm of its ratio to the true one.
-    :param gang: fraction of the jobs whose tasks run only together.
-    :param saves: fraction of the jobs whose tasks can resume from a checkpoint.
-    :param fails: fraction of the attempts that fail because of the task itself.
-    :param approved: fraction of the hosts that the policy service approves for a step.
+    :param gang_fraction: fraction of the jobs whose tasks run only together.
+    :param checkpointable_fraction: fraction of the jobs whose tasks can resume from a checkpoint.
+    :param failure_fraction: fraction of the attempts that fail because of the task itself.
+    :param approved_fraction: fraction of the hosts that the policy service approves for a step.
     """
 
     queue: Queue
-    per_s: float
+    jobs_per_s: float
     worth: float
     late_worth: float
-    steps: Draw
-    width: Draw
-    run_s: Draw
-    cores: Draw
-    memory_mb: Draw
+    steps: BoundedLogNormal
+    tasks_per_step: BoundedLogNormal
+    run_s: BoundedLogNormal
+    cores: BoundedLogNormal
+    memory_mb: BoundedLogNormal
     estimate_spread: float
-    gang: float
-    saves: float
-    fails: float
-    approved: float
+    gang_fraction: float
+    checkpointable_fraction: float
+    failure_fraction: float
+    approved_fraction: float
 
 
 @frozen(kw_only=True, slots=True)
 class Burst:
-    """Multiply the arrival rate of one queue by ``times`` for ``for_s`` seconds.
+    """Multiply the arrival rate of one queue by ``factor`` for ``duration_s`` seconds.
 
     An empty ``queue`` selects all queues.
     """
 
     at_s: float
-    for_s: float
-    times: float
+    duration_s: float
+    factor: float
     queue: str = ""
 
 
 @frozen(kw_only=True, slots=True)
 class HostsLost:
-    """Fail a fraction of the hosts at once and restart them empty after ``for_s`` seconds."""
+    """Fail a fraction of the hosts at once and restart them empty after ``duration_s`` seconds."""
 
     at_s: float
-    for_s: float
-    share: float
+    duration_s: float
+    fraction: float
 
 
 @frozen(kw_only=True, slots=True)
 class HostsSlow:
-    """Slow a fraction of the hosts down by a factor of ``times`` for ``for_s`` seconds.
+    """Slow a fraction of the hosts down by a factor of ``factor`` for ``duration_s`` seconds.
 
     Slow hosts keep answering requests.
     """
 
     at_s: float
-    for_s: float
-    share: float
-    times: float
+    duration_s: float
+    fraction: float
+    factor: float
 
 
 @frozen(kw_only=True, slots=True)
 class StartsLost:
-    """Drop a fraction of the start requests for ``for_s`` seconds: no execution, no response."""
+    """Drop a fraction of the start requests for ``duration_s`` seconds.
+
+    Dropped requests are neither executed nor answered.
+    """
 
     at_s: float
-    for_s: float
-    share: float
+    duration_s: float
+    fraction: float
 
 
 @frozen(kw_only=True, slots=True)
 class Pause:
-    """Suspend all decisions for ``for_s`` seconds, as during a takeover by a new owner."""
+    """Suspend all decisions for ``duration_s`` seconds, as during a takeover by a new owner."""
 
     at_s: float
-    for_s: float
+    duration_s: float
 
 
 @frozen(kw_only=True, slots=True)
@@ -136,7 +139,7 @@
     hosts: int
     host_cores: int
     host_memory_mb: int
-    works: tuple[Work, ...]
+    job_kinds: tuple[JobKind, ...]
     speeds: tuple[float, ...] = (0.8, 1.0, 1.25)
     members: int = 8
     bursts: tuple[Burst, ...] = ()
@@ -154,14 +157,14 @@
     """
 
     at_s: float
-    work: Work
+    kind: JobKind
     req: JobRequest
     run_s: tuple[float, ...]
 
     @property
     def objective_s(self) -> float:
         """Return the time from arrival within which the job should end, in seconds."""
-        return self.work.queue.slack_factor * sum(self.run_s) + self.work.queue.objective_s
+        return self.kind.queue.slack_factor * sum(self.run_s) + self.kind.queue.objective_s
 
     @property
     def core_s(self) -> float:
@@ -174,37 +177,37 @@
 
 def arrivals(day: Day, rng: random.Random) -> Iterator[Arrival]:
     """Yield the jobs of a day; they are ordered by time only within each kind."""
-    for work in day.works:
+    for kind in day.job_kinds:
         now = 0.0
         while True:
-            rate = work.per_s * math.prod(
-                burst.times
+            rate = kind.jobs_per_s * math.prod(
+                burst.factor
                 for burst in day.bursts
-                if burst.queue in ("", work.queue.name)
-                and burst.at_s <= now < burst.at_s + burst.for_s
+                if burst.queue in ("", kind.queue.name)
+                and burst.at_s <= now < burst.at_s + burst.duration_s
             )
             now += rng.expovariate(rate)
             if now >= day.seconds:
                 break
-            yield _arrival(work, now, rng)
+            yield _arrival(kind, now, rng)
 
 
-def _arrival(work: Work, now: float, rng: random.Random) -> Arrival:
-    gang = rng.random() < work.gang
-    saves = rng.random() < work.saves
+def _arrival(kind: JobKind, now: float, rng: random.Random) -> Arrival:
+    gang = rng.random() < kind.gang_fraction
+    saves = rng.random() < kind.checkpointable_fraction
     steps = []
     durations = []
-    for index in range(max(1, round(work.steps(rng)))):
-        run_s = work.run_s(rng)
+    for index in range(max(1, round(kind.steps(rng)))):
+        run_s = kind.run_s(rng)
         durations.append(run_s)
         steps.append(
             StepRequest(
-                count=max(1, round(work.width(rng))),
+                count=max(1, round(kind.tasks_per_step(rng))),
                 sizes=Sizes(
-                    millicores=max(100, round(work.cores(rng) * 1000)),
-                    memory_mb=round(work.memory_mb(rng)),
+                    millicores=max(100, round(kind.cores(rng) * 1000)),
+                    memory_mb=round(kind.memory_mb(rng)),
                 ),
-                estimate_s=run_s * rng.lognormvariate(0.0, work.estimate_spread),
+                estimate_s=run_s * rng.lognormvariate(0.0, kind.estimate_spread),
                 after=(index - 1,) if index else (),
                 gang=gang,
                 checkpointable=saves,
@@ -212,16 +215,16 @@
         )
     req = JobRequest(
         id=f"{rng.getrandbits(64):016x}",
-        queue=work.queue.name,
+        queue=kind.queue.name,
         payload="",
         steps=tuple(steps),
     )
-    return Arrival(at_s=now, work=work, req=req, run_s=tuple(durations))
+    return Arrival(at_s=now, kind=kind, req=req, run_s=tuple(durations))
 
 
 _VALID_S = 1.5
 
-WIDE = Work(
+WIDE = JobKind(
     queue=Queue(
         name="wide",
         service="pool",
@@ -231,21 +234,21 @@
         objective_s=1.2,
         advice=AdviceCost(decision_s=0.65, per_host_s=0.0092, valid_s=_VALID_S),
     ),
-    per_s=0.577,
+    jobs_per_s=0.577,
     worth=13.1,
     late_worth=2.62,
-    steps=Draw(mean=1.2, spread=0.4, most=3),
-    width=Draw(mean=8, spread=0.8, most=48),
-    run_s=Draw(mean=6.2, spread=0.5, most=16),
-    cores=Draw(mean=18, spread=0.4, most=30),
-    memory_mb=Draw(mean=26_000, spread=0.5, most=52_000),
+    steps=BoundedLogNormal(mean=1.2, spread=0.4, maximum=3),
+    tasks_per_step=BoundedLogNormal(mean=8, spread=0.8, maximum=48),
+    run_s=BoundedLogNormal(mean=6.2, spread=0.5, maximum=16),
+    cores=BoundedLogNormal(mean=18, spread=0.4, maximum=30),
+    memory_mb=BoundedLogNormal(mean=26_000, spread=0.5, maximum=52_000),
     estimate_spread=0.5,
-    gang=1.0,
-    saves=0.5,
-    fails=0.02,
-    approved=0.25,
+    gang_fraction=1.0,
+    checkpointable_fraction=0.5,
+    failure_fraction=0.02,
+    approved_fraction=0.25,
 )
-BATCH = Work(
+BATCH = JobKind(
     queue=Queue(
         name="batch",
         service="pool",
@@ -255,21 +258,21 @@
         objective_s=3.0,
         advice=AdviceCost(decision_s=0.083, per_host_s=0.0012, valid_s=_VALID_S),
     ),
-    per_s=2.18,
+    jobs_per_s=2.18,
     worth=2.18,
     late_worth=0.436,
-    steps=Draw(mean=1.5, spread=0.4, most=3.8),
-    width=Draw(mean=10, spread=0.8, most=60),
-    run_s=Draw(mean=3.4, spread=0.5, most=8.4),
-    cores=Draw(mean=3.9, spread=0.45, most=12),
-    memory_mb=Draw(mean=5_600, spread=0.6, most=17_000),
+    steps=BoundedLogNormal(mean=1.5, spread=0.4, maximum=3.8),
+    tasks_per_step=BoundedLogNormal(mean=10, spread=0.8, maximum=60),
+    run_s=BoundedLogNormal(mean=3.4, spread=0.5, maximum=8.4),
+    cores=BoundedLogNormal(mean=3.9, spread=0.45, maximum=12),
+    memory_mb=BoundedLogNormal(mean=5_600, spread=0.6, maximum=17_000),
     estimate_spread=0.9,
-    gang=0.0,
-    saves=0.8,
-    fails=0.02,
-    approved=0.45,
+    gang_fraction=0.0,
+    checkpointable_fraction=0.8,
+    failure_fraction=0.02,
+    approved_fraction=0.45,
 )
-SHORT = Work(
+SHORT = JobKind(
     queue=Queue(
         name="short",
         service="pool",
@@ -279,58 +282,60 @@
         objective_s=0.5,
         advice=AdviceCost(decision_s=0.012, per_host_s=0.00017, valid_s=_VALID_S),
     ),
-    per_s=15.4,
+    jobs_per_s=15.4,
     worth=0.432,
     late_worth=0.0864,
-    steps=Draw(mean=1, spread=0.0, most=2.5),
-    width=Draw(mean=2, spread=0.8, most=12),
-    run_s=Draw(mean=1.0, spread=0.5, most=2.5),
-    cores=Draw(mean=5.6, spread=0.45, most=17),
-    memory_mb=Draw(mean=8_000, spread=0.6, most=24_000),
+    steps=BoundedLogNormal(mean=1, spread=0.0, maximum=2.5),
+    tasks_per_step=BoundedLogNormal(mean=2, spread=0.8, maximum=12),
+    run_s=BoundedLogNormal(mean=1.0, spread=0.5, maximum=2.5),
+    cores=BoundedLogNormal(mean=5.6, spread=0.45, maximum=17),
+    memory_mb=BoundedLogNormal(mean=8_000, spread=0.6, maximum=24_000),
     estimate_spread=0.2,
-    gang=0.3,
-    saves=0.0,
-    fails=0.05,
-    approved=0.7,
+    gang_fraction=0.3,
+    checkpointable_fraction=0.0,
+    failure_fraction=0.05,
+    approved_fraction=0.7,
 )
 
-CALM = Day(
+FAULT_FREE_DAY = Day(
     seconds=60.0,
     hosts=24,
     host_cores=64,
     host_memory_mb=131_072,
-    works=(WIDE, BATCH, SHORT),
+    job_kinds=(WIDE, BATCH, SHORT),
 )
 DAYS: dict[str, Day] = {
-    "calm": CALM,
+    "calm": FAULT_FREE_DAY,
     "bursts": evolve(
-        CALM,
+        FAULT_FREE_DAY,
         bursts=(
-            Burst(at_s=10, for_s=4, times=2.1, queue="short"),
-            Burst(at_s=25, for_s=4, times=1.7, queue="wide"),
-            Burst(at_s=40, for_s=8, times=1.6),
+            Burst(at_s=10, duration_s=4, factor=2.1, queue="short"),
+            Burst(at_s=25, duration_s=4, factor=1.7, queue="wide"),
+            Burst(at_s=40, duration_s=8, factor=1.6),
         ),
     ),
     "hosts lost": evolve(
-        CALM,
-        losses=(HostsLost(at_s=15, for_s=8, share=0.3),),
-        bursts=(Burst(at_s=15, for_s=8, times=1.3),),
+        FAULT_FREE_DAY,
+        losses=(HostsLost(at_s=15, duration_s=8, fraction=0.3),),
+        bursts=(Burst(at_s=15, duration_s=8, factor=1.3),),
+    ),
+    "takeovers": evolve(
+        FAULT_FREE_DAY, pauses=(Pause(at_s=10, duration_s=3), Pause(at_s=35, duration_s=6))
     ),
-    "takeovers": evolve(CALM, pauses=(Pause(at_s=10, for_s=3), Pause(at_s=35, for_s=6))),
     "hosts slow": evolve(
-        CALM,
+        FAULT_FREE_DAY,
         slow=(
-            HostsSlow(at_s=8, for_s=6, share=0.08, times=6.0),
-            HostsSlow(at_s=30, for_s=8, share=0.17, times=6.5),
+            HostsSlow(at_s=8, duration_s=6, fraction=0.08, factor=6.0),
+            HostsSlow(at_s=30, duration_s=8, fraction=0.17, factor=6.5),
         ),
-        bursts=(Burst(at_s=30, for_s=4, times=1.3),),
+        bursts=(Burst(at_s=30, duration_s=4, factor=1.3),),
     ),
     "starts lost": evolve(
-        CALM,
+        FAULT_FREE_DAY,
         starts_lost=(
-            StartsLost(at_s=5, for_s=15, share=0.055),
-            StartsLost(at_s=30, for_s=15, share=0.11),
+            StartsLost(at_s=5, duration_s=15, fraction=0.055),
+            StartsLost(at_s=30, duration_s=15, fraction=0.11),
         ),
     ),
-    "overload": evolve(CALM, bursts=(Burst(at_s=0, for_s=60, times=1.6),)),
+    "overload": evolve(FAULT_FREE_DAY, bursts=(Burst(at_s=0, duration_s=60, factor=1.6),)),
 }
--- a/rhubarbferry/bench/days.py
+++ b/rhubarbferry/bench/days.py
@@ -45,28 +45,28 @@
 
 # One-way network delay to a host or to the policy service, and the time to persist the end of a
 # job.
-WAY_S = 0.02
-RECORD_S = 0.04
+ONE_WAY_DELAY_S = 0.02
+PERSIST_DELAY_S = 0.04
 # Interval of decisions that depend on time alone, and the longest interval between two status
 # reports of a host.
-TICK_S = 0.1
-LOOK_S = 0.7
+DECISION_INTERVAL_S = 0.1
+REPORT_INTERVAL_S = 0.7
 LEASE_S = 6.0
-STOP_S = 0.5
-RESTORE_S = 0.1
+STOP_DURATION_S = 0.5
+RESTORE_DURATION_S = 0.1
 # The hosts approved for a step have, when empty, at least this many times the capacity it needs.
-ROOM_FOR_STEP = 1.3
+MIN_APPROVED_CAPACITY_FACTOR = 1.3
 # Tolerance in seconds for the floating-point error between two computations of the same time.
-SAME_TIME_S = 1e-6
+TIME_TOLERANCE_S = 1e-6
 WINDOW_S = 2.0
-WORST_WINDOWS = 2
+WORST_WINDOW_COUNT = 2
 # The simulation continues for this long after the arrival period ends, so that jobs can finish.
-REST_S = 40.0
+DRAIN_S = 40.0
 LATE_FACTOR = 3
 # The worth of a job grows with its work: this fraction is fixed, the rest is proportional to the
 # job's work relative to the mean of its kind.
-FIXED_SHARE = 0.3
-MOST_TIMES_WORTH = 4.0
+FIXED_WORTH_FRACTION = 0.3
+MAX_WORTH_FACTOR = 4.0
 
 Run = tuple[TaskId, int]
 
@@ -78,8 +78,8 @@
     entry: HostEntry
     speed: float
     running: dict[Run, float] = Factory(dict)
-    begun: dict[Run, float] = Factory(dict)
-    ends_as: dict[Run, EndKind] = Factory(dict)
+    started_at: dict[Run, float] = Factory(dict)
+    end_kinds: dict[Run, EndKind] = Factory(dict)
     ended: list[EndedTask] = Factory(list)
     count: int = 0
     dead: bool = False
@@ -96,12 +96,12 @@
         )
 
     def _percent(self, run: Run, now: float) -> float:
-        length = max(1e-9, self.running[run] - self.begun[run])
-        return min(100.0, 100 * (now - self.begun[run]) / length)
+        length = max(1e-9, self.running[run] - self.started_at[run])
+        return min(100.0, 100 * (now - self.started_at[run]) / length)
 
 
 @define(kw_only=True, eq=False)
-class Cell:
+class DaySimulation:
     """Discrete-event simulation of one day."""
 
     day: Day
@@ -114,16 +114,16 @@
     _hosts: dict[str, _Host] = Factory(dict)
     _events: list[tuple[float, int, Callable[[], None]]] = Factory(list)
     _numbers: itertools.count[int] = Factory(itertools.count)
-    _tries: dict[TaskId, int] = Factory(dict)
+    _attempt_counts: dict[TaskId, int] = Factory(dict)
     _approved: dict[StepId, frozenset[str]] = Factory(dict)
     _dispatcher: Dispatcher = field(init=False)
-    _desk: AdviceDesk = field(init=False)
+    _advice_queue: AdviceDesk = field(init=False)
     _members: list[Member] = field(init=False)
 
-    def play(self) -> None:
-        """Play the day and its rest."""
+    def run(self) -> None:
+        """Simulate the arrival period and the drain period that follows."""
         self._set_up()
-        end = self.day.seconds + REST_S
+        end = self.day.seconds + DRAIN_S
         while self._events and self._events[0][0] <= end:
             self.now = self._events[0][0]
             while self._events and self._events[0][0] <= self.now:
@@ -132,7 +132,7 @@
 
     def _set_up(self) -> None:
         self._dispatcher = Dispatcher(succession=Succession(lapsed_at=0.0), lease_s=LEASE_S)
-        self._desk = AdviceDesk(own="0", region="region")
+        self._advice_queue = AdviceDesk(own="0", region="region")
         self._members = [
             Member(name=str(index), address="", region="region", failure_domain="")
             for index in range(self.day.members)
@@ -141,19 +141,21 @@
             self._add_host(index)
         for arrival in arrivals(self.day, self._rng("arrivals")):
             self._arrivals[arrival.req.id] = arrival
-            self._at(arrival.at_s, partial(self._arrive, arrival))
+            self._schedule(arrival.at_s, partial(self._arrive, arrival))
         for loss in self.day.losses:
-            count = round(loss.share * len(self._hosts))
+            count = round(loss.fraction * len(self._hosts))
             lost = self._rng(f"lost {loss.at_s}").sample(sorted(self._hosts), count)
             for id in lost:
-                self._at(loss.at_s, partial(self._kill, id))
-                self._at(loss.at_s + loss.for_s, partial(self._revive, id))
+                self._schedule(loss.at_s, partial(self._fail, id))
+                self._schedule(loss.at_s + loss.duration_s, partial(self._restart, id))
         for slow in self.day.slow:
-            count = round(slow.share * len(self._hosts))
+            count = round(slow.fraction * len(self._hosts))
             chosen = self._rng(f"slow {slow.at_s}").sample(sorted(self._hosts), count)
             for id in chosen:
-                self._at(slow.at_s, partial(self._change_speed, id, 1 / slow.times))
-                self._at(slow.at_s + slow.for_s, partial(self._change_speed, id, slow.times))
+                self._schedule(slow.at_s, partial(self._change_speed, id, 1 / slow.factor))
+                self._schedule(
+                    slow.at_s + slow.duration_s, partial(self._change_speed, id, slow.factor)
+                )
         self._tick()
 
     def _add_host(self, index: int) -> None:
@@ -169,27 +171,27 @@
         speeds = self.day.speeds
         self._hosts[entry.id] = _Host(entry=entry, speed=speeds[index % len(speeds)])
         self._dispatcher.host_listed(entry, now=0.0)
-        self._look(entry.id)
+        self._poll(entry.id)
 
-    def _rng(self, what: str) -> random.Random:
+    def _rng(self, purpose: str) -> random.Random:
         """Return a random generator for one purpose.
 
         Each purpose has its own sequence, so different decisions elsewhere do not change it.
         """
-        return random.Random(f"{self.seed} {what}")
+        return random.Random(f"{self.seed} {purpose}")
 
-    def _at(self, when: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._numbers), act))
+    def _schedule(self, when: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (when, next(self._numbers), action))
 
     def _tick(self) -> None:
         self._dispatcher.retry()
-        self._at(self.now + TICK_S, self._tick)
+        self._schedule(self.now + DECISION_INTERVAL_S, self._tick)
 
     # ------------------------------------------------------------ hosts
 
-    def _look(self, id: str) -> None:
+    def _poll(self, id: str) -> None:
         self._report(id)
-        self._at(self.now + LOOK_S, lambda: self._look(id))
+        self._schedule(self.now + REPORT_INTERVAL_S, lambda: self._poll(id))
 
     def _report(self, id: str) -> None:
         host = self._hosts[id]
@@ -199,15 +201,15 @@
         state.hold(self.now, LEASE_S)
         self._dispatcher.reported(id, host.report(self.now), sent_at=self.now, now=self.now)
 
-    def _kill(self, id: str) -> None:
+    def _fail(self, id: str) -> None:
         host = self._hosts[id]
         host.dead = True
         for run in list(host.running):
-            self._waste(host, run)
+            self._count_wasted(host, run)
         host.running.clear()
         self._dispatcher.host_unlisted(id)
 
-    def _revive(self, id: str) -> None:
+    def _restart(self, id: str) -> None:
         host = self._hosts[id]
         host.dead = False
         host.ended.clear()
@@ -223,25 +225,25 @@
         self._dispatcher.host_listed(host.entry, now=self.now)
         self._report(id)
 
-    def _change_speed(self, id: str, times: float) -> None:
+    def _change_speed(self, id: str, factor: float) -> None:
         """Change the speed of a host; gangs with a task there change speed with it."""
-        self._hosts[id].speed *= times
+        self._hosts[id].speed *= factor
         steps = {(run[0].job, run[0].step) for run in self._hosts[id].running}
         for host in self._hosts.values():
             for run in list(host.running):
                 gang = self._arrivals[run[0].job].req.steps[run[0].step].gang
                 if host.entry.id == id or (gang and (run[0].job, run[0].step) in steps):
-                    self._stretch(host, run, 1 / times)
+                    self._scale_remaining(host, run, 1 / factor)
 
-    def _stretch(self, host: _Host, run: Run, times: float) -> None:
-        """Multiply the remaining time of a run by ``times``, keeping its progress."""
-        begun, end = host.begun[run], host.running[run]
-        done = (self.now - begun) / max(1e-9, end - begun)
-        left = (end - self.now) * times
+    def _scale_remaining(self, host: _Host, run: Run, factor: float) -> None:
+        """Multiply the remaining time of a run by ``factor``, keeping its progress."""
+        started_at, end = host.started_at[run], host.running[run]
+        done = (self.now - started_at) / max(1e-9, end - started_at)
+        left = (end - self.now) * factor
         host.running[run] = self.now + left
-        host.begun[run] = self.now - left * done / max(1e-9, 1 - done)
-        how = host.ends_as[run]
-        self._at(self.now + left, lambda: self._end_if_due(host, run, how))
+        host.started_at[run] = self.now - left * done / max(1e-9, 1 - done)
+        how = host.end_kinds[run]
+        self._schedule(self.now + left, lambda: self._end_if_due(host, run, how))
 
     def _start(self, order: StartOrder) -> None:
         host = self._hosts[order.host]
@@ -253,18 +255,20 @@
             return
         whole = arrival.run_s[order.task.step] / self._speed(order)
         saved = float(order.checkpoint or 0.0)
-        length = whole * (1 - saved) + (RESTORE_S if saved else 0.0)
-        tries = self._tries[order.task] = self._tries.get(order.task, 0) + 1
-        rng = self._rng(f"{order.task} {tries}")
-        fails = rng.random() < arrival.work.fails
+        length = whole * (1 - saved) + (RESTORE_DURATION_S if saved else 0.0)
+        attempt_count = self._attempt_counts[order.task] = (
+            self._attempt_counts.get(order.task, 0) + 1
+        )
+        rng = self._rng(f"{order.task} {attempt_count}")
+        fails = rng.random() < arrival.kind.failure_fraction
         if fails:
             length *= rng.random()
-        host.begun[run] = self.now
+        host.started_at[run] = self.now
         host.running[run] = self.now + length
-        how = host.ends_as[run] = EndKind.FAILED if fails else EndKind.DONE
-        self._at(self.now + length, lambda: self._end_if_due(host, run, how))
-        self._at(
-            self.now + WAY_S,
+        how = host.end_kinds[run] = EndKind.FAILED if fails else EndKind.DONE
+        self._schedule(self.now + length, lambda: self._end_if_due(host, run, how))
+        self._schedule(
+            self.now + ONE_WAY_DELAY_S,
             lambda: self._dispatcher.start_answered(
                 host.entry.id, order.task, order.attempt, Started(clock_s=self.now), now=self.now
             ),
@@ -282,17 +286,17 @@
 
     def _end_if_due(self, host: _Host, run: Run, how: EndKind) -> None:
         """End a run, unless a change of speed has rescheduled its end."""
-        if run in host.running and abs(host.running[run] - self.now) < SAME_TIME_S:
+        if run in host.running and abs(host.running[run] - self.now) < TIME_TOLERANCE_S:
             self._end(host, run, how)
 
     def _end(self, host: _Host, run: Run, how: EndKind, checkpoint: str = "") -> None:
         if run not in host.running:
             return
         if how is EndKind.DONE:
-            spent = self._core_s(run) * (self.now - host.begun[run])
+            spent = self._core_s(run) * (self.now - host.started_at[run])
             self.useful_core_s += spent
         elif not checkpoint:
-            self._waste(host, run)
+            self._count_wasted(host, run)
         del host.running[run]
         host.count += 1
         host.ended.append(
@@ -300,14 +304,14 @@
                 number=host.count, task=run[0], attempt=run[1], how=how, checkpoint=checkpoint
             )
         )
-        self._at(self.now + WAY_S, lambda: self._report(host.entry.id))
+        self._schedule(self.now + ONE_WAY_DELAY_S, lambda: self._report(host.entry.id))
 
     def _core_s(self, run: Run) -> float:
         step = self._arrivals[run[0].job].req.steps[run[0].step]
         return step.sizes.millicores / 1000
 
-    def _waste(self, host: _Host, run: Run) -> None:
-        self.wasted_core_s += self._core_s(run) * (self.now - host.begun[run])
+    def _count_wasted(self, host: _Host, run: Run) -> None:
+        self.wasted_core_s += self._core_s(run) * (self.now - host.started_at[run])
 
     def _stop(self, order: StopOrder) -> None:
         host = self._hosts[order.host]
@@ -318,53 +322,55 @@
         checkpoint = ""
         if arrival.req.steps[order.task.step].checkpointable:
             whole = arrival.run_s[order.task.step] / host.speed
-            checkpoint = f"{min(0.99, (self.now - host.begun[run]) / whole):.6f}"
-        self._at(self.now + STOP_S, lambda: self._end(host, run, EndKind.STOPPED, checkpoint))
+            checkpoint = f"{min(0.99, (self.now - host.started_at[run]) / whole):.6f}"
+        self._schedule(
+            self.now + STOP_DURATION_S, lambda: self._end(host, run, EndKind.STOPPED, checkpoint)
+        )
 
     # ------------------------------------------------------------ jobs and decisions
 
     def _arrive(self, arrival: Arrival) -> None:
         job = Job(
             req=arrival.req,
-            queue=arrival.work.queue,
+            queue=arrival.kind.queue,
             arrived_at=self.now,
             record_revision=1,
         )
         self._dispatcher.add_job(job, now=self.now, wall_s=self.now)
 
     def _decide(self) -> None:
-        if any(pause.at_s <= self.now < pause.at_s + pause.for_s for pause in self.day.pauses):
+        if any(pause.at_s <= self.now < pause.at_s + pause.duration_s for pause in self.day.pauses):
             return
         orders = self._dispatcher.decide(now=self.now, wall_s=self.now)
         while self._dispatcher.undecided:
             orders += self._dispatcher.decide(now=self.now, wall_s=self.now)
         for order in orders:
-            self._carry_out(order)
-        for assignment in self._desk.assign(self._members):
-            self._ask(assignment.order, assignment.member.name)
+            self._execute(order)
+        for assignment in self._advice_queue.assign(self._members):
+            self._request_advice(assignment.order, assignment.member.name)
         for job in list(self._dispatcher.dirty.values()):
             if job.phase.final:
-                self._at(self.now + RECORD_S, partial(self._recorded, job))
+                self._schedule(self.now + PERSIST_DELAY_S, partial(self._recorded, job))
         self._dispatcher.dirty.clear()
         self._dispatcher.notes.clear()
 
-    def _carry_out(self, order: Order) -> None:
+    def _execute(self, order: Order) -> None:
         match order:
             case StartOrder() if self._is_lost(order):
-                self._at(self.now + order.timeout_s, lambda: self._start_unanswered(order))
+                self._schedule(self.now + order.timeout_s, lambda: self._start_unanswered(order))
             case StartOrder():
-                self._at(self.now + WAY_S, lambda: self._start(order))
+                self._schedule(self.now + ONE_WAY_DELAY_S, lambda: self._start(order))
             case StopOrder():
-                self._at(self.now + WAY_S, lambda: self._stop(order))
+                self._schedule(self.now + ONE_WAY_DELAY_S, lambda: self._stop(order))
             case AdviceOrder():
                 job = self._dispatcher.jobs.get(order.step.job)
-                self._desk.add(order, priority=job.queue.priority if job is not None else 0)
+                self._advice_queue.add(order, priority=job.queue.priority if job is not None else 0)
 
     def _is_lost(self, order: StartOrder) -> bool:
         share = sum(
-            lost.share
+            lost.fraction
             for lost in self.day.starts_lost
-            if lost.at_s <= self.now < lost.at_s + lost.for_s
+            if lost.at_s <= self.now < lost.at_s + lost.duration_s
         )
         rng = self._rng(f"lost {order.task} {order.attempt} {order.retries}")
         return rng.random() < share
@@ -377,21 +383,21 @@
         dispatcher = self._dispatcher
         dispatcher.start_answered(order.host, order.task, order.attempt, Unanswered(), now=self.now)
         if dispatcher.unclear(order.host, order.task, order.attempt):
-            self._at(self.now + 4 * WAY_S, lambda: self._settle(order))
+            self._schedule(self.now + 4 * ONE_WAY_DELAY_S, lambda: self._resolve_start(order))
 
-    def _settle(self, order: StartOrder) -> None:
+    def _resolve_start(self, order: StartOrder) -> None:
         if self._hosts[order.host].dead:
             return
         clock_s = self._hosts[order.host].report(self.now).clock_s
         self._dispatcher.stop_answered(order.host, order.task, order.attempt, clock_s)
-        self._at(self.now + 2 * WAY_S, lambda: self._report(order.host))
+        self._schedule(self.now + 2 * ONE_WAY_DELAY_S, lambda: self._report(order.host))
 
-    def _ask(self, order: AdviceOrder, member: str) -> None:
-        took_s = order.cost.duration_s(len(order.hosts)) + WAY_S
-        self._at(self.now + took_s, lambda: self._answer(order, member))
+    def _request_advice(self, order: AdviceOrder, member: str) -> None:
+        took_s = order.cost.duration_s(len(order.hosts)) + ONE_WAY_DELAY_S
+        self._schedule(self.now + took_s, lambda: self._deliver_advice(order, member))
 
-    def _answer(self, order: AdviceOrder, member: str) -> None:
-        self._desk.done(member)
+    def _deliver_advice(self, order: AdviceOrder, member: str) -> None:
+        self._advice_queue.done(member)
         approved = self._approved.get(order.step)
         if approved is None:
             approved = self._approved[order.step] = self._draw_approved(order.step)
@@ -415,12 +421,12 @@
         arrival = self._arrivals[id.job]
         req = arrival.req.steps[id.step]
         hosts = self._rng(f"approved {id}").sample(sorted(self._hosts), len(self._hosts))
-        count = max(1, round(arrival.work.approved * len(hosts)))
+        count = max(1, round(arrival.kind.approved_fraction * len(hosts)))
         slots = min(
             self.day.host_cores * 1000 // max(1, req.sizes.millicores),
             self.day.host_memory_mb // max(1, req.sizes.memory_mb),
         )
-        count = max(count, math.ceil(ROOM_FOR_STEP * req.count / max(1, slots)))
+        count = max(count, math.ceil(MIN_APPROVED_CAPACITY_FACTOR * req.count / max(1, slots)))
         return frozenset(hosts[:count])
 
     def _recorded(self, job: Job) -> None:
@@ -436,23 +442,24 @@
         kinds: dict[str, dict[str, Any]] = {}
         windows: dict[int, list[float]] = {}
         for arrival in self._arrivals.values():
-            name = arrival.work.queue.name
+            name = arrival.kind.queue.name
             row = kinds.setdefault(name, {"jobs": 0, "in_time": 0, "late": 0, "missed": 0})
             window = windows.setdefault(int(arrival.at_s / WINDOW_S), [0.0, 0.0])
-            times = min(
-                MOST_TIMES_WORTH, FIXED_SHARE + (1 - FIXED_SHARE) * arrival.core_s / means[name]
+            factor = min(
+                MAX_WORTH_FACTOR,
+                FIXED_WORTH_FRACTION + (1 - FIXED_WORTH_FRACTION) * arrival.core_s / means[name],
             )
             verdict = self._verdict(arrival)
             row["jobs"] += 1
             row[verdict] += 1
-            earned = {"in_time": arrival.work.worth, "late": arrival.work.late_worth}
-            window[0] += times * earned.get(verdict, 0.0)
-            window[1] += times * arrival.work.worth
-        shares = sorted(earned / owed for earned, owed in windows.values())
+            earned = {"in_time": arrival.kind.worth, "late": arrival.kind.late_worth}
+            window[0] += factor * earned.get(verdict, 0.0)
+            window[1] += factor * arrival.kind.worth
+        shares = sorted(earned / possible for earned, possible in windows.values())
         whole = sum(pair[0] for pair in windows.values()) / sum(p[1] for p in windows.values())
         return {
             "worth_share": round(whole, 4),
-            "worst_windows": round(sum(shares[:WORST_WINDOWS]) / WORST_WINDOWS, 4),
+            "worst_windows": round(sum(shares[:WORST_WINDOW_COUNT]) / WORST_WINDOW_COUNT, 4),
             "useful_core_s": round(self.useful_core_s),
             "wasted_core_s": round(self.wasted_core_s),
             "kinds": kinds,
@@ -461,7 +468,7 @@
     def _mean_work(self) -> dict[str, float]:
         sums: dict[str, list[float]] = {}
         for arrival in self._arrivals.values():
-            sums.setdefault(arrival.work.queue.name, []).append(arrival.core_s)
+            sums.setdefault(arrival.kind.queue.name, []).append(arrival.core_s)
         return {name: sum(found) / len(found) for name, found in sums.items()}
 
     def _verdict(self, arrival: Arrival) -> str:
@@ -481,7 +488,7 @@
     """
     report: dict[str, Any] = {}
     for name, day in DAYS.items():
-        cell = Cell(day=evolve(day, seconds=seconds), seed=f"{seed} {name}")
-        cell.play()
-        report[name] = cell.figures()
+        simulation = DaySimulation(day=evolve(day, seconds=seconds), seed=f"{seed} {name}")
+        simulation.run()
+        report[name] = simulation.figures()
     return report
--- a/rhubarbferry/bench/figures.py
+++ b/rhubarbferry/bench/figures.py
@@ -8,15 +8,15 @@
 from hdrh.histogram import HdrHistogram
 
 MAX_US = 7_200_000_000
-DIGITS = 3
-MARKS = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
+SIGNIFICANT_DIGITS = 3
+PERCENTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
 
 
-class Times:
+class LatencyHistogram:
     """Histogram of durations in seconds, with three significant digits."""
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, MAX_US, DIGITS)
+        self._histogram = HdrHistogram(1, MAX_US, SIGNIFICANT_DIGITS)
         self._count = 0
 
     def add(self, seconds: float) -> None:
@@ -28,15 +28,19 @@
         """Return the count and the percentiles in milliseconds."""
         if not self._count:
             return {"count": 0}
-        marks = {
-            f"{name}_ms": self._histogram.get_value_at_percentile(mark) / 1000
-            for name, mark in MARKS.items()
+        percentiles = {
+            f"{name}_ms": self._histogram.get_value_at_percentile(percentile) / 1000
+            for name, percentile in PERCENTILES.items()
+        }
+        return {
+            "count": self._count,
+            **percentiles,
+            "max_ms": self._histogram.get_max_value() / 1000,
         }
-        return {"count": self._count, **marks, "max_ms": self._histogram.get_max_value() / 1000}
 
     def counts(self) -> list[tuple[float, float]]:
         """Return the cumulative distribution for a plot, as pairs of seconds and fraction."""
-        steps = [mark / 10 for mark in range(0, 1000, 5)] + [99.9, 99.99]
+        steps = [percentile / 10 for percentile in range(0, 1000, 5)] + [99.9, 99.99]
         return [(self._histogram.get_value_at_percentile(step) / 1e6, step / 100) for step in steps]
 
 
@@ -50,26 +54,30 @@
 
     :param wanted: demand of each account if it had the whole capacity for itself.
     """
-    due = dict.fromkeys(weights, 0.0)
-    open_ = {name for name in weights if wanted[name] > 0}
-    left = capacity
-    while open_ and left > 1e-9:
-        unit = left / sum(weights[name] for name in open_)
-        full = {name for name in open_ if wanted[name] <= unit * weights[name] + 1e-12}
-        if not full:
-            for name in open_:
-                due[name] = unit * weights[name]
-            return due
-        for name in full:
-            due[name] = wanted[name]
-            left -= wanted[name]
-        open_ -= full
-    return due
-
-
-def share_errors(used: Mapping[str, float], due: Mapping[str, float]) -> dict[str, Any]:
+    entitled = dict.fromkeys(weights, 0.0)
+    unsatisfied = {name for name in weights if wanted[name] > 0}
+    remaining = capacity
+    while unsatisfied and remaining > 1e-9:
+        per_weight = remaining / sum(weights[name] for name in unsatisfied)
+        satisfied = {
+            name for name in unsatisfied if wanted[name] <= per_weight * weights[name] + 1e-12
+        }
+        if not satisfied:
+            for name in unsatisfied:
+                entitled[name] = per_weight * weights[name]
+            return entitled
+        for name in satisfied:
+            entitled[name] = wanted[name]
+            remaining -= wanted[name]
+        unsatisfied -= satisfied
+    return entitled
+
+
+def share_errors(used: Mapping[str, float], entitled: Mapping[str, float]) -> dict[str, Any]:
     """Return the ratio of use to entitlement for each account, and the largest error."""
-    ratios = {name: used.get(name, 0.0) / part for name, part in sorted(due.items()) if part > 0}
+    ratios = {
+        name: used.get(name, 0.0) / part for name, part in sorted(entitled.items()) if part > 0
+    }
     return {
         "used_over_due": {name: round(ratio, 4) for name, ratio in ratios.items()},
         "largest_error": round(max((abs(r - 1.0) for r in ratios.values()), default=0.0), 4),
--- a/rhubarbferry/bench/placement.py
+++ b/rhubarbferry/bench/placement.py
@@ -3,7 +3,7 @@
 speed
     Fill the cell; then, in each step, end a batch of tasks and place as many new ones. Only
     choosing a worker and reserving its capacity are timed. A third of the tasks belong to
-    services, which are spread over failure domains.
+    services, which are placed with ``Spread.APART``.
 packing
     Place a fixed set of batch tasks, larger than the capacity of the cell, in arrival order,
     sorted by size within each batch of 256. A full cell cannot use more than all of its scarcest
@@ -20,21 +20,21 @@
 
 from attrs import Factory, define, evolve
 
-from rhubarbferry.bench.baselines import Scan
-from rhubarbferry.bench.figures import Times
+from rhubarbferry.bench.baselines import LinearScan
+from rhubarbferry.bench.figures import LatencyHistogram
 from rhubarbferry.bench.profiles import GIB, Profile, Worker, make_workers
 from rhubarbferry.bench.task_work import task_need
 from rhubarbferry.core.cell import Size
 from rhubarbferry.core.placement import Need, Placement
 
-BATCH = 32
-PACKING_BATCH = 256
-SMALL_CELL = 24
-OFFERED_PER_WORKER = 40
+BATCH_TASKS = 32
+PACKING_BATCH_TASKS = 256
+SMALL_CELL_WORKERS = 24
+OFFERED_TASKS_PER_WORKER = 40
 BYTES_PER_MILLICORE = 2 * GIB // 1000
 
-Policy = Placement | Scan
-Make = Callable[[Sequence[Worker], random.Random], Policy]
+Policy = Placement | LinearScan
+PolicyFactory = Callable[[Sequence[Worker], random.Random], Policy]
 
 
 def make_index(workers: Sequence[Worker], rng: random.Random) -> Placement:
@@ -45,10 +45,10 @@
     return index
 
 
-POLICIES: Mapping[str, Make] = {
+POLICIES: Mapping[str, PolicyFactory] = {
     "core": make_index,
-    "first_fit": lambda workers, rng: Scan(workers),
-    "random": lambda workers, rng: Scan(workers, rng),
+    "first_fit": lambda workers, rng: LinearScan(workers),
+    "random": lambda workers, rng: LinearScan(workers, rng),
 }
 
 
@@ -59,8 +59,8 @@
     placed: int = 0
     tried: int = 0
     seconds: float = 0.0
-    batches: Times = Factory(Times)
-    each: Times = Factory(Times)
+    batches: LatencyHistogram = Factory(LatencyHistogram)
+    decisions: LatencyHistogram = Factory(LatencyHistogram)
 
     def figures(self) -> dict[str, Any]:
         """Return the statistics; all but the last are wall-clock times."""
@@ -69,7 +69,7 @@
             "wall_tries_per_s": round(self.tried / self.seconds),
             "wall_us_per_try": round(1e6 * self.seconds / self.tried, 1),
             "wall_batch": self.batches.figures(),
-            "wall_decision": self.each.figures(),
+            "wall_decision": self.decisions.figures(),
             "placed_of_tried": round(self.placed / self.tried, 4),
         }
 
@@ -96,12 +96,12 @@
 
     def step(self) -> None:
         """End a batch of random tasks and place another batch."""
-        for _ in range(min(BATCH, len(self.running))):
+        for _ in range(min(BATCH_TASKS, len(self.running))):
             at = self.rng.randrange(len(self.running))
             self.running[at], self.running[-1] = self.running[-1], self.running[at]
             worker, need = self.running.pop()
             self.policy.give_back(worker, need.job_id, need.size)
-        self._place([self._next() for _ in range(BATCH)])
+        self._place([self._next() for _ in range(BATCH_TASKS)])
 
     def _place(self, needs: Sequence[Need]) -> None:
         speed = self.speed
@@ -112,7 +112,7 @@
                 self.running.append((found, need))
                 speed.placed += 1
             now = time.perf_counter()
-            speed.each.add(now - last)
+            speed.decisions.add(now - last)
             last = now
         speed.batches.add(last - began)
         speed.seconds += last - began
@@ -135,12 +135,12 @@
 def measure_packing(policy: Policy, workers: Sequence[Worker], seed: int) -> dict[str, float]:
     """Return the fraction of each resource dimension in use on a full cell."""
     rng = random.Random(seed)
-    count = len(workers) * OFFERED_PER_WORKER
+    count = len(workers) * OFFERED_TASKS_PER_WORKER
     needs = [task_need(rng, number, services=False) for number in range(count)]
     total = sum((worker.capacity for worker in workers), Size())
     used = Size()
-    for at in range(0, count, PACKING_BATCH):
-        for need in sorted(needs[at : at + PACKING_BATCH], key=_largest_first):
+    for at in range(0, count, PACKING_BATCH_TASKS):
+        for need in sorted(needs[at : at + PACKING_BATCH_TASKS], key=_largest_first):
             worker = policy.choose(need)
             if worker is not None and policy.take(worker, need.job_id, need.size):
                 used = used + need.size
@@ -161,25 +161,27 @@
 
 def experiment(profile: Profile, *, seed: int, steps: int) -> dict[str, Any]:
     """Run all policies on the cell of the profile and on one of 24 workers."""
-    found: dict[str, Any] = {"steps": steps, "batch": BATCH}
-    for count in sorted({SMALL_CELL, profile.workers}):
-        workers = make_workers(_cut(profile, count))
+    found: dict[str, Any] = {"steps": steps, "batch": BATCH_TASKS}
+    for count in sorted({SMALL_CELL_WORKERS, profile.workers}):
+        workers = make_workers(_scale_down(profile, count))
         found[f"workers_{count}"] = {
             name: {
                 "speed": measure_speed(
-                    make(workers, random.Random(seed + 1)), workers=count, seed=seed, steps=steps
+                    factory(workers, random.Random(seed + 1)), workers=count, seed=seed, steps=steps
                 ).figures(),
-                "packing": measure_packing(make(workers, random.Random(seed + 1)), workers, seed),
+                "packing": measure_packing(
+                    factory(workers, random.Random(seed + 1)), workers, seed
+                ),
             }
-            for name, make in POLICIES.items()
+            for name, factory in POLICIES.items()
         }
-    small = found[f"workers_{SMALL_CELL}"]["core"]["speed"]["wall_us_per_try"]
+    small = found[f"workers_{SMALL_CELL_WORKERS}"]["core"]["speed"]["wall_us_per_try"]
     large = found[f"workers_{profile.workers}"]["core"]["speed"]["wall_us_per_try"]
     found["wall_cost_over_small_cell"] = round(large / small, 2)
     return found
 
 
-def _cut(profile: Profile, workers: int) -> Profile:
+def _scale_down(profile: Profile, workers: int) -> Profile:
     """Return a profile with fewer workers and proportionally fewer accelerators."""
     accelerators = round(profile.accelerators * workers / profile.workers)
     return evolve(profile, workers=workers, accelerators=accelerators)
--- a/rhubarbferry/bench/plots.py
+++ b/rhubarbferry/bench/plots.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 CLASSES = ("urgent", "normal", "batch")
-MARK = "p99_ms"
+PERCENTILE_KEY = "p99_ms"
 LOADS = ("load_1", "load_2", "load_10")
 
 
@@ -28,7 +28,7 @@
     for policy, style in (("core", "-o"), ("fifo", "--s")):
         runs = [part[policy][load] for load in LOADS]
         for cls in CLASSES:
-            waits = [run["waits_by_class"][cls].get(MARK) for run in runs]
+            waits = [run["waits_by_class"][cls].get(PERCENTILE_KEY) for run in runs]
             points = [(x, y) for x, y in zip((1, 2, 10), waits, strict=True) if y is not None]
             if points:
                 axes.plot(*zip(*points, strict=True), style, label=f"{policy} {cls}")
--- a/rhubarbferry/bench/request_work.py
+++ b/rhubarbferry/bench/request_work.py
@@ -11,8 +11,8 @@
 from rhubarbferry.bench.profiles import Profile
 from rhubarbferry.core.cell import PriorityClass
 
-MEAN_S = 0.2
-SPREAD = 0.6
+MEAN_SERVICE_S = 0.2
+SERVICE_LOG_STDDEV = 0.6
 CLASSES = (PriorityClass.URGENT, PriorityClass.NORMAL, PriorityClass.BATCH)
 DEMANDS = (1.0, 2.0, 1.0, 4.0)
 SHARES = (1.0, 1.0, 2.0, 3.0)
@@ -35,7 +35,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Mix:
+class RequestMix:
     """Distribution of the priority classes and timeouts of requests.
 
     :param classes: fractions of the priority classes, the most urgent first.
@@ -46,10 +46,10 @@
     timeouts_s: tuple[float, ...]
 
 
-MIXED = Mix(classes=(0.05, 0.65, 0.30), timeouts_s=(1.0, 2.0, 5.0, 10.0))
+MIXED = RequestMix(classes=(0.05, 0.65, 0.30), timeouts_s=(1.0, 2.0, 5.0, 10.0))
 # With several classes and short deadlines, the slot time of an account depends on more than its
 # share. This mix isolates the effect of the shares.
-ONE_CLASS = Mix(classes=(0.0, 1.0, 0.0), timeouts_s=(10.0,))
+ONE_CLASS = RequestMix(classes=(0.0, 1.0, 0.0), timeouts_s=(10.0,))
 
 
 def account_names(count: int) -> list[str]:
@@ -68,7 +68,7 @@
 
 
 def arrivals(
-    profile: Profile, *, load: float, seconds: float, seed: int, mix: Mix = MIXED
+    profile: Profile, *, load: float, seconds: float, seed: int, mix: RequestMix = MIXED
 ) -> Iterator[Arrival]:
     """Yield requests in order of arrival time.
 
@@ -76,10 +76,10 @@
     :param seconds: length of the arrival period.
     """
     rng = random.Random(seed)
-    rate = load * profile.runners * profile.slots / MEAN_S
+    rate = load * profile.runners * profile.slots / MEAN_SERVICE_S
     names = account_names(profile.accounts)
     demands = [demand_of(number) for number in range(profile.accounts)]
-    mu = math.log(MEAN_S) - SPREAD**2 / 2
+    mu = math.log(MEAN_SERVICE_S) - SERVICE_LOG_STDDEV**2 / 2
     now, number = 0.0, 0
     while True:
         now += rng.expovariate(rate)
@@ -92,5 +92,5 @@
             account=rng.choices(names, demands)[0],
             priority=rng.choices(CLASSES, mix.classes)[0],
             timeout_s=rng.choice(mix.timeouts_s),
-            service_s=rng.lognormvariate(mu, SPREAD),
+            service_s=rng.lognormvariate(mu, SERVICE_LOG_STDDEV),
         )
--- a/rhubarbferry/bench/requests.py
+++ b/rhubarbferry/bench/requests.py
@@ -18,14 +18,14 @@
 from attrs import Factory, define, frozen
 from returns.result import Failure, Success
 
-from rhubarbferry.bench.figures import Times, share_errors, water_fill
+from rhubarbferry.bench.figures import LatencyHistogram, share_errors, water_fill
 from rhubarbferry.bench.profiles import Profile
 from rhubarbferry.bench.request_work import (
     CLASSES,
     MIXED,
     ONE_CLASS,
     Arrival,
-    Mix,
+    RequestMix,
     account_names,
     arrivals,
     demand_of,
@@ -37,14 +37,14 @@
 
 LOADS = (1.0, 2.0, 10.0)
 SHARE_LOAD = 2.0
-HOP_S = 0.0015
+ONE_WAY_DELAY_S = 0.0015
 MAX_WAITING = 5000
-WAVE_EVERY_S = 10.0
-WAVE_PART = 0.2
-SICK_PART = 0.08
-SICK_SLOWER = 5.0
-SICK_FROM, SICK_UNTIL = 0.4, 0.6
-WARM_UP_PART = 0.1
+ABANDON_INTERVAL_S = 10.0
+ABANDON_FRACTION = 0.2
+SLOW_RUNNER_FRACTION = 0.08
+SLOW_RUNNER_FACTOR = 5.0
+SLOW_FROM_FRACTION, SLOW_UNTIL_FRACTION = 0.4, 0.6
+WARM_UP_FRACTION = 0.1
 
 
 @frozen(kw_only=True, slots=True)
@@ -71,7 +71,7 @@
         """Release the slot of a request."""
         ...
 
-    def give_up(self, request_id: str) -> bool:
+    def abandon(self, request_id: str) -> bool:
         """Abandon a request; return whether it was waiting."""
         ...
 
@@ -171,7 +171,7 @@
         charged = self._charged.pop(start.key)
         self._queue.finish(start.arrival.account, charged_s=charged, used_s=held_s)
 
-    def give_up(self, request_id: str) -> bool:
+    def abandon(self, request_id: str) -> bool:
         """Remove a request from the queue; return whether it was waiting."""
         self._arrivals.pop(request_id, None)
         return self._queue.abandon(request_id) is not None
@@ -193,15 +193,15 @@
 
     def __init__(self, profile: Profile) -> None:
         self._free = {f"runner-{n:02}": profile.slots for n in range(profile.runners)}
-        self._line: deque[Arrival] = deque()
-        self._gone: set[str] = set()
+        self._queue: deque[Arrival] = deque()
+        self._abandoned: set[str] = set()
         self._keys = 0
 
     def offer(self, arrival: Arrival, now: float) -> bool:
         """Append a request to the queue, unless the queue is full."""
-        if len(self._line) >= MAX_WAITING:
+        if len(self._queue) >= MAX_WAITING:
             return False
-        self._line.append(arrival)
+        self._queue.append(arrival)
         return True
 
     def starts(self, now: float) -> list[Start]:
@@ -216,10 +216,10 @@
         return found
 
     def _pop(self, now: float) -> Arrival | None:
-        while self._line:
-            arrival = self._line.popleft()
-            if arrival.id in self._gone:
-                self._gone.discard(arrival.id)
+        while self._queue:
+            arrival = self._queue.popleft()
+            if arrival.id in self._abandoned:
+                self._abandoned.discard(arrival.id)
             elif arrival.at + arrival.timeout_s > now:
                 return arrival
         return None
@@ -228,18 +228,18 @@
         """Release the slot."""
         self._free[start.runner] += 1
 
-    def give_up(self, request_id: str) -> bool:
+    def abandon(self, request_id: str) -> bool:
         """Mark a request as abandoned, so that it is skipped."""
-        self._gone.add(request_id)
+        self._abandoned.add(request_id)
         return True
 
     def waiting(self) -> list[str]:
         """Return the ids of the waiting requests."""
-        return [arrival.id for arrival in self._line if arrival.id not in self._gone]
+        return [arrival.id for arrival in self._queue if arrival.id not in self._abandoned]
 
     def depth(self) -> int:
         """Return the length of the queue."""
-        return len(self._line)
+        return len(self._queue)
 
 
 POLICIES: Mapping[str, type[CorePolicy] | type[FifoPolicy]] = {
@@ -270,8 +270,10 @@
     lost_s: float = 0.0
     held_s: dict[str, float] = Factory(dict)
     wanted_s: dict[str, float] = Factory(dict)
-    by_class: dict[PriorityClass, Times] = Factory(lambda: {cls: Times() for cls in CLASSES})
-    by_account: dict[str, Times] = Factory(dict)
+    by_class: dict[PriorityClass, LatencyHistogram] = Factory(
+        lambda: {cls: LatencyHistogram() for cls in CLASSES}
+    )
+    by_account: dict[str, LatencyHistogram] = Factory(dict)
 
 
 @define(kw_only=True, eq=False)
@@ -283,74 +285,76 @@
     load: float
     seconds: float
     seed: int
-    mix: Mix = MIXED
+    mix: RequestMix = MIXED
     tally: Tally = Factory(Tally)
     _ends: list[tuple[float, int, Start, float]] = Factory(list)
 
-    def go(self) -> Tally:
+    def run(self) -> Tally:
         """Run the simulation and return its counters."""
         rng = random.Random(self.seed + 1)
-        next_wave = WAVE_EVERY_S
+        next_abandon_at = ABANDON_INTERVAL_S
         for arrival in arrivals(
             self.profile, load=self.load, seconds=self.seconds, seed=self.seed, mix=self.mix
         ):
             self._end_until(arrival.at)
-            if arrival.at >= next_wave:
-                self._wave(rng)
-                next_wave += WAVE_EVERY_S
+            if arrival.at >= next_abandon_at:
+                self._abandon_some(rng)
+                next_abandon_at += ABANDON_INTERVAL_S
             self._arrive(arrival)
         self._end_until(self.seconds)
         return self.tally
 
     def _arrive(self, arrival: Arrival) -> None:
         tally, now = self.tally, arrival.at
-        if now >= self._warm:
+        if now >= self._warm_up_s:
             tally.offered += 1
-            wanted = arrival.service_s + 2 * HOP_S
+            wanted = arrival.service_s + 2 * ONE_WAY_DELAY_S
             tally.wanted_s[arrival.account] = tally.wanted_s.get(arrival.account, 0.0) + wanted
         began = time.perf_counter()
-        taken = self.policy.offer(arrival, now)
+        accepted = self.policy.offer(arrival, now)
         starts = self.policy.starts(now)
         tally.decision_s += time.perf_counter() - began
         tally.decisions += 1
-        if not taken and now >= self._warm:
+        if not accepted and now >= self._warm_up_s:
             tally.refused += 1
         tally.most_waiting = max(tally.most_waiting, self.policy.depth())
-        self._begin(starts, now)
+        self._start(starts, now)
 
-    def _begin(self, starts: Sequence[Start], now: float) -> None:
+    def _start(self, starts: Sequence[Start], now: float) -> None:
         for start in starts:
             arrival = start.arrival
-            if now >= self._warm:
+            if now >= self._warm_up_s:
                 wait = now - arrival.at
                 self.tally.by_class[arrival.priority].add(wait)
-                self.tally.by_account.setdefault(arrival.account, Times()).add(wait)
-            takes = 2 * HOP_S + arrival.service_s * self._slower(start.runner, now)
-            ends = min(now + takes, arrival.at + arrival.timeout_s)
+                self.tally.by_account.setdefault(arrival.account, LatencyHistogram()).add(wait)
+            duration_s = 2 * ONE_WAY_DELAY_S + arrival.service_s * self._slowdown(start.runner, now)
+            ends = min(now + duration_s, arrival.at + arrival.timeout_s)
             heapq.heappush(self._ends, (ends, start.key, start, now))
 
     def _end_until(self, until: float) -> None:
         while self._ends and self._ends[0][0] <= until:
             now, _, start, began = heapq.heappop(self._ends)
             arrival = start.arrival
-            takes = 2 * HOP_S + arrival.service_s * self._slower(start.runner, began)
-            done = began + takes <= arrival.at + arrival.timeout_s
+            duration_s = 2 * ONE_WAY_DELAY_S + arrival.service_s * self._slowdown(
+                start.runner, began
+            )
+            done = began + duration_s <= arrival.at + arrival.timeout_s
             self._count_end(arrival, done, began, now)
             clock = time.perf_counter()
             self.policy.ended(start, done=done, held_s=now - began, now=now)
             starts = self.policy.starts(now)
             self.tally.decision_s += time.perf_counter() - clock
             self.tally.decisions += 1
-            self._begin(starts, now)
+            self._start(starts, now)
 
     def _count_end(self, arrival: Arrival, done: bool, began: float, now: float) -> None:
         tally, account = self.tally, arrival.account
-        if arrival.at >= self._warm:
+        if arrival.at >= self._warm_up_s:
             # Replace the estimated demand by the slot time used, which is longer on a slow runner
             # and shorter for a terminated request.
-            asked = arrival.service_s + 2 * HOP_S
+            asked = arrival.service_s + 2 * ONE_WAY_DELAY_S
             tally.wanted_s[account] += now - began - asked
-        held = now - max(began, self._warm)
+        held = now - max(began, self._warm_up_s)
         if held <= 0:
             return
         tally.held_s[account] = tally.held_s.get(account, 0.0) + held
@@ -361,25 +365,29 @@
             tally.cut_off += 1
             tally.lost_s += held
 
-    def _wave(self, rng: random.Random) -> None:
+    def _abandon_some(self, rng: random.Random) -> None:
         waiting = self.policy.waiting()
-        for request_id in rng.sample(waiting, int(WAVE_PART * len(waiting))):
-            self.tally.given_up += self.policy.give_up(request_id)
-
-    def _slower(self, runner: str, now: float) -> float:
-        sick = int(runner.removeprefix("runner-")) < SICK_PART * self.profile.runners
-        part = now / self.seconds
-        return SICK_SLOWER if sick and SICK_FROM <= part < SICK_UNTIL else 1.0
+        for request_id in rng.sample(waiting, int(ABANDON_FRACTION * len(waiting))):
+            self.tally.given_up += self.policy.abandon(request_id)
+
+    def _slowdown(self, runner: str, now: float) -> float:
+        is_slow = int(runner.removeprefix("runner-")) < SLOW_RUNNER_FRACTION * self.profile.runners
+        progress = now / self.seconds
+        return (
+            SLOW_RUNNER_FACTOR
+            if is_slow and SLOW_FROM_FRACTION <= progress < SLOW_UNTIL_FRACTION
+            else 1.0
+        )
 
     @property
-    def _warm(self) -> float:
-        return WARM_UP_PART * self.seconds
+    def _warm_up_s(self) -> float:
+        return WARM_UP_FRACTION * self.seconds
 
 
 def figures(run: Run) -> dict[str, Any]:
     """Return the statistics of a finished run."""
     tally, profile = run.tally, run.profile
-    measured_s = (1.0 - WARM_UP_PART) * run.seconds
+    measured_s = (1.0 - WARM_UP_FRACTION) * run.seconds
     slot_s = profile.runners * profile.slots * measured_s
     held_s = sum(tally.held_s.values())
     weights = {name: share_of(n) for n, name in enumerate(account_names(profile.accounts))}
@@ -415,13 +423,13 @@
         "class_mix": MIXED.classes,
         "demands": [demand_of(n) for n in range(profile.accounts)],
         "shares": [share_of(n) for n in range(profile.accounts)],
-        "one_way_s": HOP_S,
+        "one_way_s": ONE_WAY_DELAY_S,
     }
     for name, make in POLICIES.items():
         runs = {}
         for load in LOADS:
             run = Run(profile=profile, policy=make(profile), load=load, seconds=seconds, seed=seed)
-            run.go()
+            run.run()
             runs[f"load_{load:g}"] = figures(run)
         peak = max(one["useful_work"] for one in runs.values())
         for one in runs.values():
@@ -434,6 +442,6 @@
             seed=seed,
             mix=ONE_CLASS,
         )
-        saturated.go()
+        saturated.run()
         found[name] = {**runs, "one_class": figures(saturated)}
     return found
--- a/rhubarbferry/bench/run.py
+++ b/rhubarbferry/bench/run.py
@@ -13,7 +13,7 @@
 from rhubarbferry.bench.profiles import PROFILES
 
 EXPERIMENTS = ("requests", "placement", "shares", "days")
-WALL = "wall_"
+WALL_PREFIX = "wall_"
 
 
 @frozen(kw_only=True, slots=True)
@@ -71,5 +71,5 @@
 def without_wall(value: Any) -> Any:
     """Return a report without the ``wall_`` values, which differ between runs."""
     if isinstance(value, dict):
-        return {k: without_wall(v) for k, v in value.items() if not k.startswith(WALL)}
+        return {k: without_wall(v) for k, v in value.items() if not k.startswith(WALL_PREFIX)}
     return value
--- a/rhubarbferry/bench/shares.py
+++ b/rhubarbferry/bench/shares.py
@@ -18,7 +18,7 @@
 from attrs import Factory, define, field, frozen
 
 from rhubarbferry.bench.baselines import FifoJobs
-from rhubarbferry.bench.figures import Times, share_errors
+from rhubarbferry.bench.figures import LatencyHistogram, share_errors
 from rhubarbferry.bench.profiles import Profile, Worker, make_workers
 from rhubarbferry.bench.request_work import account_names, demand_of, share_of
 from rhubarbferry.bench.task_work import Submission, submission
@@ -30,20 +30,20 @@
 from rhubarbferry.core.placement import Spread
 from rhubarbferry.core.worker_ledger import Attempt, End, Held, WorkerLedger
 
-TICK_S = 0.1
-DIGEST_S = 0.5
+TICK_INTERVAL_S = 0.1
+DIGEST_INTERVAL_S = 0.5
 LEASE_S, MARGIN_S = 6.0, 1.0
 HALF_LIFE_S = 600.0
-PATIENCE_S = 5.0
-LIMIT = 200
-BACKLOG = 150
-WAVE_EVERY_S = 120.0
-WAVE_PART = 0.3
-SICK_EVERY_S = 60.0
-SICK_PART = 0.02
-SICK_S = 20.0
+RESERVE_AFTER_S = 5.0
+MAX_PICKS = 200
+BACKLOG_TASKS = 150
+CANCEL_INTERVAL_S = 120.0
+CANCEL_FRACTION = 0.3
+OUTAGE_INTERVAL_S = 60.0
+OUTAGE_FRACTION = 0.02
+OUTAGE_DURATION_S = 20.0
 WARM_UP_S = 60.0
-PEAK_S = 90.0
+PEAK_DURATION_S = 90.0
 MAX_TASKS = 1000
 REGION = "r"
 
@@ -60,7 +60,7 @@
     room: Room
     stale: bool = True
 
-    def digest(self, share: FairShare, now: float) -> None:
+    def report_usage(self, share: FairShare, now: float) -> None:
         """Send the partition's used and free capacity to the home."""
         self.ledger.expire(now)
         share.put_digest(self.name, UsageDigest(taken_at=now, used=self.ledger.usage()))
@@ -104,11 +104,11 @@
 
 
 @define(kw_only=True, eq=False, slots=False)
-class Cellful:
+class CellSimulation:
     """Simulation of the whole cell under one policy.
 
     :param queue: job queue of the decision core, or a baseline.
-    :param keeps: whether workers are reserved for large tasks after a long wait.
+    :param reserves_workers: whether workers are reserved for large tasks after a long wait.
     :param rate: tasks submitted per second; with 0, each account's backlog is kept full.
     """
 
@@ -116,20 +116,20 @@
     queue: Queue
     seconds: float
     seed: int
-    keeps: bool = True
+    reserves_workers: bool = True
     rate: float = 0.0
-    wall_picks: Times = Factory(Times)
-    wall_decisions: Times = Factory(Times)
+    wall_picks: LatencyHistogram = Factory(LatencyHistogram)
+    wall_decisions: LatencyHistogram = Factory(LatencyHistogram)
     wall_s: float = 0.0
     starts: int = 0
     counts: Counter[str] = Factory(Counter)
     held_s: dict[str, list[float]] = Factory(dict)
     free_s: list[float] = Factory(lambda: [0.0, 0.0, 0.0])
-    first_waits: Times = Factory(Times)
+    first_waits: LatencyHistogram = Factory(LatencyHistogram)
     _jobs: dict[str, tuple[Job, Submission]] = field(factory=dict, init=False)
     _waiting: Counter[str] = field(factory=Counter, init=False)
     _endings: list[Ending] = field(factory=list, init=False)
-    _silent: list[tuple[float, int, str]] = field(factory=list, init=False)
+    _disconnected: list[tuple[float, int, str]] = field(factory=list, init=False)
     _number: int = field(default=0, init=False)
     _submitted: int = field(default=0, init=False)
 
@@ -146,16 +146,16 @@
         self._cell = Cell(revision=1, regions=(REGION,), accounts=accounts)
         self._extents = [_extent(rack) for rack in self._racks]
 
-    def go(self) -> None:
+    def run(self) -> None:
         """Run the simulation."""
-        for tick in range(int(self.seconds / TICK_S)):
-            now = 1.0 + tick * TICK_S
+        for tick in range(int(self.seconds / TICK_INTERVAL_S)):
+            now = 1.0 + tick * TICK_INTERVAL_S
             self._end_until(now)
-            self._events(tick, now)
+            self._inject_faults(tick, now)
             self._submit(now)
             self._place(tick, now)
             if now > WARM_UP_S:
-                self._tally()
+                self._add_usage()
 
     # ------------------------------------------------------------ work
 
@@ -166,7 +166,7 @@
                 self._submit_one(self._rng.choice(self._names), now)
             return
         for number, name in enumerate(self._names):
-            wanted = BACKLOG * demand_of(number)
+            wanted = BACKLOG_TASKS * demand_of(number)
             while self._waiting[name] < wanted:
                 self._submit_one(name, now)
 
@@ -188,14 +188,14 @@
         self.queue.put(job)
 
     def _place(self, tick: int, now: float) -> None:
-        in_turn = tick % round(DIGEST_S / TICK_S) == 0
+        in_turn = tick % round(DIGEST_INTERVAL_S / TICK_INTERVAL_S) == 0
         for number, rack in enumerate(self._racks):
             if not rack.stale and not in_turn:
                 continue
-            rack.digest(self._share, now)
+            rack.report_usage(self._share, now)
             began = time.perf_counter()
             picked = self.queue.pick(
-                rack.room, share=self._share, limit=LIMIT, now=now, epoch=1, home_epoch=1
+                rack.room, share=self._share, limit=MAX_PICKS, now=now, epoch=1, home_epoch=1
             )
             held = [self._claim(rack, item, now) for item in picked]
             took = time.perf_counter() - began
@@ -218,7 +218,7 @@
         )
         held = rack.ledger.place(attempt, spread=Spread.PACK, now=now)
         waited_s = now - item.job.since
-        if held is None and self.keeps and waited_s >= PATIENCE_S:
+        if held is None and self.reserves_workers and waited_s >= RESERVE_AFTER_S:
             kept = rack.ledger.keep(attempt, waited_s=waited_s, now=now)
             self.counts["kept_workers"] += kept
         return held
@@ -283,11 +283,11 @@
 
     # ------------------------------------------------------------ faults
 
-    def _events(self, tick: int, now: float) -> None:
-        if tick and tick % round(WAVE_EVERY_S / TICK_S) == 0:
-            self._cancel_wave()
-        if tick and tick % round(SICK_EVERY_S / TICK_S) == 0:
-            self._fall_silent(now)
+    def _inject_faults(self, tick: int, now: float) -> None:
+        if tick and tick % round(CANCEL_INTERVAL_S / TICK_INTERVAL_S) == 0:
+            self._cancel_jobs()
+        if tick and tick % round(OUTAGE_INTERVAL_S / TICK_INTERVAL_S) == 0:
+            self._disconnect_workers(now)
         for number, rack in enumerate(self._racks):
             # The ledger uses sets, whose iteration order differs between processes.
             lapsed = sorted(rack.ledger.lapse(now), key=lambda held: held.attempt.task_id)
@@ -299,28 +299,28 @@
             self._extend(number, rack, now)
 
     def _extend(self, number: int, rack: Rack, now: float) -> None:
-        away = {worker for _, at, worker in self._silent if at == number}
+        unreachable = {worker for _, at, worker in self._disconnected if at == number}
         for worker in rack.workers:
-            if worker.id not in away:
+            if worker.id not in unreachable:
                 rack.ledger.extend(worker.id, now=now)
-        for item in [item for item in self._silent if item[1] == number and item[0] <= now]:
-            self._silent.remove(item)
+        for item in [item for item in self._disconnected if item[1] == number and item[0] <= now]:
+            self._disconnected.remove(item)
             worker = next(w for w in rack.workers if w.id == item[2])
             rack.ledger.adopt(worker.id, capacity=worker.capacity, reported=(), now=now)
             rack.stale = True
 
-    def _fall_silent(self, now: float) -> None:
+    def _disconnect_workers(self, now: float) -> None:
         for number, rack in enumerate(self._racks):
             for worker in rack.workers:
-                if self._rng.random() < SICK_PART:
+                if self._rng.random() < OUTAGE_FRACTION:
                     rack.ledger.silent(worker.id)
-                    self._silent.append((now + SICK_S, number, worker.id))
+                    self._disconnected.append((now + OUTAGE_DURATION_S, number, worker.id))
                     self.counts["silent_workers"] += 1
 
-    def _cancel_wave(self) -> None:
+    def _cancel_jobs(self) -> None:
         """Cancel a fraction of the jobs of every second account; running tasks continue."""
         for job, made in list(self._jobs.values()):
-            if self._rng.random() >= WAVE_PART or made.spec.account not in self._names[::2]:
+            if self._rng.random() >= CANCEL_FRACTION or made.spec.account not in self._names[::2]:
                 continue
             self._waiting[made.spec.account] -= job.waiting()
             self.queue.drop(job)
@@ -331,7 +331,7 @@
 
     # ------------------------------------------------------------ sums
 
-    def _tally(self) -> None:
+    def _add_usage(self) -> None:
         for rack in self._racks:
             for account, size in rack.ledger.usage().items():
                 sums = self.held_s.setdefault(account, [0.0, 0.0, 0.0])
@@ -340,23 +340,23 @@
 
     def figures(self) -> dict[str, Any]:
         """Return the statistics of a finished run."""
-        totals = _parts(self._total)
-        ticks = int(self.seconds / TICK_S) - int((WARM_UP_S - 1.0) / TICK_S) - 1
+        totals = _dimensions(self._total)
+        ticks = int(self.seconds / TICK_INTERVAL_S) - int((WARM_UP_S - 1.0) / TICK_INTERVAL_S) - 1
         dominant = {
             name: max(value / whole for value, whole in zip(sums, totals, strict=True) if whole)
             / ticks
             for name, sums in self.held_s.items()
         }
         weights = {name: share_of(number) for number, name in enumerate(self._names)}
-        unit = sum(dominant.values()) / sum(weights.values())
-        due = {name: unit * weight for name, weight in weights.items()}
+        per_weight = sum(dominant.values()) / sum(weights.values())
+        entitled = {name: per_weight * weight for name, weight in weights.items()}
         held = [sum(sums[i] for sums in self.held_s.values()) / ticks for i in range(3)]
         return {
             "starts": self.starts,
             "starts_per_s": round(self.starts / self.seconds, 1),
             "running_at_end": sum(1 for rack in self._racks for _ in rack.ledger.all_held()),
             "in_use": [round(h / t, 4) if t else 0.0 for h, t in zip(held, totals, strict=True)],
-            "shares": share_errors(dominant, due),
+            "shares": share_errors(dominant, entitled),
             "first_start_wait": self.first_waits.figures(),
             "counts": dict(sorted(self.counts.items())),
             "wall_placements_per_s": round(self.starts / self.wall_s),
@@ -377,18 +377,18 @@
     )
 
 
-def _parts(size: Size) -> tuple[int, int, int]:
+def _dimensions(size: Size) -> tuple[int, int, int]:
     return size.millicores, size.memory_bytes, size.accelerators
 
 
 def _add(sums: list[float], size: Size) -> None:
-    for index, value in enumerate(_parts(size)):
+    for index, value in enumerate(_dimensions(size)):
         sums[index] += value
 
 
 def make_queue() -> JobQueue:
     """Return the job queue of the decision core."""
-    return JobQueue(far_after_s=0.0, patience_s=PATIENCE_S)
+    return JobQueue(far_after_s=0.0, patience_s=RESERVE_AFTER_S)
 
 
 POLICIES: Mapping[str, Any] = {"core": make_queue, "fifo": FifoJobs}
@@ -405,17 +405,23 @@
     }
     for name, make in POLICIES.items():
         queue = make()
-        keeps = isinstance(queue, JobQueue)
-        cell = Cellful(profile=profile, queue=queue, seconds=seconds, seed=seed, keeps=keeps)
-        cell.go()
-        peak = Cellful(
+        reserves_workers = isinstance(queue, JobQueue)
+        cell = CellSimulation(
+            profile=profile,
+            queue=queue,
+            seconds=seconds,
+            seed=seed,
+            reserves_workers=reserves_workers,
+        )
+        cell.run()
+        peak = CellSimulation(
             profile=profile,
             queue=make(),
-            seconds=PEAK_S,
+            seconds=PEAK_DURATION_S,
             seed=seed,
-            keeps=keeps,
+            reserves_workers=reserves_workers,
             rate=profile.starts_per_s,
         )
-        peak.go()
+        peak.run()
         found[name] = {**cell.figures(), "peak_of_starts": peak.figures()}
     return found
--- a/rhubarbferry/bench/task_work.py
+++ b/rhubarbferry/bench/task_work.py
@@ -13,21 +13,21 @@
 
 CORES = (1, 1, 2, 2, 4, 4, 8, 16)
 GIB_PER_CORE = (0.5, 1, 2, 2, 4, 6)
-ACCELERATED_PART = 0.08
-JOB_TASKS = (1, 2, 4, 8, 16, 32)
-MOST_OFF = 4.0
-IMPOSSIBLE_PART = 0.02
+ACCELERATED_FRACTION = 0.08
+TASKS_PER_JOB = (1, 2, 4, 8, 16, 32)
+MAX_USE_RATIO = 4.0
+IMPOSSIBLE_FRACTION = 0.02
 
 
 def task_size(rng: random.Random, *, accelerated: bool = True) -> Size:
     """Return the declared size of one task."""
     cores = rng.choice(CORES)
     per_core = rng.choice(GIB_PER_CORE)
-    wants = accelerated and rng.random() < ACCELERATED_PART
+    needs_accelerators = accelerated and rng.random() < ACCELERATED_FRACTION
     return Size(
         millicores=cores * 1000 + rng.randrange(0, 1000, 100),
         memory_bytes=int(cores * per_core * GIB),
-        accelerators=rng.choice((1, 1, 2, 4)) if wants else 0,
+        accelerators=rng.choice((1, 1, 2, 4)) if needs_accelerators else 0,
     )
 
 
@@ -42,26 +42,26 @@
     """One generated job.
 
     :param run_s: duration of each task in seconds.
-    :param used: ratio of the resources that the tasks use to the declared size, from a quarter to
-        four.
+    :param use_ratio: ratio of the resources that the tasks use to the declared size, from a
+        quarter to four.
     :param impossible: whether its tasks are larger than any worker of the cell.
     """
 
     spec: JobSpec
     run_s: float
-    used: float
+    use_ratio: float
     impossible: bool
 
 
 def submission(rng: random.Random, account: str, profile: Profile) -> Submission:
     """Return the next job of an account."""
-    impossible = rng.random() < IMPOSSIBLE_PART
+    impossible = rng.random() < IMPOSSIBLE_FRACTION
     size = task_size(rng, accelerated=profile.accelerators > 0)
     if impossible:
         size = Size(millicores=2 * profile.worker.millicores, memory_bytes=GIB)
     return Submission(
-        spec=JobSpec(account=account, tasks=rng.choice(JOB_TASKS), size=size),
+        spec=JobSpec(account=account, tasks=rng.choice(TASKS_PER_JOB), size=size),
         run_s=profile.run_s * rng.uniform(0.5, 1.5),
-        used=MOST_OFF ** rng.uniform(-1.0, 1.0),
+        use_ratio=MAX_USE_RATIO ** rng.uniform(-1.0, 1.0),
         impossible=impossible,
     )
--- a/tests/bench/test_bench.py
+++ b/tests/bench/test_bench.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rhubarbferry.bench.figures import Times, share_errors, water_fill
+from rhubarbferry.bench.figures import LatencyHistogram, share_errors, water_fill
 from rhubarbferry.bench.profiles import PROFILES, make_workers
 from rhubarbferry.bench.request_work import arrivals
 from rhubarbferry.bench.requests import POLICIES, Run, figures
@@ -61,7 +61,7 @@
 
 
 def test_times_keep_percentiles() -> None:
-    times = Times()
+    times = LatencyHistogram()
     for ms in range(1, 101):
         times.add(ms / 1000)
     found = times.figures()
@@ -88,8 +88,8 @@
 def test_generated_jobs_are_off_by_up_to_four_times_and_some_are_impossible() -> None:
     rng = random.Random(1)
     made = [submission(rng, "a", PROFILES["aim"]) for _ in range(2000)]
-    assert min(one.used for one in made) < 0.3
-    assert 3.5 < max(one.used for one in made) <= 4.0
+    assert min(one.use_ratio for one in made) < 0.3
+    assert 3.5 < max(one.use_ratio for one in made) <= 4.0
     worker: Size = PROFILES["aim"].worker
     for one in made:
         assert one.impossible == (one.spec.size.millicores > worker.millicores)
@@ -102,7 +102,7 @@
     """
     profile = PROFILES["today"]
     run_ = Run(profile=profile, policy=POLICIES[policy](profile), load=3.0, seconds=20.0, seed=2)
-    run_.go()
+    run_.run()
     found = figures(run_)
     ended = found["refused"] + found["done"] + found["cut_off"]
     assert ended <= found["offered"] + run_.tally.most_waiting
--- a/tests/bench/test_days.py
+++ b/tests/bench/test_days.py
@@ -4,18 +4,18 @@
 
 from attrs import evolve
 
-from rhubarbferry.bench.day_work import CALM, StartsLost
-from rhubarbferry.bench.days import Cell
+from rhubarbferry.bench.day_work import FAULT_FREE_DAY, StartsLost
+from rhubarbferry.bench.days import DaySimulation
 from rhubarbferry.dispatch import tracker
 
-LOSSES = (StartsLost(at_s=0.0, for_s=20.0, share=0.2),)
-DAY = evolve(CALM, seconds=20.0, starts_lost=LOSSES)
+LOSSES = (StartsLost(at_s=0.0, duration_s=20.0, fraction=0.2),)
+DAY = evolve(FAULT_FREE_DAY, seconds=20.0, starts_lost=LOSSES)
 
 
 def worth() -> float:
-    cell = Cell(day=DAY, seed="1")
-    cell.play()
-    return cell.figures()["worth_share"]
+    simulation = DaySimulation(day=DAY, seed="1")
+    simulation.run()
+    return simulation.figures()["worth_share"]
 
 
 def test_starts_that_are_sent_again_serve_more_while_hosts_lose_orders(monkeypatch):
