--- a/bench/dispatch_backlog.py
+++ b/bench/dispatch_backlog.py
@@ -109,19 +109,19 @@
         small = job(f"small{index}", 1, 2_000)
         simulation.dispatcher.add_job(small, now=simulation.now, wall_s=simulation.now)
     placed = 0
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     while placed < SMALL_JOBS:
         placed += simulation.step()
-    return placed / (time.perf_counter() - begun)
+    return placed / (time.perf_counter() - started_at)
 
 
 def main() -> None:
     waiting = LARGE_JOBS * TASKS_PER_LARGE_JOB
-    figures = {
+    statistics = {
         "placements_per_s": {str(tasks): round(measure(tasks)) for tasks in (0, waiting)},
         "hosts": HOSTS,
     }
-    print(json.dumps(figures))
+    print(json.dumps(statistics))
 
 
 if __name__ == "__main__":
--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -126,12 +126,12 @@
         return found
 
     async def wait_until_running(self, count: int) -> float:
-        begun = time.monotonic()
+        started_at = time.monotonic()
         while (await self.counts())["running"] < count:
-            if time.monotonic() - begun > TIMEOUT_S:
+            if time.monotonic() - started_at > TIMEOUT_S:
                 break
             await asyncio.sleep(0.25)
-        return time.monotonic() - begun
+        return time.monotonic() - started_at
 
     # ------------------------------------------------------------ phases
 
@@ -150,11 +150,11 @@
             if status == 202:
                 return str(doc["id"])
             if time.monotonic() > until:
-                raise SystemExit(f"not accepted: {doc}")
+                raise SystemExit(f"job not accepted within {TIMEOUT_S} s: {doc}")
             await asyncio.sleep(0.2)
 
     async def fill(self) -> None:
-        begun = time.monotonic()
+        started_at = time.monotonic()
         kinds = []
         for left in range(0, TASKS, JOB_TASKS):
             kinds.append("service" if left < SERVICE_TASKS else "batch")
@@ -164,16 +164,16 @@
                 for n, kind in enumerate(kinds)
             )
         )
-        accepted = time.monotonic() - begun
+        accepted = time.monotonic() - started_at
         await self.wait_until_running(TASKS)
-        took = time.monotonic() - begun
+        elapsed_s = time.monotonic() - started_at
         counts = await self.counts()
         self.result["fill"] = {
             "jobs": len(kinds),
             "accepted_s": round(accepted, 2),
             "running": counts["running"],
-            "took_s": round(took, 2),
-            "starts_per_s": round(counts["started"] / took, 1),
+            "took_s": round(elapsed_s, 2),
+            "starts_per_s": round(counts["started"] / elapsed_s, 1),
         }
 
     async def measure_phase(self, name: str, seconds: float, work: Any = None) -> None:
@@ -182,38 +182,38 @@
         before = {d.name: usage_of(d) for d in daemons}
         calls = await self.store_calls()
         started = (await self.counts())["started"]
-        begun = time.monotonic()
+        started_at = time.monotonic()
         if work is None:
             await asyncio.sleep(seconds)
         else:
             await work
-        took = time.monotonic() - begun
+        elapsed_s = time.monotonic() - started_at
         after = {d.name: usage_of(d) for d in daemons}
         calls_after = await self.store_calls()
         starts = (await self.counts())["started"] - started
         roles = {}
         for role in ("scheduler", "frontend"):
             names = [n for n in after if n.startswith(role)]
-            cores = [(after[n].cpu_s - before[n].cpu_s) / took for n in names]
+            cores = [(after[n].cpu_s - before[n].cpu_s) / elapsed_s for n in names]
             roles[role] = {
                 "core_mean": round(sum(cores) / len(cores), 4),
                 "core_max": round(max(cores), 4),
                 "rss_mb_max": round(max(after[n].rss_mib for n in names), 1),
             }
         self.result[name] = {
-            "took_s": round(took, 2),
-            "starts_per_s": round(starts / took, 1),
+            "took_s": round(elapsed_s, 2),
+            "starts_per_s": round(starts / elapsed_s, 1),
             **roles,
-            "store_per_s": rates(calls, calls_after, took),
+            "store_per_s": rates(calls, calls_after, elapsed_s),
         }
 
     async def churn(self) -> None:
         jobs: list[str] = []
         gap = CHURN_TASKS / CHURN_PER_S
-        begun = time.monotonic()
+        started_at = time.monotonic()
         pending = []
         for n in range(int(CHURN_S / gap)):
-            await asyncio.sleep(max(0.0, begun + n * gap - time.monotonic()))
+            await asyncio.sleep(max(0.0, started_at + n * gap - time.monotonic()))
             job = self.submit(n, tasks=CHURN_TASKS, run_ms=CHURN_RUN_MS)
             pending.append(asyncio.create_task(job))
         jobs = list(await asyncio.gather(*pending))
@@ -241,7 +241,7 @@
     async def kill(self) -> None:
         victim = self.cell.named("scheduler")[0]
         before = await self.counts()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         await victim.kill()
         waits = []
         for n in range(16):
@@ -252,7 +252,7 @@
         after = await self.counts()
         self.result["kill"] = {
             "urgent_done_s_max": round(max(waits), 2),
-            "all_urgent_s": round(time.monotonic() - begun, 2),
+            "all_urgent_s": round(time.monotonic() - started_at, 2),
             "running_before": before["running"],
             "running_after": after["running"],
         }
@@ -270,10 +270,10 @@
         self.result["over_capacity"] = (await self.counts())["over_capacity"]
 
 
-def rates(before: dict[str, Any], after: dict[str, Any], took: float) -> dict[str, float]:
+def rates(before: dict[str, Any], after: dict[str, Any], elapsed_s: float) -> dict[str, float]:
     found = {}
     for kind, count in after.get("calls", {}).items():
-        rate = (count - before.get("calls", {}).get(kind, 0)) / took
+        rate = (count - before.get("calls", {}).get(kind, 0)) / elapsed_s
         if rate:
             found[kind] = round(rate, 1)
     return found
--- a/bench/job_starts.py
+++ b/bench/job_starts.py
@@ -63,10 +63,10 @@
 
     async def run(self, seconds: float) -> None:
         """Submit jobs for ``seconds`` seconds, then wait for all responses."""
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         async with asyncio.TaskGroup() as group:
             for n in range(int(seconds * self.per_s)):
-                await asyncio.sleep(max(0.0, begun + n / self.per_s - time.perf_counter()))
+                await asyncio.sleep(max(0.0, started_at + n / self.per_s - time.perf_counter()))
                 group.create_task(self.submit())
 
     async def submit(self) -> None:
@@ -145,16 +145,16 @@
     found = await wait_until_done(cell)
     runs = [run for record in await cell.records("worker") for run in record["runs"]]
     starts = sum(before.at <= run["started_at"] < after.at for run in runs)
-    took_s = after.at - before.at
+    elapsed_s = after.at - before.at
     return {
         "asked_per_s": args.rate,
         "tasks_per_job": args.tasks,
-        "starts_per_s": round(starts / took_s, 1),
-        "writes_per_s": round((after.writes - before.writes) / took_s, 1),
+        "starts_per_s": round(starts / elapsed_s, 1),
+        "writes_per_s": round((after.writes - before.writes) / elapsed_s, 1),
         "job_wait_ms": waits([job for job in found if job["id"] not in warm]),
         "cpu_ms_per_start": per_start_ms(before, after, starts),
         "cpu_share": {
-            name: round((after.cpu_s[name] - before.cpu_s[name]) / took_s, 2)
+            name: round((after.cpu_s[name] - before.cpu_s[name]) / elapsed_s, 2)
             for name in after.cpu_s
             if not name.startswith("worker")
         },
@@ -180,7 +180,7 @@
             except (TimeoutError, aiohttp.ClientError) as exc:
                 for process in cell.named("scheduler"):
                     print(process.last_lines(5))
-                raise SystemExit(f"not measured: {exc!r}") from exc
+                raise SystemExit(f"measurement failed: {exc!r}") from exc
 
 
 if __name__ == "__main__":
--- a/bench/request_latency.py
+++ b/bench/request_latency.py
@@ -35,11 +35,11 @@
     headers = {"Idempotent": "true"}
     if keyed:
         headers = {"Idempotent": "false", "Idempotency-Key": secrets.token_hex(8)}
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     answer = await cell.request("frontend-attiki-1", "/bench", headers=headers, body=b"x" * 100)
     if answer.outcome != "done":
         raise SystemExit(f"{answer.status} {answer.outcome}: {answer.body!r}")
-    times.record_value(int((time.perf_counter() - begun) * 1e6))
+    times.record_value(int((time.perf_counter() - started_at) * 1e6))
 
 
 async def measure_sequential(cell: ProcessCell, keyed: bool) -> dict[str, float]:
@@ -57,9 +57,9 @@
         async with semaphore:
             await send_request(cell, keyed, times)
 
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     await asyncio.gather(*(bounded() for _ in range(CONCURRENT_REQUESTS)))
-    return {**summary(times), "per_s": CONCURRENT_REQUESTS / (time.perf_counter() - begun)}
+    return {**summary(times), "per_s": CONCURRENT_REQUESTS / (time.perf_counter() - started_at)}
 
 
 async def main() -> None:
--- a/bench/slopes_dispatch.py
+++ b/bench/slopes_dispatch.py
@@ -36,9 +36,9 @@
 
     def wrap(self, call: Callable[..., Any]) -> Callable[..., Any]:
         def timed(*args: Any, **kwargs: Any) -> Any:
-            begun = time.process_time()
+            started_at = time.process_time()
             result = call(*args, **kwargs)
-            self.seconds += time.process_time() - begun
+            self.seconds += time.process_time() - started_at
             self.calls += 1
             if isinstance(result, list):
                 self.starts += sum(isinstance(order, StartOrder) for order in result)
--- a/bench/slopes_jobs.py
+++ b/bench/slopes_jobs.py
@@ -120,7 +120,7 @@
 
 
 async def take_reading(bench: Bench) -> Reading:
-    """Read all counters."""
+    """Read the current values of all counters."""
     workers = bench.cell.named("worker-")
     return Reading(
         at=time.monotonic(),
@@ -140,16 +140,19 @@
     before = await take_reading(bench)
     await asyncio.sleep(seconds)
     after = await take_reading(bench)
-    took = after.at - before.at
+    elapsed_s = after.at - before.at
     workers = len(bench.proxies)
     return {
-        "scheduler_cpu_percent": (after.scheduler_ms - before.scheduler_ms) / took / 10,
-        "worker_stand_in_cpu_percent": (after.worker_ms - before.worker_ms) / took / 10 / workers,
+        "scheduler_cpu_percent": (after.scheduler_ms - before.scheduler_ms) / elapsed_s / 10,
+        "worker_stand_in_cpu_percent": (after.worker_ms - before.worker_ms)
+        / elapsed_s
+        / 10
+        / workers,
         "scheduler_mib": rss_mib(bench.scheduler),
-        "bytes_to_worker_per_s": (after.sent - before.sent) / took / workers,
-        "bytes_from_worker_per_s": (after.received - before.received) / took / workers,
-        "heartbeats_per_worker_per_s": (after.heartbeats - before.heartbeats) / took / workers,
-        "store_calls_per_s": (after.store.total - before.store.total) / took,
+        "bytes_to_worker_per_s": (after.sent - before.sent) / elapsed_s / workers,
+        "bytes_from_worker_per_s": (after.received - before.received) / elapsed_s / workers,
+        "heartbeats_per_worker_per_s": (after.heartbeats - before.heartbeats) / elapsed_s / workers,
+        "store_calls_per_s": (after.store.total - before.store.total) / elapsed_s,
     }
 
 
--- a/bench/slopes_members.py
+++ b/bench/slopes_members.py
@@ -54,21 +54,21 @@
     async with ProcessCell(dir=dir, shape=shape) as cell:
         await cell.until_served(FRONTEND)
         await asyncio.sleep(SETTLE_S)
-        before, began = await store_counts(cell), time.monotonic()
+        before, started_at = await store_counts(cell), time.monotonic()
         used = {p.name: cpu_ms(p) for p in daemons(cell)}
         await asyncio.sleep(IDLE_S)
-        after, took = await store_counts(cell), time.monotonic() - began
-        cpu = {p.name: (cpu_ms(p) - used[p.name]) / took / 10 for p in daemons(cell)}
+        after, elapsed_s = await store_counts(cell), time.monotonic() - started_at
+        cpu = {p.name: (cpu_ms(p) - used[p.name]) / elapsed_s / 10 for p in daemons(cell)}
         memory = [rss_mib(p) for p in daemons(cell)]
     calls = {
-        kind: round((count - before.calls.get(kind, 0)) / took, 3)
+        kind: round((count - before.calls.get(kind, 0)) / elapsed_s, 3)
         for kind, count in after.calls.items()
     }
     return {
-        "calls_per_s": (after.total - before.total) / took,
-        "writes_per_s": (after.writes - before.writes) / took,
-        "reads_per_s": (after.reads - before.reads) / took,
-        "bytes_in_per_s": (after.bytes_in - before.bytes_in) / took,
+        "calls_per_s": (after.total - before.total) / elapsed_s,
+        "writes_per_s": (after.writes - before.writes) / elapsed_s,
+        "reads_per_s": (after.reads - before.reads) / elapsed_s,
+        "bytes_in_per_s": (after.bytes_in - before.bytes_in) / elapsed_s,
         "cpu_percent_each": sum(cpu.values()) / len(cpu),
         "mib_max": max(memory),
         "by_kind": calls,
@@ -127,10 +127,10 @@
         await cell.until_served(FRONTEND)
         await asyncio.sleep(SETTLE_S)
         store, pools = cell.open_store(), (Pool(service=SCHEDULER), Pool(service=GUARD))
-        before, began = await store_counts(cell), time.monotonic()
+        before, started_at = await store_counts(cell), time.monotonic()
         for change in range(1, CHANGES + 1):
             text = cell_with_accounts(cell.cell_text(), ACCOUNTS, change)
-            begun = time.perf_counter()
+            change_started_at = time.perf_counter()
             await configuration.apply(
                 store,
                 text=text,
@@ -140,9 +140,9 @@
                 write_id=secrets.token_hex(4),
             )
             await wait_until_active(cell, pools, change + 1)
-            times.record_value(int(1e6 * (time.perf_counter() - begun)))
+            times.record_value(int(1e6 * (time.perf_counter() - change_started_at)))
             await asyncio.sleep(0.1)
-        after, took = await store_counts(cell), time.monotonic() - began
+        after, elapsed_s = await store_counts(cell), time.monotonic() - started_at
         await asyncio.sleep(IDLE_S)
         rested = await store_counts(cell)
         await store.close()
@@ -158,7 +158,7 @@
         "members": 8,
         "changes": CHANGES,
         "store_calls_per_change": round(
-            (after.total - before.total - rest_per_s * took) / CHANGES, 2
+            (after.total - before.total - rest_per_s * elapsed_s) / CHANGES, 2
         ),
         "store_bytes_per_change": round((after.bytes_in - before.bytes_in) / CHANGES),
         "ini_bytes_per_account": round(slope(sizes), 1),
@@ -184,9 +184,9 @@
     if keyed:
         headers["Idempotent"] = "false"
         headers["Idempotency-Key"] = secrets.token_hex(8)
-    begun = time.monotonic()
+    started_at = time.monotonic()
     answer = await cell.request(FRONTEND, "/kill", headers=headers, body=b"x")
-    seen.append((time.monotonic() - begun, answer.outcome))
+    seen.append((time.monotonic() - started_at, answer.outcome))
 
 
 async def measure_kill(cell: ProcessCell, pool: Pool, number: int) -> dict[str, Any] | None:
@@ -206,7 +206,7 @@
     await cell.start_daemon("scheduler", f"scheduler-attiki-r{number}", region="attiki")
     await asyncio.sleep(SETTLE_S + 2)
     return {
-        "longest_s": max(took for took, _ in seen),
+        "longest_s": max(elapsed_s for elapsed_s, _ in seen),
         "outcomes": dict(Counter(outcome for _, outcome in seen)),
     }
 
--- a/bench/slopes_plan.py
+++ b/bench/slopes_plan.py
@@ -69,9 +69,9 @@
     """Return the shortest planning time in milliseconds."""
     best = float("inf")
     for _ in range(ROUNDS):
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         plan(table, members, partitions)
-        best = min(best, time.perf_counter() - begun)
+        best = min(best, time.perf_counter() - started_at)
     return 1000 * best
 
 
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -35,11 +35,11 @@
         headers["Idempotency-Key"] = secrets.token_hex(8)
     if work_ms:
         headers["Work-Ms"] = str(work_ms)
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     answer = await cell.request(FRONTEND, "/bench", headers=headers, body=BODY)
     if answer.outcome != "done":
         raise RuntimeError(f"{answer.status} {answer.outcome}: {answer.body!r}")
-    return time.perf_counter() - begun
+    return time.perf_counter() - started_at
 
 
 async def send_many(cell: ProcessCell, count: int, *, keyed: bool) -> None:
@@ -69,7 +69,7 @@
 
 
 async def take_reading(cell: ProcessCell) -> Reading:
-    """Read all counters."""
+    """Read the current values of all counters."""
     frontend, scheduler = cell.processes[FRONTEND], cell.processes[SCHEDULER]
     counts = await store_counts(cell)
     return Reading(
--- a/rhubarbferry/bench/days.py
+++ b/rhubarbferry/bench/days.py
@@ -68,7 +68,7 @@
 FIXED_WORTH_FRACTION = 0.3
 MAX_WORTH_FACTOR = 4.0
 
-Run = tuple[TaskId, int]
+AttemptKey = tuple[TaskId, int]
 
 
 @define(kw_only=True, eq=False)
@@ -77,9 +77,9 @@
 
     entry: HostEntry
     speed: float
-    running: dict[Run, float] = Factory(dict)
-    started_at: dict[Run, float] = Factory(dict)
-    end_kinds: dict[Run, EndKind] = Factory(dict)
+    running: dict[AttemptKey, float] = Factory(dict)
+    started_at: dict[AttemptKey, float] = Factory(dict)
+    end_kinds: dict[AttemptKey, EndKind] = Factory(dict)
     ended: list[EndedTask] = Factory(list)
     count: int = 0
     dead: bool = False
@@ -95,7 +95,7 @@
             ended=tuple(self.ended),
         )
 
-    def _percent(self, run: Run, now: float) -> float:
+    def _percent(self, run: AttemptKey, now: float) -> float:
         length = max(1e-9, self.running[run] - self.started_at[run])
         return min(100.0, 100 * (now - self.started_at[run]) / length)
 
@@ -235,7 +235,7 @@
                 if host.entry.id == id or (gang and (run[0].job, run[0].step) in steps):
                     self._scale_remaining(host, run, 1 / factor)
 
-    def _scale_remaining(self, host: _Host, run: Run, factor: float) -> None:
+    def _scale_remaining(self, host: _Host, run: AttemptKey, factor: float) -> None:
         """Multiply the remaining time of a run by ``factor``, keeping its progress."""
         started_at, end = host.started_at[run], host.running[run]
         done = (self.now - started_at) / max(1e-9, end - started_at)
@@ -284,12 +284,12 @@
         hosts = [task.run.host for task in step.tasks if task.run is not None]
         return min(self._hosts[id].speed for id in hosts)
 
-    def _end_if_due(self, host: _Host, run: Run, how: EndKind) -> None:
+    def _end_if_due(self, host: _Host, run: AttemptKey, how: EndKind) -> None:
         """End a run, unless a change of speed has rescheduled its end."""
         if run in host.running and abs(host.running[run] - self.now) < TIME_TOLERANCE_S:
             self._end(host, run, how)
 
-    def _end(self, host: _Host, run: Run, how: EndKind, checkpoint: str = "") -> None:
+    def _end(self, host: _Host, run: AttemptKey, how: EndKind, checkpoint: str = "") -> None:
         if run not in host.running:
             return
         if how is EndKind.DONE:
@@ -306,11 +306,11 @@
         )
         self._schedule(self.now + ONE_WAY_DELAY_S, lambda: self._report(host.entry.id))
 
-    def _core_s(self, run: Run) -> float:
+    def _core_s(self, run: AttemptKey) -> float:
         step = self._arrivals[run[0].job].req.steps[run[0].step]
         return step.sizes.millicores / 1000
 
-    def _count_wasted(self, host: _Host, run: Run) -> None:
+    def _count_wasted(self, host: _Host, run: AttemptKey) -> None:
         self.wasted_core_s += self._core_s(run) * (self.now - host.started_at[run])
 
     def _stop(self, order: StopOrder) -> None:
@@ -393,8 +393,8 @@
         self._schedule(self.now + 2 * ONE_WAY_DELAY_S, lambda: self._report(order.host))
 
     def _request_advice(self, order: AdviceOrder, member: str) -> None:
-        took_s = order.cost.duration_s(len(order.hosts)) + ONE_WAY_DELAY_S
-        self._schedule(self.now + took_s, lambda: self._deliver_advice(order, member))
+        elapsed_s = order.cost.duration_s(len(order.hosts)) + ONE_WAY_DELAY_S
+        self._schedule(self.now + elapsed_s, lambda: self._deliver_advice(order, member))
 
     def _deliver_advice(self, order: AdviceOrder, member: str) -> None:
         self._advice_queue.done(member)
@@ -436,7 +436,7 @@
 
     # ------------------------------------------------------------ figures
 
-    def figures(self) -> dict[str, Any]:
+    def statistics(self) -> dict[str, Any]:
         """Return the results as users see them."""
         means = self._mean_work()
         kinds: dict[str, dict[str, Any]] = {}
@@ -449,11 +449,11 @@
                 MAX_WORTH_FACTOR,
                 FIXED_WORTH_FRACTION + (1 - FIXED_WORTH_FRACTION) * arrival.core_s / means[name],
             )
-            verdict = self._verdict(arrival)
+            outcome = self._outcome(arrival)
             row["jobs"] += 1
-            row[verdict] += 1
+            row[outcome] += 1
             earned = {"in_time": arrival.kind.worth, "late": arrival.kind.late_worth}
-            window[0] += factor * earned.get(verdict, 0.0)
+            window[0] += factor * earned.get(outcome, 0.0)
             window[1] += factor * arrival.kind.worth
         shares = sorted(earned / possible for earned, possible in windows.values())
         whole = sum(pair[0] for pair in windows.values()) / sum(p[1] for p in windows.values())
@@ -471,14 +471,14 @@
             sums.setdefault(arrival.kind.queue.name, []).append(arrival.core_s)
         return {name: sum(found) / len(found) for name, found in sums.items()}
 
-    def _verdict(self, arrival: Arrival) -> str:
+    def _outcome(self, arrival: Arrival) -> str:
         done_at = self.done_at.get(arrival.req.id)
         if done_at is None:
             return "missed"
-        took_s = done_at - arrival.at_s
-        if took_s <= arrival.objective_s:
+        elapsed_s = done_at - arrival.at_s
+        if elapsed_s <= arrival.objective_s:
             return "in_time"
-        return "late" if took_s <= LATE_FACTOR * arrival.objective_s else "missed"
+        return "late" if elapsed_s <= LATE_FACTOR * arrival.objective_s else "missed"
 
 
 def experiment(*, seed: int, seconds: float) -> dict[str, Any]:
@@ -490,5 +490,5 @@
     for name, day in DAYS.items():
         simulation = DaySimulation(day=evolve(day, seconds=seconds), seed=f"{seed} {name}")
         simulation.run()
-        report[name] = simulation.figures()
+        report[name] = simulation.statistics()
     return report
--- a/rhubarbferry/bench/placement.py
+++ b/rhubarbferry/bench/placement.py
@@ -21,8 +21,8 @@
 from attrs import Factory, define, evolve
 
 from rhubarbferry.bench.baselines import LinearScan
-from rhubarbferry.bench.figures import LatencyHistogram
 from rhubarbferry.bench.profiles import GIB, Profile, Worker, make_workers
+from rhubarbferry.bench.statistics import LatencyHistogram
 from rhubarbferry.bench.task_work import task_need
 from rhubarbferry.core.cell import Size
 from rhubarbferry.core.placement import Need, Placement
@@ -62,14 +62,14 @@
     batches: LatencyHistogram = Factory(LatencyHistogram)
     decisions: LatencyHistogram = Factory(LatencyHistogram)
 
-    def figures(self) -> dict[str, Any]:
+    def statistics(self) -> dict[str, Any]:
         """Return the statistics; all but the last are wall-clock times."""
         return {
             "wall_placements_per_s": round(self.placed / self.seconds),
             "wall_tries_per_s": round(self.tried / self.seconds),
             "wall_us_per_try": round(1e6 * self.seconds / self.tried, 1),
-            "wall_batch": self.batches.figures(),
-            "wall_decision": self.decisions.figures(),
+            "wall_batch": self.batches.statistics(),
+            "wall_decision": self.decisions.statistics(),
             "placed_of_tried": round(self.placed / self.tried, 4),
         }
 
@@ -105,7 +105,7 @@
 
     def _place(self, needs: Sequence[Need]) -> None:
         speed = self.speed
-        began = last = time.perf_counter()
+        started_at = last = time.perf_counter()
         for need in needs:
             found = self.policy.choose(need)
             if found is not None and self.policy.take(found, need.job_id, need.size):
@@ -114,8 +114,8 @@
             now = time.perf_counter()
             speed.decisions.add(now - last)
             last = now
-        speed.batches.add(last - began)
-        speed.seconds += last - began
+        speed.batches.add(last - started_at)
+        speed.seconds += last - started_at
         speed.tried += len(needs)
 
     def _next(self) -> Need:
@@ -168,7 +168,7 @@
             name: {
                 "speed": measure_speed(
                     factory(workers, random.Random(seed + 1)), workers=count, seed=seed, steps=steps
-                ).figures(),
+                ).statistics(),
                 "packing": measure_packing(
                     factory(workers, random.Random(seed + 1)), workers, seed
                 ),
--- a/rhubarbferry/bench/plots.py
+++ b/rhubarbferry/bench/plots.py
@@ -67,10 +67,10 @@
 
 def _days(part: dict[str, Any], axes: Any) -> None:
     names = [name for name in part if isinstance(part[name], dict)]
-    for index, figure in enumerate(("worth_share", "worst_windows")):
-        values = [part[name][figure] for name in names]
+    for index, statistic in enumerate(("worth_share", "worst_windows")):
+        values = [part[name][statistic] for name in names]
         places = [at + 0.35 * (index - 0.5) for at in range(len(names))]
-        axes.bar(places, values, width=0.33, label=figure.replace("_", " "))
+        axes.bar(places, values, width=0.33, label=statistic.replace("_", " "))
     axes.set_xticks(range(len(names)), names, fontsize=8)
     axes.set(ylabel="share of the worth of all jobs", ylim=(0.0, 1.02))
     axes.set_title("Days of jobs")
--- a/rhubarbferry/bench/requests.py
+++ b/rhubarbferry/bench/requests.py
@@ -18,7 +18,6 @@
 from attrs import Factory, define, frozen
 from returns.result import Failure, Success
 
-from rhubarbferry.bench.figures import LatencyHistogram, share_errors, water_fill
 from rhubarbferry.bench.profiles import Profile
 from rhubarbferry.bench.request_work import (
     CLASSES,
@@ -31,6 +30,7 @@
     demand_of,
     share_of,
 )
+from rhubarbferry.bench.statistics import LatencyHistogram, share_errors, water_fill
 from rhubarbferry.core.cell import PriorityClass
 from rhubarbferry.core.request_queue import QueueRules, RequestQueue, Terms, Waiting
 from rhubarbferry.core.slots import RunnerWord, SlotEnd, SlotLease, SlotLedger
@@ -38,7 +38,7 @@
 LOADS = (1.0, 2.0, 10.0)
 SHARE_LOAD = 2.0
 ONE_WAY_DELAY_S = 0.0015
-MAX_WAITING = 5000
+MAX_WAITING_REQUESTS = 5000
 ABANDON_INTERVAL_S = 10.0
 ABANDON_FRACTION = 0.2
 SLOW_RUNNER_FRACTION = 0.08
@@ -88,10 +88,10 @@
     """The queue and slot ledger of the decision core, used as in a runner partition."""
 
     def __init__(self, profile: Profile) -> None:
-        self._queue = RequestQueue(rules=QueueRules(max_waiting=MAX_WAITING))
+        self._queue = RequestQueue(rules=QueueRules(max_waiting=MAX_WAITING_REQUESTS))
         self._queue.configure(
             {
-                name: Terms(share=share_of(number), max_waiting=MAX_WAITING)
+                name: Terms(share=share_of(number), max_waiting=MAX_WAITING_REQUESTS)
                 for number, name in enumerate(account_names(profile.accounts))
             }
         )
@@ -199,7 +199,7 @@
 
     def offer(self, arrival: Arrival, now: float) -> bool:
         """Append a request to the queue, unless the queue is full."""
-        if len(self._queue) >= MAX_WAITING:
+        if len(self._queue) >= MAX_WAITING_REQUESTS:
             return False
         self._queue.append(arrival)
         return True
@@ -310,10 +310,10 @@
             tally.offered += 1
             wanted = arrival.service_s + 2 * ONE_WAY_DELAY_S
             tally.wanted_s[arrival.account] = tally.wanted_s.get(arrival.account, 0.0) + wanted
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         accepted = self.policy.offer(arrival, now)
         starts = self.policy.starts(now)
-        tally.decision_s += time.perf_counter() - began
+        tally.decision_s += time.perf_counter() - started_at
         tally.decisions += 1
         if not accepted and now >= self._warm_up_s:
             tally.refused += 1
@@ -333,28 +333,28 @@
 
     def _end_until(self, until: float) -> None:
         while self._ends and self._ends[0][0] <= until:
-            now, _, start, began = heapq.heappop(self._ends)
+            now, _, start, started_at = heapq.heappop(self._ends)
             arrival = start.arrival
             duration_s = 2 * ONE_WAY_DELAY_S + arrival.service_s * self._slowdown(
-                start.runner, began
+                start.runner, started_at
             )
-            done = began + duration_s <= arrival.at + arrival.timeout_s
-            self._count_end(arrival, done, began, now)
-            clock = time.perf_counter()
-            self.policy.ended(start, done=done, held_s=now - began, now=now)
+            done = started_at + duration_s <= arrival.at + arrival.timeout_s
+            self._count_end(arrival, done, started_at, now)
+            decision_started_at = time.perf_counter()
+            self.policy.ended(start, done=done, held_s=now - started_at, now=now)
             starts = self.policy.starts(now)
-            self.tally.decision_s += time.perf_counter() - clock
+            self.tally.decision_s += time.perf_counter() - decision_started_at
             self.tally.decisions += 1
             self._start(starts, now)
 
-    def _count_end(self, arrival: Arrival, done: bool, began: float, now: float) -> None:
+    def _count_end(self, arrival: Arrival, done: bool, started_at: float, now: float) -> None:
         tally, account = self.tally, arrival.account
         if arrival.at >= self._warm_up_s:
             # Replace the estimated demand by the slot time used, which is longer on a slow runner
             # and shorter for a terminated request.
             asked = arrival.service_s + 2 * ONE_WAY_DELAY_S
-            tally.wanted_s[account] += now - began - asked
-        held = now - max(began, self._warm_up_s)
+            tally.wanted_s[account] += now - started_at - asked
+        held = now - max(started_at, self._warm_up_s)
         if held <= 0:
             return
         tally.held_s[account] = tally.held_s.get(account, 0.0) + held
@@ -384,7 +384,7 @@
         return WARM_UP_FRACTION * self.seconds
 
 
-def figures(run: Run) -> dict[str, Any]:
+def statistics(run: Run) -> dict[str, Any]:
     """Return the statistics of a finished run."""
     tally, profile = run.tally, run.profile
     measured_s = (1.0 - WARM_UP_FRACTION) * run.seconds
@@ -402,8 +402,8 @@
         "lost_work": round(tally.lost_s / slot_s, 4),
         "slots_held": round(held_s / slot_s, 4),
         "most_waiting": tally.most_waiting,
-        "waits_by_class": {cls.name.lower(): t.figures() for cls, t in tally.by_class.items()},
-        "waits_by_account": {n: t.figures() for n, t in sorted(tally.by_account.items())},
+        "waits_by_class": {cls.name.lower(): t.statistics() for cls, t in tally.by_class.items()},
+        "waits_by_account": {n: t.statistics() for n, t in sorted(tally.by_account.items())},
         "shares": share_errors(tally.held_s, water_fill(weights, wanted, held_s)),
         "wall_us_per_decision": round(1e6 * tally.decision_s / tally.decisions, 1),
     }
@@ -430,7 +430,7 @@
         for load in LOADS:
             run = Run(profile=profile, policy=make(profile), load=load, seconds=seconds, seed=seed)
             run.run()
-            runs[f"load_{load:g}"] = figures(run)
+            runs[f"load_{load:g}"] = statistics(run)
         peak = max(one["useful_work"] for one in runs.values())
         for one in runs.values():
             one["of_peak"] = round(one["useful_work"] / peak, 4)
@@ -443,5 +443,5 @@
             mix=ONE_CLASS,
         )
         saturated.run()
-        found[name] = {**runs, "one_class": figures(saturated)}
+        found[name] = {**runs, "one_class": statistics(saturated)}
     return found
--- a/rhubarbferry/bench/run.py
+++ b/rhubarbferry/bench/run.py
@@ -47,7 +47,7 @@
         "wall_python": platform.python_version(),
     }
     for name in names:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         match name:
             case "requests":
                 report[name] = requests.experiment(
@@ -64,7 +64,7 @@
                 report[name] = shares.experiment(
                     profile, seed=plan.seed, seconds=plan.share_seconds
                 )
-        report[name]["wall_seconds"] = round(time.perf_counter() - began, 1)
+        report[name]["wall_seconds"] = round(time.perf_counter() - started_at, 1)
     return report
 
 
--- a/rhubarbferry/bench/shares.py
+++ b/rhubarbferry/bench/shares.py
@@ -18,9 +18,9 @@
 from attrs import Factory, define, field, frozen
 
 from rhubarbferry.bench.baselines import FifoJobs
-from rhubarbferry.bench.figures import LatencyHistogram, share_errors
 from rhubarbferry.bench.profiles import Profile, Worker, make_workers
 from rhubarbferry.bench.request_work import account_names, demand_of, share_of
+from rhubarbferry.bench.statistics import LatencyHistogram, share_errors
 from rhubarbferry.bench.task_work import Submission, submission
 from rhubarbferry.core.cell import Account, Cell, Size
 from rhubarbferry.core.fairshare import FairShare, UsageDigest
@@ -58,7 +58,7 @@
     ledger: WorkerLedger
     workers: Sequence[Worker]
     room: Room
-    stale: bool = True
+    needs_report: bool = True
 
     def report_usage(self, share: FairShare, now: float) -> None:
         """Send the partition's used and free capacity to the home."""
@@ -66,16 +66,16 @@
         share.put_digest(self.name, UsageDigest(taken_at=now, used=self.ledger.usage()))
         free, largest = self.ledger.free(), self.ledger.placement.largest_free()
         # Sizes that did not fit are retried only after the free capacity has changed.
-        keep = self.room.free == free and self.room.largest == largest
+        unchanged = self.room.free == free and self.room.largest == largest
         self.room = Room(
             partition=self.name,
             region=REGION,
             free=free,
             largest=largest,
             largest_worker=self.ledger.largest_worker(),
-            refused=self.room.refused if keep else frozenset(),
+            refused=self.room.refused if unchanged else frozenset(),
         )
-        self.stale = False
+        self.needs_report = False
 
 
 def make_racks(profile: Profile) -> list[Rack]:
@@ -125,7 +125,7 @@
     counts: Counter[str] = Factory(Counter)
     held_s: dict[str, list[float]] = Factory(dict)
     free_s: list[float] = Factory(lambda: [0.0, 0.0, 0.0])
-    first_waits: LatencyHistogram = Factory(LatencyHistogram)
+    first_start_waits: LatencyHistogram = Factory(LatencyHistogram)
     _jobs: dict[str, tuple[Job, Submission]] = field(factory=dict, init=False)
     _waiting: Counter[str] = field(factory=Counter, init=False)
     _endings: list[Ending] = field(factory=list, init=False)
@@ -171,39 +171,43 @@
                 self._submit_one(name, now)
 
     def _submit_one(self, account: str, now: float) -> None:
-        made = submission(self._rng, account, self.profile)
+        submitted = submission(self._rng, account, self.profile)
         self.counts["jobs"] += 1
-        reason = refusal(made.spec, cell=self._cell, extents=self._extents, max_tasks=MAX_TASKS)
-        if made.impossible:
+        reason = refusal(
+            submitted.spec, cell=self._cell, extents=self._extents, max_tasks=MAX_TASKS
+        )
+        if submitted.impossible:
             self.counts["impossible"] += 1
             self.counts["impossible_accepted"] += reason is None
         if reason is not None:
             self.counts["refused"] += 1
             return
         self._number += 1
-        job = Job(id=f"j{self._number}", spec=made.spec, accepted_at=now, since=now, max_attempts=3)
-        self._jobs[job.id] = job, made
+        job = Job(
+            id=f"j{self._number}", spec=submitted.spec, accepted_at=now, since=now, max_attempts=3
+        )
+        self._jobs[job.id] = job, submitted
         self._waiting[account] += job.waiting()
         self._submitted += job.waiting()
         self.queue.put(job)
 
     def _place(self, tick: int, now: float) -> None:
-        in_turn = tick % round(DIGEST_INTERVAL_S / TICK_INTERVAL_S) == 0
+        report_due = tick % round(DIGEST_INTERVAL_S / TICK_INTERVAL_S) == 0
         for number, rack in enumerate(self._racks):
-            if not rack.stale and not in_turn:
+            if not rack.needs_report and not report_due:
                 continue
             rack.report_usage(self._share, now)
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             picked = self.queue.pick(
                 rack.room, share=self._share, limit=MAX_PICKS, now=now, epoch=1, home_epoch=1
             )
             held = [self._claim(rack, item, now) for item in picked]
-            took = time.perf_counter() - began
+            elapsed_s = time.perf_counter() - started_at
             self._settle(number, picked, held, now)
             if picked:
-                self.wall_picks.add(took)
-                self.wall_s += took
-                self.wall_decisions.add(took / len(picked))
+                self.wall_picks.add(elapsed_s)
+                self.wall_s += elapsed_s
+                self.wall_decisions.add(elapsed_s / len(picked))
 
     def _claim(self, rack: Rack, item: Picked, now: float) -> Held | None:
         live, spec = item.job.live[item.index], item.job.spec
@@ -227,16 +231,16 @@
         self, number: int, picked: Sequence[Picked], held: Sequence[Held | None], now: float
     ) -> None:
         rack = self._racks[number]
-        for item, got in zip(picked, held, strict=True):
+        for item, placed in zip(picked, held, strict=True):
             job, spec = item.job, item.job.spec
             self._share.unclaim(spec.account, spec.size)
-            if got is None:
+            if placed is None:
                 self.counts["no_room"] += 1
                 rack.room.refused = rack.room.refused | {spec.size}
                 job.never_started(item.index)
                 self.queue.put(job)
                 continue
-            self._started(number, item, got, now)
+            self._started(number, item, placed, now)
         if picked:
             used = rack.ledger.usage()
             self._share.put_digest(rack.name, UsageDigest(taken_at=now, used=used))
@@ -245,7 +249,7 @@
         job, task_id = item.job, held.attempt.task_id
         self._racks[number].ledger.started(task_id)
         if job.first_start is None and now > WARM_UP_S:
-            self.first_waits.add(now - job.since)
+            self.first_start_waits.add(now - job.since)
         job.started(item.index, worker=held.worker, now=now)
         self._waiting[job.spec.account] -= 1
         self.starts += 1
@@ -266,15 +270,15 @@
             return
         rack.ledger.end(task_id, end)
         rack.ledger.forget(task_id)
-        rack.stale = True
+        rack.needs_report = True
         self._ended(held, end, now)
 
     def _ended(self, held: Held, end: End, now: float) -> None:
-        job, made = self._jobs[held.attempt.job_id]
+        job, submitted = self._jobs[held.attempt.job_id]
         index = int(held.attempt.task_id.split("/")[1])
         before = job.waiting()
         job.ended(index, end, now=now)
-        self._waiting[made.spec.account] += job.waiting() - before
+        self._waiting[submitted.spec.account] += job.waiting() - before
         if job.waiting():
             self.queue.put(job)
         elif not job.open():
@@ -295,7 +299,7 @@
                 self.counts["lapsed"] += 1
                 rack.ledger.forget(held.attempt.task_id)
                 self._ended(held, End.LEASE_LAPSED, now)
-                rack.stale = True
+                rack.needs_report = True
             self._extend(number, rack, now)
 
     def _extend(self, number: int, rack: Rack, now: float) -> None:
@@ -307,7 +311,7 @@
             self._disconnected.remove(item)
             worker = next(w for w in rack.workers if w.id == item[2])
             rack.ledger.adopt(worker.id, capacity=worker.capacity, reported=(), now=now)
-            rack.stale = True
+            rack.needs_report = True
 
     def _disconnect_workers(self, now: float) -> None:
         for number, rack in enumerate(self._racks):
@@ -319,10 +323,13 @@
 
     def _cancel_jobs(self) -> None:
         """Cancel a fraction of the jobs of every second account; running tasks continue."""
-        for job, made in list(self._jobs.values()):
-            if self._rng.random() >= CANCEL_FRACTION or made.spec.account not in self._names[::2]:
+        for job, submitted in list(self._jobs.values()):
+            if (
+                self._rng.random() >= CANCEL_FRACTION
+                or submitted.spec.account not in self._names[::2]
+            ):
                 continue
-            self._waiting[made.spec.account] -= job.waiting()
+            self._waiting[submitted.spec.account] -= job.waiting()
             self.queue.drop(job)
             job.cancel()
             self.counts["cancelled"] += 1
@@ -338,7 +345,7 @@
                 _add(sums, size)
             _add(self.free_s, rack.ledger.free())
 
-    def figures(self) -> dict[str, Any]:
+    def statistics(self) -> dict[str, Any]:
         """Return the statistics of a finished run."""
         totals = _dimensions(self._total)
         ticks = int(self.seconds / TICK_INTERVAL_S) - int((WARM_UP_S - 1.0) / TICK_INTERVAL_S) - 1
@@ -357,12 +364,12 @@
             "running_at_end": sum(1 for rack in self._racks for _ in rack.ledger.all_held()),
             "in_use": [round(h / t, 4) if t else 0.0 for h, t in zip(held, totals, strict=True)],
             "shares": share_errors(dominant, entitled),
-            "first_start_wait": self.first_waits.figures(),
+            "first_start_wait": self.first_start_waits.statistics(),
             "counts": dict(sorted(self.counts.items())),
             "wall_placements_per_s": round(self.starts / self.wall_s),
             "wall_claims_per_s": round((self.starts + self.counts["no_room"]) / self.wall_s),
-            "wall_batch": self.wall_picks.figures(),
-            "wall_decision": self.wall_decisions.figures(),
+            "wall_batch": self.wall_picks.statistics(),
+            "wall_decision": self.wall_decisions.statistics(),
         }
 
 
@@ -423,5 +430,5 @@
             rate=profile.starts_per_s,
         )
         peak.run()
-        found[name] = {**cell.figures(), "peak_of_starts": peak.figures()}
+        found[name] = {**cell.statistics(), "peak_of_starts": peak.statistics()}
     return found
--- a/rhubarbferry/bench/figures.py
+++ b/rhubarbferry/bench/statistics.py
@@ -24,7 +24,7 @@
         self._histogram.record_value(min(MAX_US, max(1, int(seconds * 1e6))))
         self._count += 1
 
-    def figures(self) -> dict[str, float]:
+    def statistics(self) -> dict[str, float]:
         """Return the count and the percentiles in milliseconds."""
         if not self._count:
             return {"count": 0}
--- a/tests/bench/test_days.py
+++ b/tests/bench/test_days.py
@@ -12,14 +12,14 @@
 DAY = evolve(FAULT_FREE_DAY, seconds=20.0, starts_lost=LOSSES)
 
 
-def worth() -> float:
+def measure_worth() -> float:
     simulation = DaySimulation(day=DAY, seed="1")
     simulation.run()
-    return simulation.figures()["worth_share"]
+    return simulation.statistics()["worth_share"]
 
 
-def test_starts_that_are_sent_again_serve_more_while_hosts_lose_orders(monkeypatch):
+def test_start_retries_earn_more_worth_when_hosts_lose_orders(monkeypatch):
     """Guards against wide gangs that start too late when hosts lose one start request in five."""
-    with_retries = worth()
+    with_retries = measure_worth()
     monkeypatch.setattr(tracker, "next_try", lambda run, host, now: None)
-    assert with_retries > worth() + 0.05
+    assert with_retries > measure_worth() + 0.05
--- a/tests/docs/test_links.py
+++ b/tests/docs/test_links.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
-def test_links_between_pages_lead_somewhere(page: Path) -> None:
+def test_links_between_pages_resolve(page: Path) -> None:
     broken = [
         target for target in LINK.findall(page.read_text()) if not (page.parent / target).exists()
     ]
