--- a/rhubarbferry/bench/day_work.py
+++ b/rhubarbferry/bench/day_work.py
@@ -222,7 +222,7 @@
     return Arrival(at_s=now, kind=kind, req=req, run_s=tuple(durations))
 
 
-_VALID_S = 1.5
+_ADVICE_VALID_S = 1.5
 
 WIDE = JobKind(
     queue=Queue(
@@ -232,7 +232,7 @@
         attempts=3,
         slack_factor=2.2,
         objective_s=1.2,
-        advice=AdviceCost(decision_s=0.65, per_host_s=0.0092, valid_s=_VALID_S),
+        advice=AdviceCost(decision_s=0.65, per_host_s=0.0092, valid_s=_ADVICE_VALID_S),
     ),
     jobs_per_s=0.577,
     worth=13.1,
@@ -256,7 +256,7 @@
         attempts=3,
         slack_factor=4.0,
         objective_s=3.0,
-        advice=AdviceCost(decision_s=0.083, per_host_s=0.0012, valid_s=_VALID_S),
+        advice=AdviceCost(decision_s=0.083, per_host_s=0.0012, valid_s=_ADVICE_VALID_S),
     ),
     jobs_per_s=2.18,
     worth=2.18,
@@ -280,7 +280,7 @@
         attempts=4,
         slack_factor=1.5,
         objective_s=0.5,
-        advice=AdviceCost(decision_s=0.012, per_host_s=0.00017, valid_s=_VALID_S),
+        advice=AdviceCost(decision_s=0.012, per_host_s=0.00017, valid_s=_ADVICE_VALID_S),
     ),
     jobs_per_s=15.4,
     worth=0.432,
--- a/rhubarbferry/bench/statistics.py
+++ b/rhubarbferry/bench/statistics.py
@@ -38,7 +38,7 @@
             "max_ms": self._histogram.get_max_value() / 1000,
         }
 
-    def counts(self) -> list[tuple[float, float]]:
+    def cumulative_distribution(self) -> list[tuple[float, float]]:
         """Return the cumulative distribution for a plot, as pairs of seconds and fraction."""
         steps = [percentile / 10 for percentile in range(0, 1000, 5)] + [99.9, 99.99]
         return [(self._histogram.get_value_at_percentile(step) / 1e6, step / 100) for step in steps]
--- a/tests/bench/test_days.py
+++ b/tests/bench/test_days.py
@@ -8,8 +8,8 @@
 from rhubarbferry.bench.days import DaySimulation
 from rhubarbferry.dispatch import tracker
 
-LOSSES = (StartsLost(at_s=0.0, duration_s=20.0, fraction=0.2),)
-DAY = evolve(FAULT_FREE_DAY, seconds=20.0, starts_lost=LOSSES)
+DROPPED_STARTS = (StartsLost(at_s=0.0, duration_s=20.0, fraction=0.2),)
+DAY = evolve(FAULT_FREE_DAY, seconds=20.0, starts_lost=DROPPED_STARTS)
 
 
 def measure_worth() -> float:
