--- a/bench/dispatch_backlog.py
+++ b/bench/dispatch_backlog.py
@@ -1,7 +1,7 @@
-"""Placements a second while 10,000 tasks wait that do not fit.
+"""Measure placements per second while 10,000 tasks that do not fit are waiting.
 
-Run: python bench/dispatch_backlog.py. The pattern is that of a burst of large jobs on a full cell:
-whatever comes free is too small for them, and small jobs go past. Prints one JSON line.
+Run: python bench/dispatch_backlog.py. The load models a burst of large jobs on a full cell: freed
+capacity is too small for them, and small jobs are placed ahead. Prints one JSON line.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 QUEUE = Queue(name="queue", service="pool")
 
 
-def entry(index: int) -> HostEntry:
+def host_entry(index: int) -> HostEntry:
     return HostEntry(
         id=f"h{index}",
         incarnation=1,
@@ -53,8 +53,8 @@
     )
 
 
-class Cell:
-    """The dispatcher and hosts that end each task as soon as it has started."""
+class DispatchSimulation:
+    """A dispatcher with simulated hosts that end each task as soon as it has started."""
 
     def __init__(self) -> None:
         self.now = 1.0
@@ -62,7 +62,7 @@
         self.dispatcher = Dispatcher(succession=succession, lease_s=LEASE_S)
         self.ends = {f"h{index}": 0 for index in range(HOSTS)}
         for index in range(HOSTS):
-            self.dispatcher.host_listed(entry(index), now=self.now)
+            self.dispatcher.host_listed(host_entry(index), now=self.now)
             self.report(f"h{index}", [])
 
     def report(self, host: str, orders: list[StartOrder]) -> None:
@@ -80,8 +80,8 @@
         report = HostReport(clock_s=self.now, incarnation=1, running=(), ended=tuple(ended))
         self.dispatcher.reported(host, report, sent_at=self.now, now=self.now)
 
-    def turn(self) -> int:
-        """Decide once, start and end what was decided; return how many tasks that were."""
+    def step(self) -> int:
+        """Decide once, start and end the placed tasks; return their number."""
         self.now += 0.001
         orders = self.dispatcher.decide(now=self.now, wall_s=self.now)
         starts = [order for order in orders if isinstance(order, StartOrder)]
@@ -99,29 +99,29 @@
 
 
 def measure(waiting_tasks: int) -> float:
-    cell = Cell()
+    simulation = DispatchSimulation()
     for index in range(waiting_tasks // TASKS_PER_LARGE_JOB):
-        # Larger than any host: it waits for the whole run, as what does not fit does.
+        # Larger than any host, so the tasks wait during the whole run.
         large = job(f"large{index}", TASKS_PER_LARGE_JOB, 65_000)
-        cell.dispatcher.add_job(large, now=cell.now, wall_s=cell.now)
-    cell.turn()
+        simulation.dispatcher.add_job(large, now=simulation.now, wall_s=simulation.now)
+    simulation.step()
     for index in range(SMALL_JOBS):
         small = job(f"small{index}", 1, 2_000)
-        cell.dispatcher.add_job(small, now=cell.now, wall_s=cell.now)
+        simulation.dispatcher.add_job(small, now=simulation.now, wall_s=simulation.now)
     placed = 0
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     while placed < SMALL_JOBS:
-        placed += cell.turn()
-    return placed / (time.perf_counter() - begun)
+        placed += simulation.step()
+    return placed / (time.perf_counter() - started_at)
 
 
 def main() -> None:
     waiting = LARGE_JOBS * TASKS_PER_LARGE_JOB
-    figures = {
+    statistics = {
         "placements_per_s": {str(tasks): round(measure(tasks)) for tasks in (0, waiting)},
         "hosts": HOSTS,
     }
-    print(json.dumps(figures))
+    print(json.dumps(statistics))
 
 
 if __name__ == "__main__":
--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -1,7 +1,9 @@
-"""Run a cell of the size that is aimed at: 552 workers, real daemons, worker stand-ins in fleets.
+"""Run a cell of the target size: 552 workers, with real daemons and simulated workers.
 
-Phases: fill it with 5,800 tasks; leave it alone; start short tasks at 240 a second; kill a
-scheduler. Prints one JSON object. Run: python bench/full_size.py
+Each fleet process simulates many workers. Phases: start 5,800 tasks; leave the cell idle; start
+short tasks at 240 per second; kill a scheduler. Prints one JSON object.
+
+Run: python bench/full_size.py
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 
 from rhubarbferry.test.processes import Process, ProcessCell, Shape
 
-RACK = 8
+WORKERS_PER_RACK = 8
 RACKS = 69
 DOMAINS = {"attiki": 4, "kriti": 3}
 SCHEDULERS = 4
@@ -28,18 +30,18 @@
 TASKS = 5800
 SERVICE_TASKS = TASKS // 5
 JOB_TASKS = 50
-LONG_MS = 600_000
+LONG_RUN_MS = 600_000
 CHURN_PER_S = 240
 CHURN_S = 12
 CHURN_TASKS = 20
-CHURN_MS = 1000
+CHURN_RUN_MS = 1000
 IDLE_S = 10
-BOUND_S = 90
+TIMEOUT_S = 90
 
 
 @frozen(kw_only=True)
 class Usage:
-    """Processor seconds and resident MiB of one process."""
+    """Processor time in seconds and resident memory in MiB of one process."""
 
     cpu_s: float
     rss_mib: float
@@ -51,7 +53,7 @@
 
 @define(kw_only=True)
 class Bench:
-    """The cell and what was measured of it."""
+    """The cell and its measurements."""
 
     cell: ProcessCell
     result: dict[str, Any] = Factory(dict)
@@ -59,7 +61,7 @@
     # ------------------------------------------------------------ the cell
 
     async def start_fleets(self) -> None:
-        places = [(rack, n) for rack in range(RACKS) for n in range(RACK)]
+        places = [(rack, n) for rack in range(RACKS) for n in range(WORKERS_PER_RACK)]
         per_fleet = -(-len(places) // FLEETS)
         await asyncio.gather(
             *(
@@ -123,13 +125,13 @@
             found: dict[str, Any] = await answer.json()
         return found
 
-    async def until_running(self, count: int) -> float:
-        begun = time.monotonic()
+    async def wait_until_running(self, count: int) -> float:
+        started_at = time.monotonic()
         while (await self.counts())["running"] < count:
-            if time.monotonic() - begun > BOUND_S:
+            if time.monotonic() - started_at > TIMEOUT_S:
                 break
             await asyncio.sleep(0.25)
-        return time.monotonic() - begun
+        return time.monotonic() - started_at
 
     # ------------------------------------------------------------ phases
 
@@ -142,77 +144,77 @@
             "size": {"millicores": 4000, "memory_bytes": 8 * 2**30, "accelerators": 0},
             **job,
         }
-        until = time.monotonic() + BOUND_S
+        until = time.monotonic() + TIMEOUT_S
         while True:
             status, doc = await self.cell.submit(frontends[n % len(frontends)], **body)
             if status == 202:
                 return str(doc["id"])
             if time.monotonic() > until:
-                raise SystemExit(f"not accepted: {doc}")
+                raise SystemExit(f"job not accepted within {TIMEOUT_S} s: {doc}")
             await asyncio.sleep(0.2)
 
     async def fill(self) -> None:
-        begun = time.monotonic()
+        started_at = time.monotonic()
         kinds = []
         for left in range(0, TASKS, JOB_TASKS):
             kinds.append("service" if left < SERVICE_TASKS else "batch")
         await asyncio.gather(
             *(
-                self.submit(n, kind=kind, tasks=JOB_TASKS, run_ms=LONG_MS)
+                self.submit(n, kind=kind, tasks=JOB_TASKS, run_ms=LONG_RUN_MS)
                 for n, kind in enumerate(kinds)
             )
         )
-        accepted = time.monotonic() - begun
-        await self.until_running(TASKS)
-        took = time.monotonic() - begun
+        accepted = time.monotonic() - started_at
+        await self.wait_until_running(TASKS)
+        elapsed_s = time.monotonic() - started_at
         counts = await self.counts()
         self.result["fill"] = {
             "jobs": len(kinds),
             "accepted_s": round(accepted, 2),
             "running": counts["running"],
-            "took_s": round(took, 2),
-            "starts_per_s": round(counts["started"] / took, 1),
+            "took_s": round(elapsed_s, 2),
+            "starts_per_s": round(counts["started"] / elapsed_s, 1),
         }
 
-    async def watch(self, name: str, seconds: float, work: Any = None) -> None:
+    async def measure_phase(self, name: str, seconds: float, work: Any = None) -> None:
         daemons = self.cell.named("scheduler") + self.cell.named("frontend")
         daemons = [d for d in daemons if d.running]
         before = {d.name: usage_of(d) for d in daemons}
         calls = await self.store_calls()
         started = (await self.counts())["started"]
-        begun = time.monotonic()
+        started_at = time.monotonic()
         if work is None:
             await asyncio.sleep(seconds)
         else:
             await work
-        took = time.monotonic() - begun
+        elapsed_s = time.monotonic() - started_at
         after = {d.name: usage_of(d) for d in daemons}
         calls_after = await self.store_calls()
         starts = (await self.counts())["started"] - started
         roles = {}
         for role in ("scheduler", "frontend"):
             names = [n for n in after if n.startswith(role)]
-            cores = [(after[n].cpu_s - before[n].cpu_s) / took for n in names]
+            cores = [(after[n].cpu_s - before[n].cpu_s) / elapsed_s for n in names]
             roles[role] = {
                 "core_mean": round(sum(cores) / len(cores), 4),
                 "core_max": round(max(cores), 4),
                 "rss_mb_max": round(max(after[n].rss_mib for n in names), 1),
             }
         self.result[name] = {
-            "took_s": round(took, 2),
-            "starts_per_s": round(starts / took, 1),
+            "took_s": round(elapsed_s, 2),
+            "starts_per_s": round(starts / elapsed_s, 1),
             **roles,
-            "store_per_s": rates(calls, calls_after, took),
+            "store_per_s": rates(calls, calls_after, elapsed_s),
         }
 
     async def churn(self) -> None:
         jobs: list[str] = []
         gap = CHURN_TASKS / CHURN_PER_S
-        begun = time.monotonic()
+        started_at = time.monotonic()
         pending = []
         for n in range(int(CHURN_S / gap)):
-            await asyncio.sleep(max(0.0, begun + n * gap - time.monotonic()))
-            job = self.submit(n, tasks=CHURN_TASKS, run_ms=CHURN_MS)
+            await asyncio.sleep(max(0.0, started_at + n * gap - time.monotonic()))
+            job = self.submit(n, tasks=CHURN_TASKS, run_ms=CHURN_RUN_MS)
             pending.append(asyncio.create_task(job))
         jobs = list(await asyncio.gather(*pending))
         waits = []
@@ -227,7 +229,7 @@
         }
 
     async def job_done(self, job_id: str) -> dict[str, Any]:
-        until = time.monotonic() + BOUND_S
+        until = time.monotonic() + TIMEOUT_S
         doc: dict[str, Any] = {}
         while time.monotonic() < until:
             doc = await self.cell.job(self.frontends()[0], job_id)
@@ -239,23 +241,23 @@
     async def kill(self) -> None:
         victim = self.cell.named("scheduler")[0]
         before = await self.counts()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         await victim.kill()
         waits = []
         for n in range(16):
-            asked = time.monotonic()
+            submitted_at = time.monotonic()
             job_id = await self.submit(n, tasks=1, run_ms=0, priority="urgent", kind="batch")
             await self.job_done(job_id)
-            waits.append(time.monotonic() - asked)
+            waits.append(time.monotonic() - submitted_at)
         after = await self.counts()
         self.result["kill"] = {
             "urgent_done_s_max": round(max(waits), 2),
-            "all_urgent_s": round(time.monotonic() - begun, 2),
+            "all_urgent_s": round(time.monotonic() - started_at, 2),
             "running_before": before["running"],
             "running_after": after["running"],
         }
 
-    async def judge(self) -> None:
+    async def check_runs(self) -> None:
         spans: dict[str, list[tuple[float, float]]] = {}
         for fleet in self.cell.named("fleet"):
             for task, start, end in (await self.cell.record(fleet.name))["runs"]:
@@ -268,10 +270,10 @@
         self.result["over_capacity"] = (await self.counts())["over_capacity"]
 
 
-def rates(before: dict[str, Any], after: dict[str, Any], took: float) -> dict[str, float]:
+def rates(before: dict[str, Any], after: dict[str, Any], elapsed_s: float) -> dict[str, float]:
     found = {}
     for kind, count in after.get("calls", {}).items():
-        rate = (count - before.get("calls", {}).get(kind, 0)) / took
+        rate = (count - before.get("calls", {}).get(kind, 0)) / elapsed_s
         if rate:
             found[kind] = round(rate, 1)
     return found
@@ -292,12 +294,12 @@
             await bench.start_fleets()
             await bench.start_daemons()
             await cell.until_served(bench.frontends()[0], within_s=60)
-            await bench.watch("empty", IDLE_S)
+            await bench.measure_phase("empty", IDLE_S)
             await bench.fill()
-            await bench.watch("full", IDLE_S)
-            await bench.watch("churn", CHURN_S, bench.churn())
+            await bench.measure_phase("full", IDLE_S)
+            await bench.measure_phase("churn", CHURN_S, bench.churn())
             await bench.kill()
-            await bench.judge()
+            await bench.check_runs()
             if "--logs" in sys.argv:
                 for process in cell.named("scheduler")[:3]:
                     print(process.last_lines(30), file=sys.stderr)
--- a/bench/job_starts.py
+++ b/bench/job_starts.py
@@ -1,4 +1,4 @@
-"""Measure starts of tasks through a cell of processes: rate, waits, writes to the store, CPU.
+"""Measure task starts in a cell of real processes: rate, waits, store writes and CPU time.
 
 Prints one JSON object. Run: python bench/job_starts.py [--rate 240] [--tasks 4] [--seconds 10]
 """
@@ -34,16 +34,16 @@
 )
 RUN_MS = 800
 SIZE = {"millicores": 1000, "memory_bytes": 2**30}
-# The first scheduler wins all partitions and gives the others their shares after a while.
-WARM_S = 9.0
-READY_S = 30.0
-SETTLED_S = 60.0
+# The first scheduler to start acquires all partitions; rebalancing to the others takes time.
+WARM_UP_S = 9.0
+READY_TIMEOUT_S = 30.0
+JOBS_END_TIMEOUT_S = 60.0
 MAX_MS = 600_000
 
 
 @frozen(kw_only=True)
-class Marks:
-    """Readings at one moment."""
+class Reading:
+    """Counter values at one point in time."""
 
     at: float
     writes: int
@@ -52,7 +52,7 @@
 
 @define(kw_only=True)
 class Submitter:
-    """Submit jobs at an even rate, whatever the answers take."""
+    """Submit jobs at a constant rate, independent of the response times."""
 
     cell: ProcessCell
     tasks: int
@@ -62,15 +62,15 @@
     number: int = 0
 
     async def run(self, seconds: float) -> None:
-        """Submit for so long, then wait for the answers."""
-        begun = time.perf_counter()
+        """Submit jobs for ``seconds`` seconds, then wait for all responses."""
+        started_at = time.perf_counter()
         async with asyncio.TaskGroup() as group:
             for n in range(int(seconds * self.per_s)):
-                await asyncio.sleep(max(0.0, begun + n / self.per_s - time.perf_counter()))
+                await asyncio.sleep(max(0.0, started_at + n / self.per_s - time.perf_counter()))
                 group.create_task(self.submit())
 
     async def submit(self) -> None:
-        """Submit one job."""
+        """Submit one job and count whether it is accepted."""
         self.number += 1
         status, view = await self.cell.submit(
             FRONTEND,
@@ -87,15 +87,15 @@
             self.refused += 1
 
 
-async def marks(cell: ProcessCell) -> Marks:
+async def read(cell: ProcessCell) -> Reading:
     async with cell.session.get(f"{cell.processes['store'].http}/counters") as answer:
         counters = await answer.json()
     used = {name: cpu_ms(process) / 1000 for name, process in cell.processes.items()}
-    return Marks(at=time.monotonic(), writes=counters["writes"], cpu_s=used)
+    return Reading(at=time.monotonic(), writes=counters["writes"], cpu_s=used)
 
 
-async def until_ready(cell: ProcessCell, submitter: Submitter) -> None:
-    async with asyncio.timeout(READY_S):
+async def wait_until_ready(cell: ProcessCell, submitter: Submitter) -> None:
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while not submitter.accepted:
             await submitter.submit()
             await asyncio.sleep(0.2)
@@ -110,8 +110,8 @@
     return found
 
 
-async def until_done(cell: ProcessCell) -> list[dict[str, Any]]:
-    async with asyncio.timeout(SETTLED_S):
+async def wait_until_done(cell: ProcessCell) -> list[dict[str, Any]]:
+    async with asyncio.timeout(JOBS_END_TIMEOUT_S):
         while True:
             found = await jobs(cell)
             if all(job["phase"] not in ("waiting", "running") for job in found):
@@ -126,7 +126,7 @@
     return {f"p{mark}": times.get_value_at_percentile(mark) for mark in (50, 99, 100)}
 
 
-def per_start_ms(before: Marks, after: Marks, starts: int) -> dict[str, float]:
+def per_start_ms(before: Reading, after: Reading, starts: int) -> dict[str, float]:
     used = {name: after.cpu_s[name] - before.cpu_s[name] for name in after.cpu_s}
     workers = sum(value for name, value in used.items() if name.startswith("worker"))
     named = {name: value for name, value in used.items() if not name.startswith("worker")}
@@ -136,25 +136,25 @@
 
 async def measure(cell: ProcessCell, args: argparse.Namespace) -> dict[str, object]:
     submitter = Submitter(cell=cell, tasks=args.tasks, per_s=args.rate / args.tasks)
-    await until_ready(cell, submitter)
-    await submitter.run(WARM_S)
+    await wait_until_ready(cell, submitter)
+    await submitter.run(WARM_UP_S)
     warm, submitter.refused = set(submitter.accepted), 0
-    before = await marks(cell)
+    before = await read(cell)
     await submitter.run(args.seconds)
-    after = await marks(cell)
-    found = await until_done(cell)
+    after = await read(cell)
+    found = await wait_until_done(cell)
     runs = [run for record in await cell.records("worker") for run in record["runs"]]
     starts = sum(before.at <= run["started_at"] < after.at for run in runs)
-    took_s = after.at - before.at
+    elapsed_s = after.at - before.at
     return {
         "asked_per_s": args.rate,
         "tasks_per_job": args.tasks,
-        "starts_per_s": round(starts / took_s, 1),
-        "writes_per_s": round((after.writes - before.writes) / took_s, 1),
+        "starts_per_s": round(starts / elapsed_s, 1),
+        "writes_per_s": round((after.writes - before.writes) / elapsed_s, 1),
         "job_wait_ms": waits([job for job in found if job["id"] not in warm]),
         "cpu_ms_per_start": per_start_ms(before, after, starts),
         "cpu_share": {
-            name: round((after.cpu_s[name] - before.cpu_s[name]) / took_s, 2)
+            name: round((after.cpu_s[name] - before.cpu_s[name]) / elapsed_s, 2)
             for name in after.cpu_s
             if not name.startswith("worker")
         },
@@ -180,7 +180,7 @@
             except (TimeoutError, aiohttp.ClientError) as exc:
                 for process in cell.named("scheduler"):
                     print(process.last_lines(5))
-                raise SystemExit(f"not measured: {exc!r}") from exc
+                raise SystemExit(f"measurement failed: {exc!r}") from exc
 
 
 if __name__ == "__main__":
--- a/bench/slopes_jobs.py
+++ b/bench/slopes_jobs.py
@@ -1,4 +1,4 @@
-"""Slopes of jobs: worker partitions and job homes, with real processes."""
+"""Measure the cost of jobs in worker partitions and job homes, with real processes."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 
 FRONTEND = "frontend-attiki-1"
 SCHEDULER = "scheduler-attiki-1"
-RACK = 8
-RACKS = (1, 3)
-REST_S = 10.0
-STARTS = (200, 800)
+WORKERS_PER_RACK = 8
+RACK_COUNTS = (1, 3)
+IDLE_S = 10.0
+START_COUNTS = (200, 800)
 TASKS_PER_JOB = 10
-SHORT_MS = 300
-FOREVER_MS = 3_600_000
-RUNNING = (0, 200, 600)
-WAITING = (0, 200, 600)
-WAIT_S = 60.0
+SHORT_RUN_MS = 300
+LONG_RUN_MS = 3_600_000
+RUNNING_COUNTS = (0, 200, 600)
+WAITING_COUNTS = (0, 200, 600)
+PHASE_TIMEOUT_S = 60.0
 SETTLE_S = 3.0
-LOOK_S = 0.3
+POLL_INTERVAL_S = 0.3
 MILLICORES = 100
 MEMORY_BYTES = 2**24
 
 
 @define(kw_only=True)
 class ProxiedCell(ProcessCell):
-    """A cell whose workers are listed at counting proxies."""
+    """A cell whose worker addresses are those of byte-counting proxies."""
 
     proxies: list[CountingProxy] = Factory(list)
 
     async def publish_hosts(self) -> None:
-        """Put a proxy before each worker, then send the list."""
+        """Start a proxy for each worker, then publish the host list."""
         for host in self.hosts:
             if host["labels"]["kind"] == "worker" and not self._is_proxied(host):
                 proxy = CountingProxy(target=host["targets"][0])
@@ -62,14 +62,14 @@
 
 @define(kw_only=True)
 class Bench:
-    """A running cell and the proxies before its workers."""
+    """A running cell and the proxies of its workers."""
 
     cell: ProxiedCell
     proxies: list[CountingProxy]
 
     @property
     def scheduler(self) -> Any:
-        """The only scheduler."""
+        """Return the only scheduler of the cell."""
         return self.cell.processes[SCHEDULER]
 
     async def submit(self, *, tasks: int, run_ms: int, millicores: int = MILLICORES) -> str:
@@ -88,15 +88,15 @@
             raise RuntimeError(f"{status}: {document}")
         return str(document["id"])
 
-    async def until(self, ids: list[str], state: str) -> None:
-        """Wait until every job is in a phase."""
-        async with asyncio.timeout(WAIT_S):
+    async def wait_until(self, ids: list[str], state: str) -> None:
+        """Wait until all jobs have reached a phase."""
+        async with asyncio.timeout(PHASE_TIMEOUT_S):
             for id in ids:
                 while True:
                     document = await self.cell.job(FRONTEND, id)
                     if document.get("phase") == state:
                         break
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
 
     async def cancel(self, ids: list[str]) -> None:
         """Cancel jobs."""
@@ -108,7 +108,7 @@
 
 @frozen(kw_only=True)
 class Reading:
-    """Counters at one moment."""
+    """Counter values at one point in time."""
 
     at: float
     scheduler_ms: float
@@ -119,8 +119,8 @@
     store: StoreCounts
 
 
-async def read(bench: Bench) -> Reading:
-    """Read all counters."""
+async def take_reading(bench: Bench) -> Reading:
+    """Read the current values of all counters."""
     workers = bench.cell.named("worker-")
     return Reading(
         at=time.monotonic(),
@@ -135,35 +135,38 @@
     )
 
 
-async def rest(bench: Bench, seconds: float = REST_S) -> dict[str, float]:
-    """Return what is used while no task starts or ends."""
-    before = await read(bench)
+async def measure_idle(bench: Bench, seconds: float = IDLE_S) -> dict[str, float]:
+    """Return the resource usage while no task starts or ends."""
+    before = await take_reading(bench)
     await asyncio.sleep(seconds)
-    after = await read(bench)
-    took = after.at - before.at
+    after = await take_reading(bench)
+    elapsed_s = after.at - before.at
     workers = len(bench.proxies)
     return {
-        "scheduler_cpu_percent": (after.scheduler_ms - before.scheduler_ms) / took / 10,
-        "worker_stand_in_cpu_percent": (after.worker_ms - before.worker_ms) / took / 10 / workers,
+        "scheduler_cpu_percent": (after.scheduler_ms - before.scheduler_ms) / elapsed_s / 10,
+        "worker_stand_in_cpu_percent": (after.worker_ms - before.worker_ms)
+        / elapsed_s
+        / 10
+        / workers,
         "scheduler_mib": rss_mib(bench.scheduler),
-        "bytes_to_worker_per_s": (after.sent - before.sent) / took / workers,
-        "bytes_from_worker_per_s": (after.received - before.received) / took / workers,
-        "heartbeats_per_worker_per_s": (after.heartbeats - before.heartbeats) / took / workers,
-        "store_calls_per_s": (after.store.total - before.store.total) / took,
+        "bytes_to_worker_per_s": (after.sent - before.sent) / elapsed_s / workers,
+        "bytes_from_worker_per_s": (after.received - before.received) / elapsed_s / workers,
+        "heartbeats_per_worker_per_s": (after.heartbeats - before.heartbeats) / elapsed_s / workers,
+        "store_calls_per_s": (after.store.total - before.store.total) / elapsed_s,
     }
 
 
-async def starts(bench: Bench) -> dict[str, object]:
-    """Return slopes over task starts: submission, start, end and report together."""
+async def measure_starts(bench: Bench) -> dict[str, object]:
+    """Return the cost per task start, including submission, end and report."""
     names = ("scheduler_ms", "worker_ms", "sent", "received")
     points: dict[str, list[Point]] = {name: [] for name in (*names, "store_calls", "store_bytes")}
     seconds = []
-    for count in STARTS:
-        before = await read(bench)
+    for count in START_COUNTS:
+        before = await take_reading(bench)
         jobs = count // TASKS_PER_JOB
-        ids = [await bench.submit(tasks=TASKS_PER_JOB, run_ms=SHORT_MS) for _ in range(jobs)]
-        await bench.until(ids, "done")
-        after = await read(bench)
+        ids = [await bench.submit(tasks=TASKS_PER_JOB, run_ms=SHORT_RUN_MS) for _ in range(jobs)]
+        await bench.wait_until(ids, "done")
+        after = await take_reading(bench)
         seconds.append(round(after.at - before.at, 2))
         for name in names:
             points[name].append(
@@ -180,8 +183,10 @@
     return {**found, "seconds": seconds, "tasks_per_job": TASKS_PER_JOB}
 
 
-async def states(bench: Bench, amounts: tuple[int, ...], *, waiting: bool) -> dict[str, object]:
-    """Return slopes over running tasks, or over waiting jobs, of a scheduler without churn."""
+async def measure_states(
+    bench: Bench, amounts: tuple[int, ...], *, waiting: bool
+) -> dict[str, object]:
+    """Return the cost per running task, or per waiting job, while no task starts or ends."""
     ids: list[str] = []
     names = ("scheduler_cpu_percent", "scheduler_mib", "bytes_to_worker_per_s")
     names += ("bytes_from_worker_per_s", "worker_stand_in_cpu_percent")
@@ -190,14 +195,14 @@
     for amount in amounts:
         while held < amount:
             if waiting:
-                # Larger than what the running one has left free on any worker.
-                ids.append(await bench.submit(tasks=1, run_ms=FOREVER_MS, millicores=32_000))
+                # Larger than the capacity that the running tasks leave free on any worker.
+                ids.append(await bench.submit(tasks=1, run_ms=LONG_RUN_MS, millicores=32_000))
                 held += 1
             else:
-                ids.append(await bench.submit(tasks=TASKS_PER_JOB, run_ms=FOREVER_MS))
+                ids.append(await bench.submit(tasks=TASKS_PER_JOB, run_ms=LONG_RUN_MS))
                 held += TASKS_PER_JOB
         await asyncio.sleep(SETTLE_S)
-        found = await rest(bench, REST_S / 2)
+        found = await measure_idle(bench, IDLE_S / 2)
         for name in names:
             points[name].append(Point(amount=amount, value=found[name]))
     if not waiting:
@@ -210,37 +215,39 @@
 
 
 async def fill(bench: Bench) -> None:
-    """Put one task on every worker, so that no whole worker is free."""
+    """Start one task on every worker, so that no worker is completely free."""
     workers = len(bench.proxies)
-    await bench.submit(tasks=workers * 8, run_ms=FOREVER_MS, millicores=4000)
+    await bench.submit(tasks=workers * 8, run_ms=LONG_RUN_MS, millicores=4000)
     await asyncio.sleep(SETTLE_S)
 
 
 async def measure_racks(dir: Path, racks: int, *, full: bool) -> dict[str, object]:
     """Measure a cell with racks of eight workers and one scheduler."""
-    shape = Shape(runners=1, racks=racks, workers=RACK, schedulers=1)
+    shape = Shape(runners=1, racks=racks, workers=WORKERS_PER_RACK, schedulers=1)
     async with ProxiedCell(dir=dir, shape=shape) as cell:
         bench = Bench(cell=cell, proxies=cell.proxies)
         await cell.until_served(FRONTEND)
         await asyncio.sleep(SETTLE_S)
-        result: dict[str, object] = {"at_rest": await rest(bench)}
+        result: dict[str, object] = {"at_rest": await measure_idle(bench)}
         if full:
-            result["starts"] = await starts(bench)
-            result["running_tasks"] = await states(bench, RUNNING, waiting=False)
+            result["starts"] = await measure_starts(bench)
+            result["running_tasks"] = await measure_states(bench, RUNNING_COUNTS, waiting=False)
             await fill(bench)
-            result["waiting_jobs"] = await states(bench, WAITING, waiting=True)
+            result["waiting_jobs"] = await measure_states(bench, WAITING_COUNTS, waiting=True)
         for proxy in bench.proxies:
             await proxy.close()
     return result
 
 
 async def measure(dir: Path) -> dict[str, object]:
-    """Measure one rack and three racks; the slopes over tasks with the three."""
+    """Measure cells of one and three racks; fit the per-task slopes with three."""
     found: dict[str, Any] = {}
-    for racks in RACKS:
+    for racks in RACK_COUNTS:
         part = dir / str(racks)
         part.mkdir()
-        found[str(racks * RACK)] = await measure_racks(part, racks, full=racks == RACKS[-1])
+        found[str(racks * WORKERS_PER_RACK)] = await measure_racks(
+            part, racks, full=racks == RACK_COUNTS[-1]
+        )
     names = ("scheduler_cpu_percent", "scheduler_mib")
     per_worker = {
         name: round(
--- a/rhubarbferry/bench/plots.py
+++ b/rhubarbferry/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plots of an experiment's figures; matplotlib is loaded here alone."""
+"""Plots of experiment reports. This is the only module that imports matplotlib."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from typing import Any
 
 CLASSES = ("urgent", "normal", "batch")
-MARK = "p99_ms"
+PERCENTILE_KEY = "p99_ms"
 LOADS = ("load_1", "load_2", "load_10")
 
 
 def draw(report: dict[str, Any], path: Path) -> None:
-    """Write one PNG with a panel for each experiment that the report holds.
+    """Write a PNG file with one panel for each experiment in the report.
 
-    :raises ImportError: when matplotlib is not installed.
+    :raises ImportError: if matplotlib is not installed.
     """
     from matplotlib.figure import Figure
 
@@ -28,7 +28,7 @@
     for policy, style in (("core", "-o"), ("fifo", "--s")):
         runs = [part[policy][load] for load in LOADS]
         for cls in CLASSES:
-            waits = [run["waits_by_class"][cls].get(MARK) for run in runs]
+            waits = [run["waits_by_class"][cls].get(PERCENTILE_KEY) for run in runs]
             points = [(x, y) for x, y in zip((1, 2, 10), waits, strict=True) if y is not None]
             if points:
                 axes.plot(*zip(*points, strict=True), style, label=f"{policy} {cls}")
@@ -67,10 +67,10 @@
 
 def _days(part: dict[str, Any], axes: Any) -> None:
     names = [name for name in part if isinstance(part[name], dict)]
-    for index, figure in enumerate(("worth_share", "worst_windows")):
-        values = [part[name][figure] for name in names]
+    for index, statistic in enumerate(("worth_share", "worst_windows")):
+        values = [part[name][statistic] for name in names]
         places = [at + 0.35 * (index - 0.5) for at in range(len(names))]
-        axes.bar(places, values, width=0.33, label=figure.replace("_", " "))
+        axes.bar(places, values, width=0.33, label=statistic.replace("_", " "))
     axes.set_xticks(range(len(names)), names, fontsize=8)
     axes.set(ylabel="share of the worth of all jobs", ylim=(0.0, 1.02))
     axes.set_title("Days of jobs")
--- a/rhubarbferry/bench/request_work.py
+++ b/rhubarbferry/bench/request_work.py
@@ -1,4 +1,4 @@
-"""Requests as the experiments generate them."""
+"""Generator of the requests for the experiments."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from rhubarbferry.bench.profiles import Profile
 from rhubarbferry.core.cell import PriorityClass
 
-MEAN_S = 0.2
-SPREAD = 0.6
+MEAN_SERVICE_S = 0.2
+SERVICE_LOG_STDDEV = 0.6
 CLASSES = (PriorityClass.URGENT, PriorityClass.NORMAL, PriorityClass.BATCH)
 DEMANDS = (1.0, 2.0, 1.0, 4.0)
 SHARES = (1.0, 1.0, 2.0, 3.0)
@@ -20,9 +20,10 @@
 
 @frozen(kw_only=True, slots=True)
 class Arrival:
-    """One request.
+    """One generated request.
 
-    :param service_s: time that it takes on a healthy runner.
+    :param at: arrival time in seconds.
+    :param service_s: service time in seconds on a healthy runner.
     """
 
     id: str
@@ -34,48 +35,51 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Mix:
-    """What requests are like.
+class RequestMix:
+    """Distribution of the priority classes and timeouts of requests.
 
-    :param classes: parts of the priority classes, the most urgent first.
+    :param classes: fractions of the priority classes, the most urgent first.
+    :param timeouts_s: timeouts in seconds, drawn with equal probability.
     """
 
     classes: tuple[float, float, float]
     timeouts_s: tuple[float, ...]
 
 
-MIXED = Mix(classes=(0.05, 0.65, 0.30), timeouts_s=(1.0, 2.0, 5.0, 10.0))
-# With classes and short deadlines in play what an account gets is not by its share alone.
-ONE_CLASS = Mix(classes=(0.0, 1.0, 0.0), timeouts_s=(10.0,))
+MIXED = RequestMix(classes=(0.05, 0.65, 0.30), timeouts_s=(1.0, 2.0, 5.0, 10.0))
+# With several classes and short deadlines, the slot time of an account depends on more than its
+# share. This mix isolates the effect of the shares.
+ONE_CLASS = RequestMix(classes=(0.0, 1.0, 0.0), timeouts_s=(10.0,))
 
 
 def account_names(count: int) -> list[str]:
-    """Return names of accounts."""
+    """Return the names of ``count`` client accounts."""
     return [f"account-{number:02}" for number in range(count)]
 
 
 def share_of(number: int) -> float:
-    """Return the weight of an account."""
+    """Return the fair-share weight of an account."""
     return SHARES[number % len(SHARES)]
 
 
 def demand_of(number: int) -> float:
-    """Return how much an account asks for, relative to others; not the order of the weights."""
+    """Return the relative demand of an account, in another order than the weights."""
     return DEMANDS[(number * 3 + 1) % len(DEMANDS)]
 
 
 def arrivals(
-    profile: Profile, *, load: float, seconds: float, seed: int, mix: Mix = MIXED
+    profile: Profile, *, load: float, seconds: float, seed: int, mix: RequestMix = MIXED
 ) -> Iterator[Arrival]:
-    """Yield requests in order of time.
+    """Yield requests in order of arrival time.
 
-    :param load: work offered, over what the slots of the profile can do.
+    :param load: offered work as a multiple of the total slot capacity of the profile.
+    :param seconds: length of the arrival period.
     """
     rng = random.Random(seed)
-    rate = load * profile.runners * profile.slots / MEAN_S
+    rate = load * profile.runners * profile.slots / MEAN_SERVICE_S
     names = account_names(profile.accounts)
     demands = [demand_of(number) for number in range(profile.accounts)]
-    mu = math.log(MEAN_S) - SPREAD**2 / 2
+    mu = math.log(MEAN_SERVICE_S) - SERVICE_LOG_STDDEV**2 / 2
     now, number = 0.0, 0
     while True:
         now += rng.expovariate(rate)
@@ -88,5 +92,5 @@
             account=rng.choices(names, demands)[0],
             priority=rng.choices(CLASSES, mix.classes)[0],
             timeout_s=rng.choice(mix.timeouts_s),
-            service_s=rng.lognormvariate(mu, SPREAD),
+            service_s=rng.lognormvariate(mu, SERVICE_LOG_STDDEV),
         )
--- a/rhubarbferry/bench/requests.py
+++ b/rhubarbferry/bench/requests.py
@@ -1,9 +1,9 @@
-"""Experiment ``requests``: the queue and the slot ledger under load, beside a plain FIFO.
+"""Experiment ``requests``: the request queue and slot ledger under load, compared with a FIFO.
 
-Requests come at 1, 2 and 10 times what the slots can do. A request that is not done by its
-deadline is cut off there: the slot time it had is then lost. Useful work is the slot time of the
-requests that were done in time, over all slot time. Now and then a wave of callers gives up, and
-some runners are slow for a while.
+Requests arrive at 1, 2 and 10 times the capacity of the slots. A request that has not ended by
+its deadline is terminated and the slot time it used is wasted. Useful work is the slot time of
+the requests that ended in time, as a fraction of all slot time. At regular intervals a fraction of
+the waiting clients abandons its requests, and some runners are slow for part of the run.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
 from attrs import Factory, define, frozen
 from returns.result import Failure, Success
 
-from rhubarbferry.bench.figures import Times, share_errors, water_fill
 from rhubarbferry.bench.profiles import Profile
 from rhubarbferry.bench.request_work import (
     CLASSES,
     MIXED,
     ONE_CLASS,
     Arrival,
-    Mix,
+    RequestMix,
     account_names,
     arrivals,
     demand_of,
     share_of,
 )
+from rhubarbferry.bench.statistics import LatencyHistogram, share_errors, water_fill
 from rhubarbferry.core.cell import PriorityClass
 from rhubarbferry.core.request_queue import QueueRules, RequestQueue, Terms, Waiting
 from rhubarbferry.core.slots import RunnerWord, SlotEnd, SlotLease, SlotLedger
 
 LOADS = (1.0, 2.0, 10.0)
 SHARE_LOAD = 2.0
-HOP_S = 0.0015
-MAX_WAITING = 5000
-WAVE_EVERY_S = 10.0
-WAVE_PART = 0.2
-SICK_PART = 0.08
-SICK_SLOWER = 5.0
-SICK_FROM, SICK_UNTIL = 0.4, 0.6
-WARM_UP_PART = 0.1
+ONE_WAY_DELAY_S = 0.0015
+MAX_WAITING_REQUESTS = 5000
+ABANDON_INTERVAL_S = 10.0
+ABANDON_FRACTION = 0.2
+SLOW_RUNNER_FRACTION = 0.08
+SLOW_RUNNER_FACTOR = 5.0
+SLOW_FROM_FRACTION, SLOW_UNTIL_FRACTION = 0.4, 0.6
+WARM_UP_FRACTION = 0.1
 
 
 @frozen(kw_only=True, slots=True)
 class Start:
-    """One request that got a slot."""
+    """One request that was granted a slot."""
 
     arrival: Arrival
     runner: str
@@ -57,41 +57,41 @@
 
 
 class Policy(Protocol):
-    """What decides about slots."""
+    """Interface of a policy that assigns slots to requests."""
 
     def offer(self, arrival: Arrival, now: float) -> bool:
-        """Take a request in; ``False`` when it is refused for good."""
+        """Enqueue a request; return ``False`` if it is rejected."""
         ...
 
     def starts(self, now: float) -> list[Start]:
-        """Return the requests that start now."""
+        """Assign free slots and return the requests that start."""
         ...
 
     def ended(self, start: Start, *, done: bool, held_s: float, now: float) -> None:
-        """Note that a request has given its slot back."""
+        """Release the slot of a request."""
         ...
 
-    def give_up(self, request_id: str) -> bool:
-        """Note that a caller went away; tell whether it was waiting."""
+    def abandon(self, request_id: str) -> bool:
+        """Abandon a request; return whether it was waiting."""
         ...
 
     def waiting(self) -> list[str]:
-        """Return the requests that wait, in order."""
+        """Return the ids of the waiting requests, in order."""
         ...
 
     def depth(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         ...
 
 
 class CorePolicy:
-    """The decision core, put together as a runner partition does it."""
+    """The queue and slot ledger of the decision core, used as in a runner partition."""
 
     def __init__(self, profile: Profile) -> None:
-        self._queue = RequestQueue(rules=QueueRules(max_waiting=MAX_WAITING))
+        self._queue = RequestQueue(rules=QueueRules(max_waiting=MAX_WAITING_REQUESTS))
         self._queue.configure(
             {
-                name: Terms(share=share_of(number), max_waiting=MAX_WAITING)
+                name: Terms(share=share_of(number), max_waiting=MAX_WAITING_REQUESTS)
                 for number, name in enumerate(account_names(profile.accounts))
             }
         )
@@ -109,7 +109,7 @@
         self._keys = 0
 
     def offer(self, arrival: Arrival, now: float) -> bool:
-        """Offer it to the queue."""
+        """Offer a request to the queue."""
         waiting = Waiting(
             request_id=arrival.id,
             frontend_id="f",
@@ -130,7 +130,7 @@
         raise AssertionError("unreachable")
 
     def starts(self, now: float) -> list[Start]:
-        """Give free slots to those whose turn it is."""
+        """Drop expired requests, then grant free slots in queue order."""
         for late in self._queue.expire(now=now):
             del self._arrivals[late.request_id]
         found: list[Start] = []
@@ -162,7 +162,7 @@
         return None
 
     def ended(self, start: Start, *, done: bool, held_s: float, now: float) -> None:
-        """Release the slot and settle the account."""
+        """Release the slot and charge the account for the time held."""
         lease = self._ledger.release(start.key, SlotEnd.DONE, now=now)
         assert lease is not None
         if done:
@@ -171,13 +171,13 @@
         charged = self._charged.pop(start.key)
         self._queue.finish(start.arrival.account, charged_s=charged, used_s=held_s)
 
-    def give_up(self, request_id: str) -> bool:
-        """Take it out of the queue."""
+    def abandon(self, request_id: str) -> bool:
+        """Remove a request from the queue; return whether it was waiting."""
         self._arrivals.pop(request_id, None)
         return self._queue.abandon(request_id) is not None
 
     def waiting(self) -> list[str]:
-        """Return the ids of those that wait."""
+        """Return the ids of the waiting requests."""
         return list(self._arrivals)
 
     def depth(self) -> int:
@@ -186,26 +186,26 @@
 
 
 class FifoPolicy:
-    """The baseline: first come, first served, on the first runner with a free slot.
+    """Baseline: first come, first served, on the first runner with a free slot.
 
-    It refuses when as many wait as in the core's queue, and skips those whose deadline is over.
+    Its queue is limited to the length of the core's queue, and expired requests are skipped.
     """
 
     def __init__(self, profile: Profile) -> None:
         self._free = {f"runner-{n:02}": profile.slots for n in range(profile.runners)}
-        self._line: deque[Arrival] = deque()
-        self._gone: set[str] = set()
+        self._queue: deque[Arrival] = deque()
+        self._abandoned: set[str] = set()
         self._keys = 0
 
     def offer(self, arrival: Arrival, now: float) -> bool:
-        """Append it to the line."""
-        if len(self._line) >= MAX_WAITING:
+        """Append a request to the queue, unless the queue is full."""
+        if len(self._queue) >= MAX_WAITING_REQUESTS:
             return False
-        self._line.append(arrival)
+        self._queue.append(arrival)
         return True
 
     def starts(self, now: float) -> list[Start]:
-        """Start from the head of the line."""
+        """Start requests from the head of the queue."""
         found: list[Start] = []
         for runner, free in self._free.items():
             while free and (arrival := self._pop(now)) is not None:
@@ -216,30 +216,30 @@
         return found
 
     def _pop(self, now: float) -> Arrival | None:
-        while self._line:
-            arrival = self._line.popleft()
-            if arrival.id in self._gone:
-                self._gone.discard(arrival.id)
+        while self._queue:
+            arrival = self._queue.popleft()
+            if arrival.id in self._abandoned:
+                self._abandoned.discard(arrival.id)
             elif arrival.at + arrival.timeout_s > now:
                 return arrival
         return None
 
     def ended(self, start: Start, *, done: bool, held_s: float, now: float) -> None:
-        """Free the slot."""
+        """Release the slot."""
         self._free[start.runner] += 1
 
-    def give_up(self, request_id: str) -> bool:
-        """Mark it, so that it is skipped."""
-        self._gone.add(request_id)
+    def abandon(self, request_id: str) -> bool:
+        """Mark a request as abandoned, so that it is skipped."""
+        self._abandoned.add(request_id)
         return True
 
     def waiting(self) -> list[str]:
-        """Return the ids of those that wait."""
-        return [arrival.id for arrival in self._line if arrival.id not in self._gone]
+        """Return the ids of the waiting requests."""
+        return [arrival.id for arrival in self._queue if arrival.id not in self._abandoned]
 
     def depth(self) -> int:
-        """Return the length of the line."""
-        return len(self._line)
+        """Return the length of the queue."""
+        return len(self._queue)
 
 
 POLICIES: Mapping[str, type[CorePolicy] | type[FifoPolicy]] = {
@@ -250,10 +250,12 @@
 
 @define(kw_only=True)
 class Tally:
-    """What came out of one run; the warm-up is left out of the sums.
+    """Counters and sums of one run. The sums exclude the warm-up period.
 
-    :param useful_s: slot time of requests done in time.
-    :param held_s: slot time taken, per account.
+    :param useful_s: slot time in seconds of requests that ended in time.
+    :param lost_s: slot time in seconds of requests terminated at their deadline.
+    :param held_s: slot time in seconds used by each account.
+    :param wanted_s: slot time in seconds demanded by each account.
     """
 
     offered: int = 0
@@ -268,86 +270,91 @@
     lost_s: float = 0.0
     held_s: dict[str, float] = Factory(dict)
     wanted_s: dict[str, float] = Factory(dict)
-    by_class: dict[PriorityClass, Times] = Factory(lambda: {cls: Times() for cls in CLASSES})
-    by_account: dict[str, Times] = Factory(dict)
+    by_class: dict[PriorityClass, LatencyHistogram] = Factory(
+        lambda: {cls: LatencyHistogram() for cls in CLASSES}
+    )
+    by_account: dict[str, LatencyHistogram] = Factory(dict)
 
 
 @define(kw_only=True, eq=False)
 class Run:
-    """One run of one policy at one load."""
+    """Simulation of one policy at one load."""
 
     profile: Profile
     policy: Policy
     load: float
     seconds: float
     seed: int
-    mix: Mix = MIXED
+    mix: RequestMix = MIXED
     tally: Tally = Factory(Tally)
     _ends: list[tuple[float, int, Start, float]] = Factory(list)
 
-    def go(self) -> Tally:
-        """Run to the end and return the tally."""
+    def run(self) -> Tally:
+        """Run the simulation and return its counters."""
         rng = random.Random(self.seed + 1)
-        next_wave = WAVE_EVERY_S
+        next_abandon_at = ABANDON_INTERVAL_S
         for arrival in arrivals(
             self.profile, load=self.load, seconds=self.seconds, seed=self.seed, mix=self.mix
         ):
             self._end_until(arrival.at)
-            if arrival.at >= next_wave:
-                self._wave(rng)
-                next_wave += WAVE_EVERY_S
+            if arrival.at >= next_abandon_at:
+                self._abandon_some(rng)
+                next_abandon_at += ABANDON_INTERVAL_S
             self._arrive(arrival)
         self._end_until(self.seconds)
         return self.tally
 
     def _arrive(self, arrival: Arrival) -> None:
         tally, now = self.tally, arrival.at
-        if now >= self._warm:
+        if now >= self._warm_up_s:
             tally.offered += 1
-            wanted = arrival.service_s + 2 * HOP_S
+            wanted = arrival.service_s + 2 * ONE_WAY_DELAY_S
             tally.wanted_s[arrival.account] = tally.wanted_s.get(arrival.account, 0.0) + wanted
-        began = time.perf_counter()
-        taken = self.policy.offer(arrival, now)
+        started_at = time.perf_counter()
+        accepted = self.policy.offer(arrival, now)
         starts = self.policy.starts(now)
-        tally.decision_s += time.perf_counter() - began
+        tally.decision_s += time.perf_counter() - started_at
         tally.decisions += 1
-        if not taken and now >= self._warm:
+        if not accepted and now >= self._warm_up_s:
             tally.refused += 1
         tally.most_waiting = max(tally.most_waiting, self.policy.depth())
-        self._begin(starts, now)
+        self._start(starts, now)
 
-    def _begin(self, starts: Sequence[Start], now: float) -> None:
+    def _start(self, starts: Sequence[Start], now: float) -> None:
         for start in starts:
             arrival = start.arrival
-            if now >= self._warm:
+            if now >= self._warm_up_s:
                 wait = now - arrival.at
                 self.tally.by_class[arrival.priority].add(wait)
-                self.tally.by_account.setdefault(arrival.account, Times()).add(wait)
-            takes = 2 * HOP_S + arrival.service_s * self._slower(start.runner, now)
-            ends = min(now + takes, arrival.at + arrival.timeout_s)
+                self.tally.by_account.setdefault(arrival.account, LatencyHistogram()).add(wait)
+            duration_s = 2 * ONE_WAY_DELAY_S + arrival.service_s * self._slowdown(start.runner, now)
+            ends = min(now + duration_s, arrival.at + arrival.timeout_s)
             heapq.heappush(self._ends, (ends, start.key, start, now))
 
     def _end_until(self, until: float) -> None:
         while self._ends and self._ends[0][0] <= until:
-            now, _, start, began = heapq.heappop(self._ends)
+            now, _, start, started_at = heapq.heappop(self._ends)
             arrival = start.arrival
-            takes = 2 * HOP_S + arrival.service_s * self._slower(start.runner, began)
-            done = began + takes <= arrival.at + arrival.timeout_s
-            self._count_end(arrival, done, began, now)
-            clock = time.perf_counter()
-            self.policy.ended(start, done=done, held_s=now - began, now=now)
+            duration_s = 2 * ONE_WAY_DELAY_S + arrival.service_s * self._slowdown(
+                start.runner, started_at
+            )
+            done = started_at + duration_s <= arrival.at + arrival.timeout_s
+            self._count_end(arrival, done, started_at, now)
+            decision_started_at = time.perf_counter()
+            self.policy.ended(start, done=done, held_s=now - started_at, now=now)
             starts = self.policy.starts(now)
-            self.tally.decision_s += time.perf_counter() - clock
+            self.tally.decision_s += time.perf_counter() - decision_started_at
             self.tally.decisions += 1
-            self._begin(starts, now)
+            self._start(starts, now)
 
-    def _count_end(self, arrival: Arrival, done: bool, began: float, now: float) -> None:
+    def _count_end(self, arrival: Arrival, done: bool, started_at: float, now: float) -> None:
         tally, account = self.tally, arrival.account
-        if arrival.at >= self._warm:
-            # What it took in place of what it asked for: more on a slow runner, less cut off.
-            asked = arrival.service_s + 2 * HOP_S
-            tally.wanted_s[account] += now - began - asked
-        held = now - max(began, self._warm)
+        if arrival.at >= self._warm_up_s:
+            # Replace the estimated demand by the slot time used, which is longer on a slow runner
+            # and shorter for a terminated request.
+            asked = arrival.service_s + 2 * ONE_WAY_DELAY_S
+            tally.wanted_s[account] += now - started_at - asked
+        held = now - max(started_at, self._warm_up_s)
         if held <= 0:
             return
         tally.held_s[account] = tally.held_s.get(account, 0.0) + held
@@ -358,25 +365,29 @@
             tally.cut_off += 1
             tally.lost_s += held
 
-    def _wave(self, rng: random.Random) -> None:
+    def _abandon_some(self, rng: random.Random) -> None:
         waiting = self.policy.waiting()
-        for request_id in rng.sample(waiting, int(WAVE_PART * len(waiting))):
-            self.tally.given_up += self.policy.give_up(request_id)
-
-    def _slower(self, runner: str, now: float) -> float:
-        sick = int(runner.removeprefix("runner-")) < SICK_PART * self.profile.runners
-        part = now / self.seconds
-        return SICK_SLOWER if sick and SICK_FROM <= part < SICK_UNTIL else 1.0
+        for request_id in rng.sample(waiting, int(ABANDON_FRACTION * len(waiting))):
+            self.tally.given_up += self.policy.abandon(request_id)
+
+    def _slowdown(self, runner: str, now: float) -> float:
+        is_slow = int(runner.removeprefix("runner-")) < SLOW_RUNNER_FRACTION * self.profile.runners
+        progress = now / self.seconds
+        return (
+            SLOW_RUNNER_FACTOR
+            if is_slow and SLOW_FROM_FRACTION <= progress < SLOW_UNTIL_FRACTION
+            else 1.0
+        )
 
     @property
-    def _warm(self) -> float:
-        return WARM_UP_PART * self.seconds
+    def _warm_up_s(self) -> float:
+        return WARM_UP_FRACTION * self.seconds
 
 
-def figures(run: Run) -> dict[str, Any]:
-    """Return the figures of a finished run."""
+def statistics(run: Run) -> dict[str, Any]:
+    """Return the statistics of a finished run."""
     tally, profile = run.tally, run.profile
-    measured_s = (1.0 - WARM_UP_PART) * run.seconds
+    measured_s = (1.0 - WARM_UP_FRACTION) * run.seconds
     slot_s = profile.runners * profile.slots * measured_s
     held_s = sum(tally.held_s.values())
     weights = {name: share_of(n) for n, name in enumerate(account_names(profile.accounts))}
@@ -391,8 +402,8 @@
         "lost_work": round(tally.lost_s / slot_s, 4),
         "slots_held": round(held_s / slot_s, 4),
         "most_waiting": tally.most_waiting,
-        "waits_by_class": {cls.name.lower(): t.figures() for cls, t in tally.by_class.items()},
-        "waits_by_account": {n: t.figures() for n, t in sorted(tally.by_account.items())},
+        "waits_by_class": {cls.name.lower(): t.statistics() for cls, t in tally.by_class.items()},
+        "waits_by_account": {n: t.statistics() for n, t in sorted(tally.by_account.items())},
         "shares": share_errors(tally.held_s, water_fill(weights, wanted, held_s)),
         "wall_us_per_decision": round(1e6 * tally.decision_s / tally.decisions, 1),
     }
@@ -401,24 +412,25 @@
 def experiment(
     profile: Profile, *, seed: int, seconds: float, share_seconds: float
 ) -> dict[str, Any]:
-    """Run all policies at all loads; return the figures and the parameters.
+    """Run all policies at all loads; return the statistics and the parameters.
 
-    :param share_seconds: length of the run at twice the capacity with one class of requests,
-        from which the shares are told.
+    :param seconds: length of each run.
+    :param share_seconds: length of the run at twice the capacity with one priority class, which
+        measures the shares of the accounts.
     """
     found: dict[str, Any] = {
         "seconds": seconds,
         "class_mix": MIXED.classes,
         "demands": [demand_of(n) for n in range(profile.accounts)],
         "shares": [share_of(n) for n in range(profile.accounts)],
-        "one_way_s": HOP_S,
+        "one_way_s": ONE_WAY_DELAY_S,
     }
     for name, make in POLICIES.items():
         runs = {}
         for load in LOADS:
             run = Run(profile=profile, policy=make(profile), load=load, seconds=seconds, seed=seed)
-            run.go()
-            runs[f"load_{load:g}"] = figures(run)
+            run.run()
+            runs[f"load_{load:g}"] = statistics(run)
         peak = max(one["useful_work"] for one in runs.values())
         for one in runs.values():
             one["of_peak"] = round(one["useful_work"] / peak, 4)
@@ -430,6 +442,6 @@
             seed=seed,
             mix=ONE_CLASS,
         )
-        saturated.go()
-        found[name] = {**runs, "one_class": figures(saturated)}
+        saturated.run()
+        found[name] = {**runs, "one_class": statistics(saturated)}
     return found
--- a/rhubarbferry/bench/run.py
+++ b/rhubarbferry/bench/run.py
@@ -1,4 +1,4 @@
-"""Run experiments and put their report together."""
+"""Run experiments and assemble their report."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from rhubarbferry.bench.profiles import PROFILES
 
 EXPERIMENTS = ("requests", "placement", "shares", "days")
-WALL = "wall_"
+WALL_PREFIX = "wall_"
 
 
 @frozen(kw_only=True, slots=True)
 class Plan:
-    """What to run.
+    """Parameters of the experiments.
 
-    :param request_seconds: of generated time for each load.
-    :param share_seconds: of generated time for the runs that tell shares.
-    :param day_seconds: of generated time for which jobs come in on each day.
-    :param steps: batches of the placement experiment.
+    :param request_seconds: simulated seconds of requests at each load.
+    :param share_seconds: simulated seconds of the runs that measure fair shares.
+    :param day_seconds: simulated seconds during which jobs arrive on each day.
+    :param steps: number of batches in the placement experiment.
     """
 
     profile: str = "today"
@@ -35,9 +35,10 @@
 
 
 def run(plan: Plan, names: Iterable[str] = EXPERIMENTS) -> dict[str, Any]:
-    """Run experiments one after the other.
+    """Run experiments one after the other and return their report.
 
-    All figures but those whose names begin with ``wall_`` are the same for the same plan.
+    Values whose keys begin with ``wall_`` depend on the machine. All others are reproducible for
+    the same plan.
     """
     profile = PROFILES[plan.profile]
     report: dict[str, Any] = {
@@ -46,7 +47,7 @@
         "wall_python": platform.python_version(),
     }
     for name in names:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         match name:
             case "requests":
                 report[name] = requests.experiment(
@@ -63,12 +64,12 @@
                 report[name] = shares.experiment(
                     profile, seed=plan.seed, seconds=plan.share_seconds
                 )
-        report[name]["wall_seconds"] = round(time.perf_counter() - began, 1)
+        report[name]["wall_seconds"] = round(time.perf_counter() - started_at, 1)
     return report
 
 
 def without_wall(value: Any) -> Any:
-    """Return a report without what differs from run to run."""
+    """Return a report without the ``wall_`` values, which differ between runs."""
     if isinstance(value, dict):
-        return {k: without_wall(v) for k, v in value.items() if not k.startswith(WALL)}
+        return {k: without_wall(v) for k, v in value.items() if not k.startswith(WALL_PREFIX)}
     return value
