--- a/bench/dispatch_backlog.py
+++ b/bench/dispatch_backlog.py
@@ -23,7 +23,7 @@
     StartOrder,
     StepRequest,
 )
-from rhubarbferry.dispatch.succession import Succession
+from rhubarbferry.dispatch.takeover import Takeover
 
 HOSTS = 24
 LARGE_JOBS = 1_000
@@ -58,8 +58,8 @@
 
     def __init__(self) -> None:
         self.now = 1.0
-        succession = Succession(lapsed_at=0.0)
-        self.dispatcher = Dispatcher(succession=succession, lease_s=LEASE_S)
+        takeover = Takeover(leases_expire_at=0.0)
+        self.dispatcher = Dispatcher(takeover=takeover, lease_s=LEASE_S)
         self.ends = {f"h{index}": 0 for index in range(HOSTS)}
         for index in range(HOSTS):
             self.dispatcher.host_listed(host_entry(index), now=self.now)
@@ -78,7 +78,7 @@
                 )
             )
         report = HostReport(clock_s=self.now, incarnation=1, running=(), ended=tuple(ended))
-        self.dispatcher.reported(host, report, sent_at=self.now, now=self.now)
+        self.dispatcher.handle_report(host, report, sent_at=self.now, now=self.now)
 
     def step(self) -> int:
         """Decide once, start and end the placed tasks; return their number."""
--- a/bench/slopes_dispatch.py
+++ b/bench/slopes_dispatch.py
@@ -23,7 +23,15 @@
 
 HOST_COUNTS = (24, 176, 270, 550)
 ARRIVAL_S = 20.0
-TIMED_METHODS = ("add_job", "reported", "start_answered", "advised", "decide", "retry", "recorded")
+TIMED_METHODS = (
+    "add_job",
+    "handle_report",
+    "start_answered",
+    "handle_approvals",
+    "decide",
+    "reconsider_all",
+    "mark_recorded",
+)
 
 
 class Meter:
--- a/rhubarbferry/bench/day_work.py
+++ b/rhubarbferry/bench/day_work.py
@@ -13,7 +13,7 @@
 
 from attrs import evolve, frozen
 
-from rhubarbferry.dispatch.messages import AdviceCost, JobRequest, Queue, Sizes, StepRequest
+from rhubarbferry.dispatch.messages import ApprovalCost, JobRequest, Queue, Sizes, StepRequest
 
 
 @frozen(kw_only=True, slots=True)
@@ -232,7 +232,7 @@
         attempts=3,
         slack_factor=2.2,
         objective_s=1.2,
-        advice=AdviceCost(decision_s=0.65, per_host_s=0.0092, valid_s=_ADVICE_VALID_S),
+        advice=ApprovalCost(decision_s=0.65, per_host_s=0.0092, valid_s=_ADVICE_VALID_S),
     ),
     jobs_per_s=0.577,
     worth=13.1,
@@ -256,7 +256,7 @@
         attempts=3,
         slack_factor=4.0,
         objective_s=3.0,
-        advice=AdviceCost(decision_s=0.083, per_host_s=0.0012, valid_s=_ADVICE_VALID_S),
+        advice=ApprovalCost(decision_s=0.083, per_host_s=0.0012, valid_s=_ADVICE_VALID_S),
     ),
     jobs_per_s=2.18,
     worth=2.18,
@@ -280,7 +280,7 @@
         attempts=4,
         slack_factor=1.5,
         objective_s=0.5,
-        advice=AdviceCost(decision_s=0.012, per_host_s=0.00017, valid_s=_ADVICE_VALID_S),
+        advice=ApprovalCost(decision_s=0.012, per_host_s=0.00017, valid_s=_ADVICE_VALID_S),
     ),
     jobs_per_s=15.4,
     worth=0.432,
--- a/rhubarbferry/bench/days.py
+++ b/rhubarbferry/bench/days.py
@@ -24,9 +24,9 @@
 from rhubarbferry.dispatch.dispatcher import Dispatcher
 from rhubarbferry.dispatch.job import Job, JobPhase
 from rhubarbferry.dispatch.messages import (
-    Advice,
-    AdviceOrder,
     Approval,
+    ApprovalRequest,
+    ApprovalResponse,
     EndedTask,
     EndKind,
     HostEntry,
@@ -41,7 +41,7 @@
     TaskId,
     Unanswered,
 )
-from rhubarbferry.dispatch.succession import Succession
+from rhubarbferry.dispatch.takeover import Takeover
 
 # One-way network delay to a host or to the policy service, and the time to persist the end of a
 # job.
@@ -131,7 +131,7 @@
             self._decide()
 
     def _set_up(self) -> None:
-        self._dispatcher = Dispatcher(succession=Succession(lapsed_at=0.0), lease_s=LEASE_S)
+        self._dispatcher = Dispatcher(takeover=Takeover(leases_expire_at=0.0), lease_s=LEASE_S)
         self._advice_queue = AdviceDesk(own="0", region="region")
         self._members = [
             Member(name=str(index), address="", region="region", failure_domain="")
@@ -184,7 +184,7 @@
         heapq.heappush(self._events, (when, next(self._numbers), action))
 
     def _tick(self) -> None:
-        self._dispatcher.retry()
+        self._dispatcher.reconsider_all()
         self._schedule(self.now + DECISION_INTERVAL_S, self._tick)
 
     # ------------------------------------------------------------ hosts
@@ -198,8 +198,8 @@
         state = self._dispatcher.tracker.hosts.get(id)
         if host.dead or state is None:
             return
-        state.hold(self.now, LEASE_S)
-        self._dispatcher.reported(id, host.report(self.now), sent_at=self.now, now=self.now)
+        state.extend_leases(self.now, LEASE_S)
+        self._dispatcher.handle_report(id, host.report(self.now), sent_at=self.now, now=self.now)
 
     def _fail(self, id: str) -> None:
         host = self._hosts[id]
@@ -342,7 +342,7 @@
         if any(pause.at_s <= self.now < pause.at_s + pause.duration_s for pause in self.day.pauses):
             return
         orders = self._dispatcher.decide(now=self.now, wall_s=self.now)
-        while self._dispatcher.undecided:
+        while self._dispatcher.has_more:
             orders += self._dispatcher.decide(now=self.now, wall_s=self.now)
         for order in orders:
             self._execute(order)
@@ -352,7 +352,7 @@
             if job.phase.final:
                 self._schedule(self.now + PERSIST_DELAY_S, partial(self._recorded, job))
         self._dispatcher.dirty.clear()
-        self._dispatcher.notes.clear()
+        self._dispatcher.run_events.clear()
 
     def _execute(self, order: Order) -> None:
         match order:
@@ -362,7 +362,7 @@
                 self._schedule(self.now + ONE_WAY_DELAY_S, lambda: self._start(order))
             case StopOrder():
                 self._schedule(self.now + ONE_WAY_DELAY_S, lambda: self._stop(order))
-            case AdviceOrder():
+            case ApprovalRequest():
                 job = self._dispatcher.jobs.get(order.step.job)
                 self._advice_queue.add(order, priority=job.queue.priority if job is not None else 0)
 
@@ -382,7 +382,7 @@
         """
         dispatcher = self._dispatcher
         dispatcher.start_answered(order.host, order.task, order.attempt, Unanswered(), now=self.now)
-        if dispatcher.unclear(order.host, order.task, order.attempt):
+        if dispatcher.is_start_unclear(order.host, order.task, order.attempt):
             self._schedule(self.now + 4 * ONE_WAY_DELAY_S, lambda: self._resolve_start(order))
 
     def _resolve_start(self, order: StartOrder) -> None:
@@ -392,11 +392,11 @@
         self._dispatcher.stop_answered(order.host, order.task, order.attempt, clock_s)
         self._schedule(self.now + 2 * ONE_WAY_DELAY_S, lambda: self._report(order.host))
 
-    def _request_advice(self, order: AdviceOrder, member: str) -> None:
+    def _request_advice(self, order: ApprovalRequest, member: str) -> None:
         elapsed_s = order.cost.duration_s(len(order.hosts)) + ONE_WAY_DELAY_S
         self._schedule(self.now + elapsed_s, lambda: self._deliver_advice(order, member))
 
-    def _deliver_advice(self, order: AdviceOrder, member: str) -> None:
+    def _deliver_advice(self, order: ApprovalRequest, member: str) -> None:
         self._advice_queue.done(member)
         approved = self._approved.get(order.step)
         if approved is None:
@@ -404,14 +404,14 @@
         approvals = tuple(
             Approval(host=id, ticket="ticket") for id in order.hosts if id in approved
         )
-        advice = Advice(
+        advice = ApprovalResponse(
             step=order.step,
             asked=order.hosts,
             approvals=approvals,
             answered_at=self.now,
             valid_s=order.cost.valid_s,
         )
-        self._dispatcher.advised(advice, now=self.now)
+        self._dispatcher.handle_approvals(advice, now=self.now)
 
     def _draw_approved(self, id: StepId) -> frozenset[str]:
         """Choose the hosts approved for a step.
@@ -432,7 +432,7 @@
     def _recorded(self, job: Job) -> None:
         if job.id not in self.done_at and job.phase is JobPhase.COMPLETE:
             self.done_at[job.id] = self.now
-        self._dispatcher.recorded(job)
+        self._dispatcher.mark_recorded(job)
 
     # ------------------------------------------------------------ figures
 
--- a/rhubarbferry/cell/advice_desk.py
+++ b/rhubarbferry/cell/advice_desk.py
@@ -10,8 +10,8 @@
 from attrs import Factory, define, evolve, field, frozen
 
 from rhubarbferry.cell.members import Member
-from rhubarbferry.dispatch.messages import AdviceOrder
-from rhubarbferry.dispatch.questions import HOSTS_PER_CALL
+from rhubarbferry.dispatch.approval_requests import MAX_HOSTS_PER_CALL
+from rhubarbferry.dispatch.messages import ApprovalRequest
 
 # A request expected to take longer than this is a long request. The policy service handles the
 # requests of one process sequentially, so a short request behind a long one would wait for nearly
@@ -30,7 +30,7 @@
     """A request and the process that sends it."""
 
     member: Member
-    order: AdviceOrder
+    order: ApprovalRequest
 
 
 @frozen(kw_only=True, order=True, slots=True)
@@ -39,7 +39,7 @@
 
     priority: int
     number: int
-    order: AdviceOrder = field(order=False)
+    order: ApprovalRequest = field(order=False)
 
 
 @define(kw_only=True, eq=False)
@@ -59,11 +59,11 @@
     region: str
     _short: list[_WaitingRequest] = Factory(list)
     _long: list[_WaitingRequest] = Factory(list)
-    _in_progress: dict[str, AdviceOrder] = field(factory=dict)
+    _in_progress: dict[str, ApprovalRequest] = field(factory=dict)
     _long_in_progress: int = 0
     _count: int = 0
 
-    def add(self, order: AdviceOrder, *, priority: int) -> None:
+    def add(self, order: ApprovalRequest, *, priority: int) -> None:
         """Add a request; lower ``priority`` numbers are assigned first."""
         self._count += 1
         self._push(_WaitingRequest(priority=priority, number=self._count, order=order))
@@ -116,17 +116,17 @@
         return (1 if member.region == self.region else 2, member.name)
 
 
-def _is_long(order: AdviceOrder) -> bool:
+def _is_long(order: ApprovalRequest) -> bool:
     return order.cost.duration_s(len(order.hosts)) > LONG_REQUEST_S
 
 
-def _split(order: AdviceOrder, available: int) -> list[AdviceOrder]:
+def _split(order: ApprovalRequest, available: int) -> list[ApprovalRequest]:
     """Split a request into requests with fewer hosts each.
 
     :param available: number of processes available for the parts.
     """
     hosts = len(order.hosts)
-    min_parts = math.ceil(hosts / HOSTS_PER_CALL)
+    min_parts = math.ceil(hosts / MAX_HOSTS_PER_CALL)
     count = min_parts
     if _is_long(order):
         share_s = max(order.cost.decision_s * HOSTS_TIME_SHARE, order.cost.per_host_s)
--- a/rhubarbferry/cell/decision_log.py
+++ b/rhubarbferry/cell/decision_log.py
@@ -118,7 +118,7 @@
 
     def outcomes(self, dispatcher: Dispatcher) -> None:
         """Log the runs that have ended or were refused since the last call."""
-        notes, dispatcher.notes = dispatcher.notes, []
+        notes, dispatcher.run_events = dispatcher.run_events, []
         for note in notes:
             match note:
                 case RunEnded():
--- a/rhubarbferry/cell/host_watch.py
+++ b/rhubarbferry/cell/host_watch.py
@@ -8,7 +8,7 @@
 
 from rhubarbferry.cell.context import TermContext
 from rhubarbferry.cell.loop_lag import LAG_GOAL_S
-from rhubarbferry.dispatch.hosts import LONGEST_LOOK_S, LOOK_S, Host
+from rhubarbferry.dispatch.hosts import MAX_POLL_WAIT_S, POLL_WAIT_S, Host
 from rhubarbferry.ports.workers import (
     FenceStale,
     HoldRequest,
@@ -53,7 +53,7 @@
     def _retry_interval_s(self, host: Host) -> float:
         if not host.adopted:
             return FIRST_POLL_RETRY_INTERVAL_S
-        silent = self.ctx.now() - host.last_report_at >= host.silent_s
+        silent = self.ctx.now() - host.last_report_at >= host.silence_timeout_s
         return SILENT_HOST_RETRY_INTERVAL_S if silent else POLL_RETRY_INTERVAL_S
 
     def poll_wait_s(self) -> float:
@@ -62,7 +62,7 @@
         A process whose event loop lags polls less often. Most polls report no end, and the host
         answers an open poll as soon as a task ends in any case.
         """
-        return min(LONGEST_LOOK_S, LOOK_S * max(1.0, self.ctx.around.lag_s() / LAG_GOAL_S))
+        return min(MAX_POLL_WAIT_S, POLL_WAIT_S * max(1.0, self.ctx.around.lag_s() / LAG_GOAL_S))
 
     async def poll_once(self) -> None:
         """Poll once, without waiting for the end of a task."""
@@ -74,16 +74,16 @@
         ctx = self.ctx
         sent_at = ctx.now()
         entry = host.entry
-        deadline_s = host.hold(sent_at, ctx.around.cfg.bounds.task_lease_s)
+        deadline_s = host.extend_leases(sent_at, ctx.around.cfg.bounds.task_lease_s)
         # The host reports ends after `forget_to` at once, so waiting has no effect while some of
         # them are not recorded. The first poll only reads the host's clock.
-        host.look_s = self.poll_wait_s()
+        host.poll_wait_s = self.poll_wait_s()
         no_wait = no_wait or deadline_s is None or host.seen_end > host.recorded_end
         req = HoldRequest(
             fence=ctx.tenure.fence,
             deadline_s=deadline_s,
             forget_to=host.recorded_end,
-            wait_s=0.0 if no_wait else host.look_s,
+            wait_s=0.0 if no_wait else host.poll_wait_s,
             patience_s=RESPONSE_MARGIN_S if host.adopted else FIRST_RESPONSE_MARGIN_S,
         )
         try:
@@ -104,7 +104,7 @@
         ):
             return True
         was_adopted = host.adopted
-        ctx.dispatcher.reported(self.id, report, sent_at=sent_at, now=ctx.now())
+        ctx.dispatcher.handle_report(self.id, report, sent_at=sent_at, now=ctx.now())
         if not was_adopted:
             ctx.around.log.emit(
                 "host.adopted",
--- a/rhubarbferry/cell/orders.py
+++ b/rhubarbferry/cell/orders.py
@@ -17,8 +17,8 @@
 from rhubarbferry.cell.members import Member
 from rhubarbferry.dispatch.hosts import Host
 from rhubarbferry.dispatch.messages import (
-    Advice,
-    AdviceOrder,
+    ApprovalRequest,
+    ApprovalResponse,
     Order,
     PaceOrder,
     StartOrder,
@@ -69,7 +69,7 @@
                 self.spawn(self._run_stop(order))
             case PaceOrder():
                 self.spawn(self._pace(order))
-            case AdviceOrder():
+            case ApprovalRequest():
                 job = self.ctx.dispatcher.jobs.get(order.step.job)
                 self._desk.add(order, priority=job.queue.priority if job is not None else 0)
 
@@ -94,7 +94,7 @@
             if not self.ctx.tenure.holds():
                 return
             await self._call_start(host, order)
-            if self.ctx.dispatcher.unclear(order.host, order.task, order.attempt):
+            if self.ctx.dispatcher.is_start_unclear(order.host, order.task, order.attempt):
                 await self._resolve_unclear_start(order)
 
     async def _call_start(self, host: Host, order: StartOrder) -> None:
@@ -118,7 +118,7 @@
         """
         poller = HostPoller(ctx=self.ctx, id=order.host)
         await poller.poll_once()
-        if self.ctx.dispatcher.unclear(order.host, order.task, order.attempt):
+        if self.ctx.dispatcher.is_start_unclear(order.host, order.task, order.attempt):
             await self._stop(
                 StopOrder(
                     host=order.host,
@@ -188,12 +188,12 @@
                 )
         except WorkerError as exc:
             self.log.approval(assignment, approved=None, reason=str(exc)[:200])
-            self.ctx.dispatcher.advice_failed(order, now=self.ctx.now())
+            self.ctx.dispatcher.approval_request_failed(order, now=self.ctx.now())
         else:
             now = self.ctx.now()
             self.log.approval(assignment, approved=len(response.approvals), took_s=now - sent_at)
-            self.ctx.dispatcher.advised(
-                Advice(
+            self.ctx.dispatcher.handle_approvals(
+                ApprovalResponse(
                     step=order.step,
                     asked=order.hosts,
                     approvals=response.approvals,
--- a/rhubarbferry/cell/recorder.py
+++ b/rhubarbferry/cell/recorder.py
@@ -143,7 +143,7 @@
                 outcome="on record",
             )
             if snapshot.final:
-                self.ctx.dispatcher.recorded(snapshot.job)
+                self.ctx.dispatcher.mark_recorded(snapshot.job)
                 self.ctx.removable.append(snapshot.job.id)
 
     def _handle_conflict(self, group: list[_Snapshot], conflict: Conflict) -> None:
--- a/rhubarbferry/cell/roster.py
+++ b/rhubarbferry/cell/roster.py
@@ -9,7 +9,7 @@
 
 from rhubarbferry.cell import keys
 from rhubarbferry.cell.context import OwnershipLost, Tenure
-from rhubarbferry.dispatch.succession import RosterEntry
+from rhubarbferry.dispatch.takeover import RosterEntry
 from rhubarbferry.ports.store import Conflict, Expect, KeyValue, Put, Txn, TxnStore
 
 
--- a/rhubarbferry/cell/term.py
+++ b/rhubarbferry/cell/term.py
@@ -22,11 +22,11 @@
 from rhubarbferry.cell.recorder import Recorder
 from rhubarbferry.cell.roster import Roster
 from rhubarbferry.dispatch.dispatcher import Dispatcher
-from rhubarbferry.dispatch.hosts import CLOCK_DRIFT, LAPSE_MARGIN_S
+from rhubarbferry.dispatch.hosts import LEASE_EXPIRY_MARGIN_S, MAX_CLOCK_DRIFT
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.dispatch.messages import HostEntry, Sizes
-from rhubarbferry.dispatch.roster import close_hosts, follow_record, next_roster
-from rhubarbferry.dispatch.succession import Succession
+from rhubarbferry.dispatch.roster import apply_roster, close_unavailable_hosts, next_roster
+from rhubarbferry.dispatch.takeover import Takeover
 from rhubarbferry.ports.store import StoreError
 
 # Longest interval between two scheduling decisions, because some changes (leases, deadlines) depend
@@ -79,16 +79,16 @@
     def __attrs_post_init__(self) -> None:
         self._took_over_at = self.around.clock.monotonic()
         lease_s = self.around.cfg.bounds.task_lease_s
-        succession = Succession(
-            lapsed_at=self._took_over_at
+        takeover = Takeover(
+            leases_expire_at=self._took_over_at
             + LEASE_TTL_S
-            + lease_s * (1 + CLOCK_DRIFT)
-            + LAPSE_MARGIN_S
+            + lease_s * (1 + MAX_CLOCK_DRIFT)
+            + LEASE_EXPIRY_MARGIN_S
         )
         self.ctx = TermContext(
             around=self.around,
             tenure=self.tenure,
-            dispatcher=Dispatcher(succession=succession, lease_s=lease_s),
+            dispatcher=Dispatcher(takeover=takeover, lease_s=lease_s),
         )
         self._roster = Roster(store=self.around.store, tenure=self.tenure)
         self._inbox = Inbox(ctx=self.ctx)
@@ -100,7 +100,7 @@
         """Return how many jobs of a queue have not started, or ``None`` if unknown."""
         if not self.tenure.holds() or not self._inbox.loaded:
             return None
-        return self.ctx.dispatcher.pending(queue)
+        return self.ctx.dispatcher.count_pending(queue)
 
     def phase(self, id: str) -> JobPhase | None:
         """Return the phase of a job, or ``None`` if unknown.
@@ -184,13 +184,13 @@
             except StoreError as exc:
                 self.around.log.emit("term.not_loaded", reason=str(exc))
                 await asyncio.sleep(LOAD_RETRY_INTERVAL_S)
-        succession = self.ctx.dispatcher.succession
-        succession.unconfirmed = dict(self._roster.entries)
+        takeover = self.ctx.dispatcher.takeover
+        takeover.unconfirmed = dict(self._roster.entries)
         self.around.log.emit(
             "term.loaded",
             fence=self.tenure.fence,
             jobs=len(self.ctx.dispatcher.jobs),
-            hosts=len(succession.unconfirmed),
+            hosts=len(takeover.unconfirmed),
         )
 
     async def _hand_over_if_disconnected(self) -> None:
@@ -258,7 +258,7 @@
             )
             self.ctx.dispatcher.host_listed(entry, now=self.ctx.now())
             self._start_polling(known.id)
-        follow_record(self._roster.entries, self.ctx.dispatcher.tracker.hosts)
+        apply_roster(self._roster.entries, self.ctx.dispatcher.tracker.hosts)
 
     async def _read_host_list(self) -> None:
         entries = {entry.id: entry for entry in await self.around.directory.hosts()}
@@ -271,7 +271,7 @@
                 new = entry.id not in hosts
                 self.ctx.dispatcher.host_listed(entry, now=now)
                 if new:
-                    follow_record({entry.id: self._roster.entries[entry.id]}, hosts)
+                    apply_roster({entry.id: self._roster.entries[entry.id]}, hosts)
                 self._start_polling(entry.id)
         for id, host in hosts.items():
             if id not in entries and host.listed:
@@ -282,11 +282,11 @@
     async def _update_roster(self, listed: dict[str, HostEntry]) -> None:
         hosts = self.ctx.dispatcher.tracker.hosts
         now = self.ctx.now()
-        close_hosts(hosts, now)
-        unconfirmed = self.ctx.dispatcher.succession.unconfirmed
+        close_unavailable_hosts(hosts, now)
+        unconfirmed = self.ctx.dispatcher.takeover.unconfirmed
         entries = next_roster(self._roster.entries, listed, hosts, unconfirmed=unconfirmed, now=now)
         if await self._roster.update(entries):
-            follow_record(entries, hosts)
+            apply_roster(entries, hosts)
 
     def _log_listed_phase(self, entry: HostEntry) -> None:
         known = self.ctx.dispatcher.tracker.hosts.get(entry.id)
@@ -324,7 +324,7 @@
             self.tenure.check()
             started_at = self.ctx.now()
             self._decide()
-            if self.ctx.dispatcher.undecided:
+            if self.ctx.dispatcher.has_more:
                 # The rest belongs to the same decision, so yield to other tasks without a pause.
                 await asyncio.sleep(0)
             else:
@@ -339,8 +339,8 @@
             dispatcher.configure(routes.queues, now=now)
         if now - self._rechecked_at >= STEP_RECHECK_INTERVAL_S:
             self._rechecked_at = now
-            dispatcher.retry()
-        unconfirmed = list(dispatcher.succession.unconfirmed)
+            dispatcher.reconsider_all()
+        unconfirmed = list(dispatcher.takeover.unconfirmed)
         orders = dispatcher.decide(
             now=now, wall_s=self.around.clock.wall(), starts=self._executor.start_capacity()
         )
@@ -350,12 +350,12 @@
             self._executor.execute(order)
         self._executor.request_approvals(self._members())
         self.ctx.note_changes()
-        if dispatcher.undecided:
+        if dispatcher.has_more:
             self.ctx.wake.set()
 
     def _log_settled(self, unconfirmed: list[str], now: float) -> None:
         """Log once when all inherited jobs may proceed, with the hosts that have not answered."""
-        if self._settled or not self.ctx.dispatcher.settled:
+        if self._settled or not self.ctx.dispatcher.takeover_complete:
             return
         self._settled = True
         self.around.log.emit(
--- a/rhubarbferry/dispatch/questions.py
+++ b/rhubarbferry/dispatch/approval_requests.py
@@ -8,12 +8,12 @@
 from rhubarbferry.dispatch.approval_request_size import hosts_to_request
 from rhubarbferry.dispatch.hosts import Host
 from rhubarbferry.dispatch.job import Step
-from rhubarbferry.dispatch.messages import AdviceOrder
+from rhubarbferry.dispatch.messages import ApprovalRequest
 from rhubarbferry.dispatch.placement import eligible_hosts
 
 # Maximum number of hosts in one call; the policy service refuses calls with more. Larger requests
 # are split into several calls.
-HOSTS_PER_CALL = 100
+MAX_HOSTS_PER_CALL = 100
 # Minimum time between a failed approval request and the next one for the same step.
 APPROVAL_RETRY_INTERVAL_S = 0.3
 
@@ -25,7 +25,7 @@
     held: Container[str],
     share: float,
     now: float,
-) -> AdviceOrder | None:
+) -> ApprovalRequest | None:
     """Return the next approval request of a step, or ``None`` if none is needed now.
 
     Most waiting steps have a pending request. They return before any host is examined: examining
@@ -48,7 +48,7 @@
     if not wanted:
         return None
     approvals.pending.update(wanted)
-    return AdviceOrder(step=step.id, hosts=tuple(wanted), cost=cost)
+    return ApprovalRequest(step=step.id, hosts=tuple(wanted), cost=cost)
 
 
 def has_undecided_room(step: Step, open_hosts: Iterable[Host]) -> bool:
--- a/rhubarbferry/dispatch/approvals.py
+++ b/rhubarbferry/dispatch/approvals.py
@@ -4,7 +4,7 @@
 
 from attrs import Factory, define, frozen
 
-from rhubarbferry.dispatch.messages import Advice
+from rhubarbferry.dispatch.messages import ApprovalResponse
 
 # A ticket must still be valid when the start order arrives: the one-way latency between regions is
 # 20 ms, and a busy process may delay the order.
@@ -39,7 +39,7 @@
     pending: set[str] = Factory(set)
     failed_at: float = -1.0
 
-    def record_response(self, response: Advice, incarnations: dict[str, int]) -> None:
+    def record_response(self, response: ApprovalResponse, incarnations: dict[str, int]) -> None:
         """Record the response to an approval request.
 
         :param incarnations: current incarnation of each known host.
--- a/rhubarbferry/dispatch/dispatcher.py
+++ b/rhubarbferry/dispatch/dispatcher.py
@@ -15,6 +15,11 @@
 from rhubarbferry.core.ejection import EjectionRules, Ejector
 from rhubarbferry.dispatch import reservations
 from rhubarbferry.dispatch.approval_request_size import ApprovedShare
+from rhubarbferry.dispatch.approval_requests import (
+    APPROVAL_RETRY_INTERVAL_S,
+    has_undecided_room,
+    next_approval_request,
+)
 from rhubarbferry.dispatch.candidates import Candidates
 from rhubarbferry.dispatch.evacuation import runs_to_stop
 from rhubarbferry.dispatch.hosts import Host
@@ -22,8 +27,8 @@
 from rhubarbferry.dispatch.job import Job, JobPhase, Run, RunPhase, Step, Task
 from rhubarbferry.dispatch.messages import (
     FULL_PERCENT,
-    Advice,
-    AdviceOrder,
+    ApprovalRequest,
+    ApprovalResponse,
     EndKind,
     HostEntry,
     HostReport,
@@ -39,12 +44,7 @@
 from rhubarbferry.dispatch.pacing import Pacing
 from rhubarbferry.dispatch.placement import Placement, place
 from rhubarbferry.dispatch.preemption import Holds
-from rhubarbferry.dispatch.questions import (
-    APPROVAL_RETRY_INTERVAL_S,
-    has_undecided_room,
-    next_approval_request,
-)
-from rhubarbferry.dispatch.succession import Succession
+from rhubarbferry.dispatch.takeover import Takeover
 from rhubarbferry.dispatch.tracker import RunEnded, RunEvent, RunRefused, Tracker
 from rhubarbferry.dispatch.waiting import WaitingSteps
 
@@ -85,12 +85,12 @@
     :ivar run_events: ended and refused runs that the caller has not logged yet.
     """
 
-    succession: Succession
+    takeover: Takeover
     lease_s: float
     jobs: dict[str, Job] = Factory(dict)
     dirty: dict[str, Job] = Factory(dict)
     ended: dict[str, JobPhase] = Factory(dict)
-    notes: list[RunEvent] = Factory(list)
+    run_events: list[RunEvent] = Factory(list)
     tracker: Tracker = field(init=False)
     waiting: WaitingSteps = Factory(WaitingSteps)
     holds: Holds = Factory(Holds)
@@ -133,7 +133,7 @@
         if job is not None and not job.phase.final:
             self._finish(job, JobPhase.CANCELLED, "cancelled by its client")
 
-    def recorded(self, job: Job) -> None:
+    def mark_recorded(self, job: Job) -> None:
         """Record that the store holds a job's current state; remove the job if it has ended."""
         if job.phase.final:
             self.jobs.pop(job.id, None)
@@ -155,7 +155,7 @@
                 if step in self.waiting:
                     self._enqueue(step, now)
 
-    def pending(self, queue: str) -> int:
+    def count_pending(self, queue: str) -> int:
         """Return the number of jobs in a queue that have not started any task."""
         return sum(1 for job in self.jobs.values() if job.queue.name == queue and not job.started)
 
@@ -171,18 +171,18 @@
 
     def host_gone(self, id: str, *, now: float) -> None:
         """Record that the current incarnation of a host has certainly ended."""
-        self.succession.record_report(id)
+        self.takeover.record_report(id)
         host = self.tracker.hosts.get(id)
         if host is not None:
             self._apply_events(self.tracker.host_gone(host), now)
 
-    def reported(self, id: str, report: HostReport, *, sent_at: float, now: float) -> None:
+    def handle_report(self, id: str, report: HostReport, *, sent_at: float, now: float) -> None:
         """Process a host's report, which must answer a call under the current owner's fence."""
         host = self.tracker.hosts.get(id)
         if host is None:
             return
-        self.succession.record_report(id)
-        self._apply_events(self.tracker.reported(host, report, sent_at=sent_at, now=now), now)
+        self.takeover.record_report(id)
+        self._apply_events(self.tracker.handle_report(host, report, sent_at=sent_at, now=now), now)
         self.pacing.record_report(host, now)
         self._stop_hung(host, now)
         for run in runs_to_stop(host, now):
@@ -197,7 +197,7 @@
             host = self.tracker.hosts[id]
             self._apply_events(self.tracker.start_answered(host, run, result, now=now), now)
 
-    def unclear(self, id: str, task: TaskId, attempt: int) -> bool:
+    def is_start_unclear(self, id: str, task: TaskId, attempt: int) -> bool:
         """Return whether a start was not answered and the run may still exist or begin."""
         run = self.tracker.run(id, task, attempt)
         return run is not None and run.phase is RunPhase.UNCLEAR
@@ -220,7 +220,7 @@
 
     # ------------------------------------------------------------ approvals
 
-    def advised(self, response: Advice, *, now: float) -> None:
+    def handle_approvals(self, response: ApprovalResponse, *, now: float) -> None:
         """Process the response to an approval request."""
         step = self._step(response.step)
         if step is None:
@@ -237,7 +237,7 @@
         """Return the estimated share of hosts that the policy approves for steps of a queue."""
         return self._approved_shares.setdefault(queue.name, ApprovedShare())
 
-    def advice_failed(self, request: AdviceOrder, *, now: float) -> None:
+    def approval_request_failed(self, request: ApprovalRequest, *, now: float) -> None:
         """Record that an approval request failed, and schedule a retry."""
         step = self._step(request.step)
         if step is None:
@@ -264,7 +264,7 @@
         self.waiting.reorder(now)
         if self.holds.expire(now):
             # The room of the expired hold is free for any step.
-            self.retry()
+            self.reconsider_all()
         self.tracker.update_open_hosts(now)
         for step in [step for step, at in self._approval_retry_at.items() if now >= at]:
             del self._approval_retry_at[step]
@@ -280,15 +280,15 @@
         if now - self._hosts_reviewed_at < HOST_REVIEW_INTERVAL_S:
             return
         self._hosts_reviewed_at = now
-        self._apply_events(self.tracker.expire_leases(now, keep=self.succession.unconfirmed), now)
+        self._apply_events(self.tracker.expire_leases(now, keep=self.takeover.unconfirmed), now)
         self.tracker.mark_reopened_hosts(now)
 
     @property
-    def undecided(self) -> bool:
+    def has_more(self) -> bool:
         """Whether candidate steps remain that the last decision did not process."""
         return bool(self._candidates)
 
-    def retry(self) -> None:
+    def reconsider_all(self) -> None:
         """Reconsider all hosts and all waiting steps in the next decision."""
         self._hosts_reviewed_at = float("-inf")
         self._candidates.include_all()
@@ -430,7 +430,7 @@
 
     def _apply_events(self, events: list[RunEvent], now: float) -> None:
         for event in events:
-            self.notes.append(event)
+            self.run_events.append(event)
             match event:
                 case RunEnded():
                     self._handle_run_ended(event, now)
@@ -504,9 +504,9 @@
         """Resume the inherited jobs that no unconfirmed host can still be running."""
         if not self._unresolved_jobs:
             return
-        self.succession.expire(now)
+        self.takeover.expire(now)
         for job in [
-            job for job in self._unresolved_jobs.values() if self.succession.may_resume(job.id)
+            job for job in self._unresolved_jobs.values() if self.takeover.may_resume(job.id)
         ]:
             del self._unresolved_jobs[job.id]
             for step in job.steps():
@@ -517,7 +517,7 @@
                     self._candidates.include(step)
 
     @property
-    def settled(self) -> bool:
+    def takeover_complete(self) -> bool:
         """Whether no inherited job waits for unconfirmed hosts."""
         return not self._unresolved_jobs
 
--- a/rhubarbferry/dispatch/hosts.py
+++ b/rhubarbferry/dispatch/hosts.py
@@ -9,9 +9,9 @@
 
 # A host's clock may run slower than this process's clock by up to this share, as the platform
 # documents.
-CLOCK_DRIFT = 0.02
+MAX_CLOCK_DRIFT = 0.02
 # Added to an expiry time that is computed from clocks, since killing a task takes time.
-LAPSE_MARGIN_S = 0.3
+LEASE_EXPIRY_MARGIN_S = 0.3
 
 
 @frozen(kw_only=True, slots=True)
@@ -33,13 +33,13 @@
 
     def lower_bound(self, now: float) -> float:
         """Return the earliest possible current time on the host's clock, which may run slow."""
-        return self.clock_s + (now - self.received_at) * (1 - CLOCK_DRIFT)
+        return self.clock_s + (now - self.received_at) * (1 - MAX_CLOCK_DRIFT)
 
 
 # How long a host may hold back its answer to a poll until a run ends. A shorter wait detects a
 # silent host sooner, a longer one costs fewer calls.
-LOOK_S = 0.7
-LONGEST_LOOK_S = 1.4
+POLL_WAIT_S = 0.7
+MAX_POLL_WAIT_S = 1.4
 # Latency of the answers, added to the wait time of two polls.
 POLL_LATENCY_MARGIN_S = 0.1
 
@@ -66,7 +66,7 @@
     :param blocked_until: it receives no new tasks before this time.
     :param leaves_at: earliest time at which it may leave, while it is draining. It is the minimum
         over its entries in the host list, as each may be out of date by one heartbeat.
-    :param look_s: current wait time of a poll.
+    :param poll_wait_s: current wait time of a poll.
     :param is_open: whether it accepts tasks, as of the last decision.
     """
 
@@ -84,7 +84,7 @@
     last_report_at: float = 0.0
     blocked_until: float = 0.0
     leaves_at: float | None = None
-    look_s: float = LOOK_S
+    poll_wait_s: float = POLL_WAIT_S
     is_open: bool = False
     _room: Sizes = field(factory=Sizes)
     _room_used: Sizes | None = None
@@ -110,12 +110,12 @@
         return self._room
 
     @property
-    def silent_s(self) -> float:
+    def silence_timeout_s(self) -> float:
         """Time without an answer after which the host is silent.
 
         A silent host may be down or partitioned, so it receives no new tasks.
         """
-        return 2 * self.look_s + POLL_LATENCY_MARGIN_S
+        return 2 * self.poll_wait_s + POLL_LATENCY_MARGIN_S
 
     def accepts_tasks(self, now: float) -> bool:
         """Return whether it accepts a task now."""
@@ -127,10 +127,10 @@
             and not self.unknown_runs
             and self.entry.phase is HostPhase.READY
             and now >= self.blocked_until
-            and now - self.last_report_at < self.silent_s
+            and now - self.last_report_at < self.silence_timeout_s
         )
 
-    def hold(self, now: float, hold_s: float) -> float | None:
+    def extend_leases(self, now: float, hold_s: float) -> float | None:
         """Extend its task leases; return the time on its clock until which they are to run.
 
         Return ``None`` if they must not be extended: while its clock is unknown, and while it is
@@ -138,7 +138,7 @@
         an answer may have been carried out. If each attempt extended the leases of a silent host,
         they would never count as expired, and the tasks of a dead host would never start elsewhere.
         """
-        if self.clock is None or now - self.last_report_at >= self.silent_s:
+        if self.clock is None or now - self.last_report_at >= self.silence_timeout_s:
             return None
         until = self.clock.estimate(now) + hold_s
         self.leases_until_s = max(self.leases_until_s, until)
@@ -184,4 +184,4 @@
         """
         if self.clock is None:
             return False
-        return self.clock.lower_bound(now) > self.leases_until_s + LAPSE_MARGIN_S
+        return self.clock.lower_bound(now) > self.leases_until_s + LEASE_EXPIRY_MARGIN_S
--- a/rhubarbferry/dispatch/messages.py
+++ b/rhubarbferry/dispatch/messages.py
@@ -130,7 +130,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class AdviceCost:
+class ApprovalCost:
     """Cost model of an approval request.
 
     :param decision_s: fixed part of the response time.
@@ -166,7 +166,7 @@
     attempts: int = 1
     slack_factor: float = 1.0
     objective_s: float = 0.0
-    advice: AdviceCost | None = None
+    advice: ApprovalCost | None = None
 
 
 @frozen(kw_only=True, slots=True)
@@ -239,14 +239,14 @@
 
     :param checkpoint: last checkpoint; empty for none.
     :param percent: progress, 0 to 100.
-    :param tail_s: tail latency over the last half second, for a task that serves users.
+    :param tail_latency_s: tail latency over the last half second, for a task that serves users.
     """
 
     task: TaskId
     attempt: int
     checkpoint: str = ""
     percent: float = 0.0
-    tail_s: float = 0.0
+    tail_latency_s: float = 0.0
 
 
 @frozen(kw_only=True, slots=True)
@@ -373,7 +373,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class AdviceOrder:
+class ApprovalRequest:
     """Request the approval of hosts to run a step.
 
     :param hosts: ids of the hosts to decide on.
@@ -382,7 +382,7 @@
 
     step: StepId
     hosts: tuple[str, ...]
-    cost: AdviceCost
+    cost: ApprovalCost
 
 
 @frozen(kw_only=True, slots=True)
@@ -394,7 +394,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Advice:
+class ApprovalResponse:
     """Response to an approval request.
 
     :param asked: ids of the hosts named in the request; those without an approval are denied.
@@ -409,4 +409,4 @@
     valid_s: float
 
 
-Order = StartOrder | StopOrder | PaceOrder | AdviceOrder
+Order = StartOrder | StopOrder | PaceOrder | ApprovalRequest
--- a/rhubarbferry/dispatch/record.py
+++ b/rhubarbferry/dispatch/record.py
@@ -15,7 +15,7 @@
 from cattrs.gen import make_dict_structure_fn, make_dict_unstructure_fn
 
 from rhubarbferry.dispatch.job import Job, JobPhase, Step
-from rhubarbferry.dispatch.messages import AdviceCost, JobRequest, Queue, Sizes, StepRequest
+from rhubarbferry.dispatch.messages import ApprovalCost, JobRequest, Queue, Sizes, StepRequest
 
 
 class RecordError(Exception):
@@ -38,7 +38,7 @@
 
 
 _converter = cattrs.Converter(omit_if_default=True, prefer_attrib_converters=True)
-for _cls in (Sizes, StepRequest, AdviceCost, Queue, JobRequest, JobRecord):
+for _cls in (Sizes, StepRequest, ApprovalCost, Queue, JobRequest, JobRecord):
     _converter.register_unstructure_hook(
         _cls, make_dict_unstructure_fn(_cls, _converter, _cattrs_omit_if_default=True)
     )
--- a/rhubarbferry/dispatch/retries.py
+++ b/rhubarbferry/dispatch/retries.py
@@ -18,7 +18,7 @@
 START_TIMEOUTS_S = (0.15, 0.2, 0.4)
 
 
-def next_try(run: Run, host: Host, now: float) -> StartOrder | None:
+def next_retry(run: Run, host: Host, now: float) -> StartOrder | None:
     """Return the order to send again, or ``None`` if it must not be retried.
 
     A restarted host gets no second copy: it has lost the record of the first one, so it could carry
--- a/rhubarbferry/dispatch/roster.py
+++ b/rhubarbferry/dispatch/roster.py
@@ -9,10 +9,10 @@
 from rhubarbferry.dispatch.hosts import Host
 from rhubarbferry.dispatch.job import RunPhase
 from rhubarbferry.dispatch.messages import HostEntry, HostPhase
-from rhubarbferry.dispatch.succession import RosterEntry
+from rhubarbferry.dispatch.takeover import RosterEntry
 
 
-def close_hosts(hosts: Mapping[str, Host], now: float) -> None:
+def close_unavailable_hosts(hosts: Mapping[str, Host], now: float) -> None:
     """Stop sending orders to hosts that are silent or leaving.
 
     This must happen before the roster lists which jobs they may still run. An order sent in between
@@ -35,7 +35,7 @@
 
     :param roster: roster as stored.
     :param listed: entries of the host list, by id.
-    :param hosts: hosts that the owner tracks, after :func:`close_hosts`.
+    :param hosts: hosts that the owner tracks, after :func:`close_unavailable_hosts`.
     :param unconfirmed: hosts that may still run tasks of an earlier owner.
     """
     found: dict[str, RosterEntry] = {}
@@ -67,10 +67,10 @@
 
 def _is_unavailable(host: Host, now: float) -> bool:
     leaving = not host.listed or host.entry.phase is HostPhase.DRAINING
-    return leaving or now - host.last_report_at >= host.silent_s
+    return leaving or now - host.last_report_at >= host.silence_timeout_s
 
 
-def follow_record(roster: Mapping[str, RosterEntry], hosts: Mapping[str, Host]) -> None:
+def apply_roster(roster: Mapping[str, RosterEntry], hosts: Mapping[str, Host]) -> None:
     """Close and reopen hosts to match the stored roster; only open hosts may receive orders."""
     for id, entry in roster.items():
         if id in hosts:
--- a/rhubarbferry/dispatch/succession.py
+++ b/rhubarbferry/dispatch/takeover.py
@@ -30,7 +30,7 @@
 
 
 @define(kw_only=True, eq=False)
-class Succession:
+class Takeover:
     """Hosts of the roster that have not answered under the new owner's fence yet.
 
     A host that can't be reached may still run tasks of the earlier owner and accept its orders. So
@@ -41,13 +41,13 @@
     by 8 s.
 
     :param unconfirmed: roster entries of the hosts that have not answered yet, by id.
-    :param lapsed_at: when every earlier task lease must have expired: the time of the
+    :param leases_expire_at: when every earlier task lease must have expired: the time of the
         takeover plus the earlier owner's own lease, the longest task lease and the maximum
         clock drift.
     """
 
     unconfirmed: dict[str, RosterEntry] = Factory(dict)
-    lapsed_at: float
+    leases_expire_at: float
 
     def record_report(self, id: str) -> None:
         """Record that a host has answered under the new fence or its incarnation has ended."""
@@ -55,7 +55,7 @@
 
     def expire(self, now: float) -> None:
         """Stop waiting for hosts once all earlier leases must have expired."""
-        if now >= self.lapsed_at:
+        if now >= self.leases_expire_at:
             self.unconfirmed.clear()
 
     def may_resume(self, job: str) -> bool:
--- a/rhubarbferry/dispatch/tracker.py
+++ b/rhubarbferry/dispatch/tracker.py
@@ -24,7 +24,7 @@
     TaskId,
     Unanswered,
 )
-from rhubarbferry.dispatch.retries import next_try
+from rhubarbferry.dispatch.retries import next_retry
 
 # A host lists at most this many ended runs in one report and the rest in later ones.
 MAX_ENDS_PER_REPORT = 500
@@ -142,7 +142,7 @@
 
     # ------------------------------------------------------------ reports of hosts
 
-    def reported(
+    def handle_report(
         self, host: Host, report: HostReport, *, sent_at: float, now: float
     ) -> list[RunEvent]:
         """Update the runs of a host from its report."""
@@ -192,7 +192,7 @@
             run.phase = RunPhase.RUNNING
             run.progress_at = now
         run.deadline_s = report.clock_s
-        run.tail_latency_s = running.tail_s
+        run.tail_latency_s = running.tail_latency_s
         if running.percent > run.percent or running.percent < run.percent:
             run.percent = running.percent
             run.progress_at = now
@@ -219,7 +219,7 @@
             deadline_s=report.clock_s,
             percent=running.percent,
             progress_at=now,
-            tail_latency_s=running.tail_s,
+            tail_latency_s=running.tail_latency_s,
         )
         host.add(run)
         task.attempt = max(task.attempt, running.attempt)
@@ -319,7 +319,7 @@
                 return []
 
     def _retry(self, host: Host, run: Run, now: float) -> bool:
-        order = next_try(run, host, now)
+        order = next_retry(run, host, now)
         if order is None:
             return False
         run.order = order
--- a/rhubarbferry/platform/configuration.py
+++ b/rhubarbferry/platform/configuration.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from rhubarbferry.cell.routes import DEFAULT_BODY_BYTES, Limits, Route, RouteTable
-from rhubarbferry.dispatch.messages import AdviceCost, Queue
+from rhubarbferry.dispatch.messages import ApprovalCost, Queue
 
 KEY = "op/config"
 
@@ -53,7 +53,7 @@
     cost = entry.get("advisor")
     advice = None
     if cost:
-        advice = AdviceCost(
+        advice = ApprovalCost(
             decision_s=float(cost["decisionMs"]) / 1000,
             per_host_s=float(cost["perWorkerMs"]) / 1000,
             valid_s=float(cost["validMs"]) / 1000,
--- a/rhubarbferry/platform/workers.py
+++ b/rhubarbferry/platform/workers.py
@@ -230,7 +230,7 @@
                     attempt=int(row[1]),
                     checkpoint=str(row[2] or ""),
                     percent=float(row[3]),
-                    tail_s=_tail_latency_ms(row) / 1000,
+                    tail_latency_s=_tail_latency_ms(row) / 1000,
                 )
                 for row in body.get("active", [])
             ),
--- a/tests/bench/test_days.py
+++ b/tests/bench/test_days.py
@@ -21,5 +21,5 @@
 def test_start_retries_earn_more_worth_when_hosts_lose_orders(monkeypatch):
     """Guards against wide gangs that start too late when hosts lose one start request in five."""
     with_retries = measure_worth()
-    monkeypatch.setattr(tracker, "next_try", lambda run, host, now: None)
+    monkeypatch.setattr(tracker, "next_retry", lambda run, host, now: None)
     assert with_retries > measure_worth() + 0.05
--- a/tests/cell/test_advice_desk.py
+++ b/tests/cell/test_advice_desk.py
@@ -6,12 +6,12 @@
 from attrs import evolve
 
 from rhubarbferry.cell.advice_desk import LONG_REQUEST_S, AdviceDesk
-from rhubarbferry.dispatch.messages import AdviceCost, AdviceOrder, StepId
+from rhubarbferry.dispatch.messages import ApprovalCost, ApprovalRequest, StepId
 
 from .parts import member
 
-SHORT = AdviceCost(decision_s=LONG_REQUEST_S / 2, per_host_s=0.0, valid_s=5.0)
-LONG = AdviceCost(decision_s=2 * LONG_REQUEST_S, per_host_s=0.0, valid_s=5.0)
+SHORT = ApprovalCost(decision_s=LONG_REQUEST_S / 2, per_host_s=0.0, valid_s=5.0)
+LONG = ApprovalCost(decision_s=2 * LONG_REQUEST_S, per_host_s=0.0, valid_s=5.0)
 MEMBERS = [
     evolve(member("far"), region="elsewhere"),
     member("near"),
@@ -20,11 +20,11 @@
 ]
 
 
-def request_for(job: str, cost: AdviceCost) -> AdviceOrder:
-    return AdviceOrder(step=StepId(job=job, occurrence=0, step=0), hosts=("a",), cost=cost)
+def request_for(job: str, cost: ApprovalCost) -> ApprovalRequest:
+    return ApprovalRequest(step=StepId(job=job, occurrence=0, step=0), hosts=("a",), cost=cost)
 
 
-def add_and_assign(queue: AdviceDesk, *requests: tuple[str, AdviceCost]) -> list[tuple[str, str]]:
+def add_and_assign(queue: AdviceDesk, *requests: tuple[str, ApprovalCost]) -> list[tuple[str, str]]:
     for job, cost in requests:
         queue.add(request_for(job, cost), priority=0)
     return assigned(queue)
@@ -86,7 +86,7 @@
     """Guards against assignment time that grows with the number of waiting requests."""
     cost_lookups = []
 
-    class CountedCost(AdviceCost):
+    class CountedCost(ApprovalCost):
         def duration_s(self, hosts: int) -> float:
             cost_lookups.append(hosts)
             return super().duration_s(hosts)
@@ -99,11 +99,11 @@
     assert cost_lookups == []
 
 
-def slow_request(hosts: int) -> AdviceOrder:
+def slow_request(hosts: int) -> ApprovalRequest:
     """Return a request whose answer takes 0.5 s, plus 0.01 s for each host."""
-    cost = AdviceCost(decision_s=0.5, per_host_s=0.01, valid_s=5.0)
+    cost = ApprovalCost(decision_s=0.5, per_host_s=0.01, valid_s=5.0)
     ids = tuple(f"h{index}" for index in range(hosts))
-    return AdviceOrder(step=StepId(job="slow", occurrence=0, step=0), hosts=ids, cost=cost)
+    return ApprovalRequest(step=StepId(job="slow", occurrence=0, step=0), hosts=ids, cost=cost)
 
 
 PARTS = {
--- a/tests/cell/test_busy_owner.py
+++ b/tests/cell/test_busy_owner.py
@@ -11,7 +11,7 @@
 from rhubarbferry.cell.host_watch import HostPoller
 from rhubarbferry.cell.loop_lag import LAG_GOAL_S
 from rhubarbferry.cell.orders import MAX_CONCURRENT_CALLS, MIN_CONCURRENT_CALLS, OrderExecutor
-from rhubarbferry.dispatch.hosts import LONGEST_LOOK_S, LOOK_S, Host
+from rhubarbferry.dispatch.hosts import MAX_POLL_WAIT_S, POLL_WAIT_S, Host
 from rhubarbferry.dispatch.messages import HostEntry, Sizes, StartOrder, TaskId
 
 from .parts import Lines
@@ -94,10 +94,10 @@
 
 
 POLL_WAITS = {
-    "no lag": (0.0, LOOK_S),
-    "lag at the goal": (LAG_GOAL_S, LOOK_S),
-    "lag above the goal": (1.5 * LAG_GOAL_S, 1.5 * LOOK_S),
-    "very long lag": (100 * LAG_GOAL_S, LONGEST_LOOK_S),
+    "no lag": (0.0, POLL_WAIT_S),
+    "lag at the goal": (LAG_GOAL_S, POLL_WAIT_S),
+    "lag above the goal": (1.5 * LAG_GOAL_S, 1.5 * POLL_WAIT_S),
+    "very long lag": (100 * LAG_GOAL_S, MAX_POLL_WAIT_S),
 }
 
 
@@ -107,8 +107,8 @@
     assert HostPoller(ctx=context(lag_s), id="a").poll_wait_s() == pytest.approx(wait_s)
 
 
-@pytest.mark.parametrize("look_s", [LOOK_S, LONGEST_LOOK_S])
+@pytest.mark.parametrize("look_s", [POLL_WAIT_S, MAX_POLL_WAIT_S])
 def test_a_host_is_not_silent_before_two_polls_are_over(look_s):
     """Guard against hosts that are closed only because their owner polls them less often."""
-    host = Host(entry=ENTRY, look_s=look_s)
-    assert host.silent_s > 2 * look_s
+    host = Host(entry=ENTRY, poll_wait_s=look_s)
+    assert host.silence_timeout_s > 2 * look_s
--- a/tests/cell/test_inbox.py
+++ b/tests/cell/test_inbox.py
@@ -19,7 +19,7 @@
 from rhubarbferry.dispatch.dispatcher import Dispatcher
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.dispatch.record import decode_phase, encode_phase, encode_request
-from rhubarbferry.dispatch.succession import Succession
+from rhubarbferry.dispatch.takeover import Takeover
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import Put, Txn
 
@@ -64,7 +64,7 @@
     ctx = TermContext(
         around=process,
         tenure=Tenure(keeper=SimpleNamespace(held=lambda: lease), lease_id=LEASE_ID, fence=fence),
-        dispatcher=Dispatcher(succession=Succession(lapsed_at=0.0), lease_s=6.0),
+        dispatcher=Dispatcher(takeover=Takeover(leases_expire_at=0.0), lease_s=6.0),
     )
     return Inbox(ctx=ctx)
 
--- a/tests/cell/test_roster.py
+++ b/tests/cell/test_roster.py
@@ -11,7 +11,7 @@
 from rhubarbferry.cell.context import OwnershipLost, Tenure
 from rhubarbferry.cell.roster import Roster
 from rhubarbferry.core.lease import Lease
-from rhubarbferry.dispatch.succession import RosterEntry
+from rhubarbferry.dispatch.takeover import RosterEntry
 from rhubarbferry.ports.store import Put, StoreUnclear, Txn
 
 OPEN = RosterEntry(id="a", address="a:1", incarnation=1, service="pool")
--- a/tests/cell/test_wide_steps.py
+++ b/tests/cell/test_wide_steps.py
@@ -9,10 +9,10 @@
 
 from rhubarbferry.cell.advice_desk import AdviceDesk
 from rhubarbferry.dispatch.messages import (
-    Advice,
-    AdviceCost,
-    AdviceOrder,
     Approval,
+    ApprovalCost,
+    ApprovalRequest,
+    ApprovalResponse,
     StartOrder,
 )
 from tests.dispatch.world import CORES, QUEUE, World, job, step
@@ -23,7 +23,7 @@
 HOST_CORES = 64
 DECISION_INTERVAL_S = 0.02
 APPROVED_OF_100 = 25
-COST = AdviceCost(decision_s=0.48, per_host_s=0.0069, valid_s=1.5)
+COST = ApprovalCost(decision_s=0.48, per_host_s=0.0069, valid_s=1.5)
 ADVISED = evolve(QUEUE, name="advised", advice=COST)
 # 1.5 times the duration of an approval request for 30 hosts, which is the delay that users expect.
 STARTS_WITHIN_S = 1.5 * COST.duration_s(30)
@@ -35,7 +35,7 @@
     half = step(HOSTS, millicores=HOST_CORES * CORES // 2, estimate=600.0, max_per_host=1)
     world.add(job("half", half))
     placed = world.starts()
-    while world.dispatcher.undecided:
+    while world.dispatcher.has_more:
         placed += world.starts()
     world.accept(*placed)
     world.deliver_reports()
@@ -46,23 +46,23 @@
     return zlib.crc32(host.encode()) % 100 < APPROVED_OF_100
 
 
-def answer(world: World, order: AdviceOrder) -> None:
+def answer(world: World, order: ApprovalRequest) -> None:
     approvals = tuple(Approval(host=id, ticket="t") for id in order.hosts if approves(id))
-    advice = Advice(
+    advice = ApprovalResponse(
         step=order.step,
         asked=order.hosts,
         approvals=approvals,
         answered_at=world.now,
         valid_s=COST.valid_s,
     )
-    world.dispatcher.advised(advice, now=world.now)
+    world.dispatcher.handle_approvals(advice, now=world.now)
 
 
 def wait_for_starts(world: World, *, processes: int, until: float) -> list[StartOrder]:
     """Simulate the processes that query the policy service until a task starts."""
     members = [member(f"m{index}") for index in range(processes)]
     desk = AdviceDesk(own="m0", region="region")
-    in_progress: list[tuple[float, str, AdviceOrder]] = []
+    in_progress: list[tuple[float, str, ApprovalRequest]] = []
     while world.now < until:
         world.deliver_reports()
         for entry in [entry for entry in in_progress if entry[0] <= world.now]:
@@ -74,7 +74,7 @@
         if started:
             return started
         for order in orders:
-            if isinstance(order, AdviceOrder):
+            if isinstance(order, ApprovalRequest):
                 desk.add(order, priority=0)
         for item in desk.assign(members):
             answered_at = world.now + COST.duration_s(len(item.order.hosts))
--- a/tests/dispatch/test_approval_request_size.py
+++ b/tests/dispatch/test_approval_request_size.py
@@ -13,10 +13,10 @@
 )
 from rhubarbferry.dispatch.job import Step
 from rhubarbferry.dispatch.messages import (
-    Advice,
-    AdviceCost,
-    AdviceOrder,
     Approval,
+    ApprovalCost,
+    ApprovalRequest,
+    ApprovalResponse,
     Order,
     StepRequest,
     StopOrder,
@@ -25,7 +25,7 @@
 from .world import CORES, QUEUE, World, job, step
 
 QUEUE_WITH_APPROVALS = evolve(
-    QUEUE, advice=AdviceCost(decision_s=0.4, per_host_s=0.01, valid_s=2.0)
+    QUEUE, advice=ApprovalCost(decision_s=0.4, per_host_s=0.01, valid_s=2.0)
 )
 HOSTS = 90
 # Each host in these tests has eight cores. Values: step, share of approved hosts, hosts named.
@@ -92,20 +92,20 @@
     assert len(found) > 10
 
 
-def approval_request(orders: list[Order]) -> AdviceOrder:
-    (found,) = [order for order in orders if isinstance(order, AdviceOrder)]
+def approval_request(orders: list[Order]) -> ApprovalRequest:
+    (found,) = [order for order in orders if isinstance(order, ApprovalRequest)]
     return found
 
 
-def answer(world: World, order: AdviceOrder, approved: tuple[str, ...]) -> None:
-    response = Advice(
+def answer(world: World, order: ApprovalRequest, approved: tuple[str, ...]) -> None:
+    response = ApprovalResponse(
         step=order.step,
         asked=order.hosts,
         approvals=tuple(Approval(host=id, ticket="t") for id in approved),
         answered_at=world.now,
         valid_s=2.0,
     )
-    world.dispatcher.advised(response, now=world.now)
+    world.dispatcher.handle_approvals(response, now=world.now)
 
 
 def test_a_step_whose_hosts_are_denied_requests_others():
@@ -128,7 +128,7 @@
     world.add(job("others", step(8 * HOSTS)))
     for order in world.starts():
         world.accept(order)
-    while world.dispatcher.undecided:
+    while world.dispatcher.has_more:
         world.accept(*world.starts())
     world.add(job("j", step(1), queue=QUEUE_WITH_APPROVALS))
     assert len(approval_request(world.decide(0.1)).hosts) == HOSTS
--- a/tests/dispatch/test_backlog.py
+++ b/tests/dispatch/test_backlog.py
@@ -6,7 +6,7 @@
 
 from rhubarbferry.dispatch.dispatcher import MAX_STEPS_PER_DECISION, Dispatcher
 from rhubarbferry.dispatch.messages import StartOrder
-from rhubarbferry.dispatch.succession import Succession
+from rhubarbferry.dispatch.takeover import Takeover
 
 from .world import CORES, QUEUE, World, entry, job, step
 
@@ -24,14 +24,14 @@
     """Guards against a first decision that blocks a slow processor for a second."""
     world = backlog(3 * MAX_STEPS_PER_DECISION)
     assert len(world.starts()) <= MAX_STEPS_PER_DECISION
-    assert world.dispatcher.undecided
+    assert world.dispatcher.has_more
 
 
 def test_steps_left_over_by_a_decision_are_placed_by_the_next_in_order():
     """Guards against steps that are delayed until the next host review or lose their position."""
     world = backlog(3 * MAX_STEPS_PER_DECISION)
     placed = []
-    while not placed or world.dispatcher.undecided:
+    while not placed or world.dispatcher.has_more:
         placed += [order.task.job for order in world.starts()]
     assert placed == [f"job{index:04}" for index in range(3 * MAX_STEPS_PER_DECISION)]
 
@@ -58,10 +58,10 @@
     second = [o for o in world.decide(starts=2) if isinstance(o, StartOrder)]
     assert [order.task.job for order in first] == ["job0000", "job0001"]
     assert [order.task.job for order in second] == [urgent.id, "job0002"]
-    assert not world.dispatcher.undecided
+    assert not world.dispatcher.has_more
 
 
 def test_an_idle_dispatcher_has_no_candidates_left():
-    dispatcher = Dispatcher(succession=Succession(lapsed_at=0.0), lease_s=6.0)
+    dispatcher = Dispatcher(takeover=Takeover(leases_expire_at=0.0), lease_s=6.0)
     dispatcher.decide(now=0.0, wall_s=0.0)
-    assert not dispatcher.undecided
+    assert not dispatcher.has_more
--- a/tests/dispatch/test_decision_cost.py
+++ b/tests/dispatch/test_decision_cost.py
@@ -7,7 +7,7 @@
 
 from rhubarbferry.dispatch.approvals import StepApprovals
 from rhubarbferry.dispatch.candidates import Candidates
-from rhubarbferry.dispatch.messages import AdviceCost
+from rhubarbferry.dispatch.messages import ApprovalCost
 from rhubarbferry.dispatch.waiting import WaitingSteps
 
 from .world import QUEUE, World, job, step
@@ -34,7 +34,7 @@
 
 
 QUEUE_WITH_APPROVALS = evolve(
-    QUEUE, advice=AdviceCost(decision_s=0.4, per_host_s=0.01, valid_s=2.0)
+    QUEUE, advice=ApprovalCost(decision_s=0.4, per_host_s=0.01, valid_s=2.0)
 )
 REPORTS = {
     "while its first request is pending": ({"pending": {"a", "b"}}, "a", False),
--- a/tests/dispatch/test_dispatcher_machine.py
+++ b/tests/dispatch/test_dispatcher_machine.py
@@ -17,7 +17,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from rhubarbferry.dispatch.dispatcher import Dispatcher
-from rhubarbferry.dispatch.hosts import CLOCK_DRIFT, LAPSE_MARGIN_S
+from rhubarbferry.dispatch.hosts import LEASE_EXPIRY_MARGIN_S, MAX_CLOCK_DRIFT
 from rhubarbferry.dispatch.job import Job, JobPhase
 from rhubarbferry.dispatch.messages import (
     EndKind,
@@ -30,8 +30,8 @@
     Unanswered,
 )
 from rhubarbferry.dispatch.record import encode_state, restore_state
-from rhubarbferry.dispatch.roster import close_hosts, follow_record, next_roster
-from rhubarbferry.dispatch.succession import RosterEntry, Succession
+from rhubarbferry.dispatch.roster import apply_roster, close_unavailable_hosts, next_roster
+from rhubarbferry.dispatch.takeover import RosterEntry, Takeover
 
 from .host_model import CAPACITY, LEASE_S, HostModel, Oracle
 
@@ -176,7 +176,7 @@
             if job.phase.final:
                 self.ended[job.id] = job.phase
                 del self.records[job.id]
-                self.dispatcher.recorded(job)
+                self.dispatcher.mark_recorded(job)
         self.dispatcher.dirty.clear()
         for host, entry, end in seen:
             if host.entry.incarnation == entry.incarnation:
@@ -186,14 +186,14 @@
     def take_over(self):
         """Replace the owner by a process that has only the stored state."""
         self.fence += 1
-        lapsed_at = self.now + LEASE_S * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_S
+        leases_expire_at = self.now + LEASE_S * (1 + MAX_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_S
         self.dispatcher = Dispatcher(
-            succession=Succession(unconfirmed=dict(self.roster), lapsed_at=lapsed_at),
+            takeover=Takeover(unconfirmed=dict(self.roster), leases_expire_at=leases_expire_at),
             lease_s=LEASE_S,
         )
         for id in self.roster:
             self.dispatcher.host_listed(self.oracle.hosts[id].entry(), now=self.now)
-        follow_record(self.roster, self.dispatcher.tracker.hosts)
+        apply_roster(self.roster, self.dispatcher.tracker.hosts)
         self.read_host_list()
         for req, queue, state, _ in list(self.records.values()):
             job = self.job(req, queue, inherited=True)
@@ -232,21 +232,21 @@
             self.read_host_list()
         for order in self.dispatcher.decide(now=self.now, wall_s=self.now):
             self.send(order)
-        self.dispatcher.notes.clear()
+        self.dispatcher.run_events.clear()
 
     def read_host_list(self) -> None:
         """Read the host list and store the roster."""
         hosts = self.dispatcher.tracker.hosts
         listed = {host.id: host.entry() for host in self.oracle.hosts.values() if not host.down}
-        close_hosts(hosts, self.now)
-        unconfirmed = self.dispatcher.succession.unconfirmed
+        close_unavailable_hosts(hosts, self.now)
+        unconfirmed = self.dispatcher.takeover.unconfirmed
         self.roster = next_roster(self.roster, listed, hosts, unconfirmed=unconfirmed, now=self.now)
-        follow_record(self.roster, hosts)
+        apply_roster(self.roster, hosts)
         for entry in listed.values():
             new = entry.id not in hosts
             self.dispatcher.host_listed(entry, now=self.now)
             if new:
-                follow_record({entry.id: self.roster[entry.id]}, hosts)
+                apply_roster({entry.id: self.roster[entry.id]}, hosts)
         for id in hosts:
             if id not in listed:
                 self.dispatcher.host_unlisted(id)
@@ -255,14 +255,14 @@
         state = self.dispatcher.tracker.hosts.get(host.id)
         if state is None or host.down:
             return
-        deadline_s = state.hold(self.now, LEASE_S)
+        deadline_s = state.extend_leases(self.now, LEASE_S)
         if host.id in self.partitioned:
             return
         report = host.poll(self.fence, deadline_s, state.recorded_end)
         assert report is not None
         if host.id in self.reports_lost:
             return
-        self.dispatcher.reported(host.id, report, sent_at=self.now, now=self.now)
+        self.dispatcher.handle_report(host.id, report, sent_at=self.now, now=self.now)
 
     def send(self, order) -> None:
         host = self.oracle.hosts[order.host]
--- a/tests/dispatch/test_gang_tickets.py
+++ b/tests/dispatch/test_gang_tickets.py
@@ -7,15 +7,15 @@
 import pytest
 from attrs import evolve
 
+from rhubarbferry.dispatch.approval_requests import MAX_HOSTS_PER_CALL
 from rhubarbferry.dispatch.messages import (
-    Advice,
-    AdviceCost,
-    AdviceOrder,
     Approval,
+    ApprovalCost,
+    ApprovalRequest,
+    ApprovalResponse,
     Queue,
     StartOrder,
 )
-from rhubarbferry.dispatch.questions import HOSTS_PER_CALL
 
 from .world import World, job, step
 
@@ -25,7 +25,7 @@
 QUEUE = Queue(
     name="advised",
     service="pool",
-    advice=AdviceCost(decision_s=0.4, per_host_s=0.01, valid_s=VALID_S),
+    advice=ApprovalCost(decision_s=0.4, per_host_s=0.01, valid_s=VALID_S),
 )
 
 
@@ -35,13 +35,13 @@
     def __init__(self, world: World, *, answer_s: float) -> None:
         self.world = world
         self.answer_s = answer_s
-        self.pending: list[tuple[float, AdviceOrder]] = []
+        self.pending: list[tuple[float, ApprovalRequest]] = []
         self.request_count = 0
 
-    def add_request(self, order: AdviceOrder) -> None:
+    def add_request(self, order: ApprovalRequest) -> None:
         self.request_count += 1
-        for start in range(0, len(order.hosts), HOSTS_PER_CALL):
-            part = evolve(order, hosts=order.hosts[start : start + HOSTS_PER_CALL])
+        for start in range(0, len(order.hosts), MAX_HOSTS_PER_CALL):
+            part = evolve(order, hosts=order.hosts[start : start + MAX_HOSTS_PER_CALL])
             self.pending.append((self.world.now + self.answer_s, part))
 
     def run(self, until: float, *, hosts_to_add: Sequence[str] = ()) -> list[StartOrder]:
@@ -57,7 +57,7 @@
             if started:
                 return started
             for order in orders:
-                if isinstance(order, AdviceOrder):
+                if isinstance(order, ApprovalRequest):
                     self.add_request(order)
         return []
 
@@ -66,8 +66,8 @@
         self.pending = [(at, order) for at, order in self.pending if at > self.world.now]
         for order in due:
             approvals = tuple(Approval(host=host, ticket=f"for {host}") for host in order.hosts)
-            self.world.dispatcher.advised(
-                Advice(
+            self.world.dispatcher.handle_approvals(
+                ApprovalResponse(
                     step=order.step,
                     asked=order.hosts,
                     approvals=approvals,
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("answer_s", [0.5, 1.2])
 def test_a_gang_starts_on_more_hosts_than_one_call_may_name(answer_s):
     """Guards against requests that name hosts with valid tickets and omit others."""
-    hosts = [f"h{number:03}" for number in range(HOSTS_PER_CALL + 20)]
+    hosts = [f"h{number:03}" for number in range(MAX_HOSTS_PER_CALL + 20)]
     world = World(*hosts[:-1], millicores=8000)
     policy = Policy(world, answer_s=answer_s)
     world.add(job("gang", step(len(hosts), millicores=8000, gang=True), queue=QUEUE))
--- a/tests/dispatch/test_pacing.py
+++ b/tests/dispatch/test_pacing.py
@@ -50,7 +50,7 @@
         tail_latency_s = self.tail_latency_s()
         for key, run in list(host.running.items()):
             if key[0].job == "serve":
-                host.running[key] = evolve(run, tail_s=tail_latency_s, percent=100)
+                host.running[key] = evolve(run, tail_latency_s=tail_latency_s, percent=100)
             elif self.paces.get(key, 100):
                 host.running[key] = evolve(run, percent=run.percent + 1)
         self.world.deliver_reports()
--- a/tests/dispatch/test_silent_hosts.py
+++ b/tests/dispatch/test_silent_hosts.py
@@ -20,7 +20,7 @@
     again = []
     while not again and world.now < died_at + 30:
         world.now += 0.5
-        world.dispatcher.tracker.hosts[dead].hold(world.now, LEASE_S)
+        world.dispatcher.tracker.hosts[dead].extend_leases(world.now, LEASE_S)
         world.deliver_reports(alive)
         again = world.starts()
     assert {order.host for order in again} == {alive}
--- a/tests/dispatch/test_takeover.py
+++ b/tests/dispatch/test_takeover.py
@@ -14,8 +14,8 @@
     TaskId,
 )
 from rhubarbferry.dispatch.record import encode_state, restore_state
-from rhubarbferry.dispatch.roster import close_hosts, follow_record, next_roster
-from rhubarbferry.dispatch.succession import RosterEntry
+from rhubarbferry.dispatch.roster import apply_roster, close_unavailable_hosts, next_roster
+from rhubarbferry.dispatch.takeover import RosterEntry
 
 from .world import CORES, World, entry, job, step
 
@@ -139,7 +139,7 @@
 def test_a_host_that_has_left_delays_only_its_own_jobs():
     """Guards against a cell in which all jobs wait for the leases of one host that runs nothing."""
     world = World("a")
-    world.dispatcher.succession.unconfirmed = {"b": closed("b", "there")}
+    world.dispatcher.takeover.unconfirmed = {"b": closed("b", "there")}
     world.add(inherited("there", step()))
     world.add(inherited("elsewhere", step()))
     assert [order.task.job for order in world.starts()] == ["elsewhere"]
@@ -161,7 +161,7 @@
 def roster_of(world: World, **known: RosterEntry) -> dict[str, RosterEntry]:
     hosts = world.dispatcher.tracker.hosts
     listed = {id: host.entry for id, host in hosts.items() if host.listed}
-    close_hosts(hosts, world.now)
+    close_unavailable_hosts(hosts, world.now)
     return next_roster(known, listed, hosts, unconfirmed=(), now=world.now)
 
 
@@ -178,14 +178,14 @@
         world.deliver_reports("b")
     roster = roster_of(world, **roster)
     assert (roster["a"].outstanding, roster["b"].outstanding) == (("j",), None)
-    follow_record(roster, world.dispatcher.tracker.hosts)
+    apply_roster(roster, world.dispatcher.tracker.hosts)
     world.deliver_reports()
     world.add(job("new", step(8)))
     assert {order.host for order in world.starts()} == {"b"}
     roster = roster_of(world, **roster)
     assert roster["a"].outstanding is None
-    follow_record(roster, world.dispatcher.tracker.hosts)
-    world.dispatcher.retry()
+    apply_roster(roster, world.dispatcher.tracker.hosts)
+    world.dispatcher.reconsider_all()
     assert {order.host for order in world.starts()} == {"a"}
 
 
--- a/tests/dispatch/world.py
+++ b/tests/dispatch/world.py
@@ -7,7 +7,7 @@
 from rhubarbferry.dispatch.dispatcher import Dispatcher
 from rhubarbferry.dispatch.job import Job
 from rhubarbferry.dispatch.messages import (
-    AdviceOrder,
+    ApprovalRequest,
     EndedTask,
     EndKind,
     HostEntry,
@@ -22,7 +22,7 @@
     StepRequest,
     StopOrder,
 )
-from rhubarbferry.dispatch.succession import RosterEntry, Succession
+from rhubarbferry.dispatch.takeover import RosterEntry, Takeover
 
 LEASE_S = 6.0
 CORES = 1000
@@ -101,12 +101,12 @@
     def __init__(self, *hosts: str, roster: tuple[str, ...] = (), **fields) -> None:
         self.now = 10.0
         self.dispatcher = Dispatcher(
-            succession=Succession(
+            takeover=Takeover(
                 unconfirmed={
                     id: RosterEntry(id=id, address=f"{id}:1", incarnation=1, service="pool")
                     for id in roster
                 },
-                lapsed_at=self.now + 9.0,
+                leases_expire_at=self.now + 9.0,
             ),
             lease_s=LEASE_S,
         )
@@ -125,8 +125,8 @@
             host = self.dispatcher.tracker.hosts.get(id)
             if host is None:
                 continue
-            host.hold(self.now, LEASE_S)
-            self.dispatcher.reported(
+            host.extend_leases(self.now, LEASE_S)
+            self.dispatcher.handle_report(
                 id, self.hosts[id].report(self.now), sent_at=self.now, now=self.now
             )
 
@@ -151,4 +151,4 @@
         self.dispatcher.start_answered(order.host, order.task, order.attempt, result, now=self.now)
 
 
-__all__ = ["AdviceOrder", "StopOrder", "World", "entry", "job", "step"]
+__all__ = ["ApprovalRequest", "StopOrder", "World", "entry", "job", "step"]
