--- a/rhubarbferry/cell/acceptance.py
+++ b/rhubarbferry/cell/acceptance.py
@@ -10,8 +10,8 @@
 from rhubarbferry.cell import keys
 from rhubarbferry.cell.job_calls import Accepted, Cancelled, PhaseUnknown
 from rhubarbferry.cell.logs import EventLog
-from rhubarbferry.cell.owned_work import AcceptedJob
-from rhubarbferry.cell.owner_link import OwnerLink
+from rhubarbferry.cell.owner_calls import AcceptedJob
+from rhubarbferry.cell.owner_client import OwnerClient
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.dispatch.record import (
     JobRecord,
@@ -54,7 +54,7 @@
     clock: Clock
     store: TxnStore
     log: EventLog
-    owner: OwnerLink
+    owner: OwnerClient
     reached: Callable[[], bool]
 
     async def submit(self, record: JobRecord, *, deadline: float) -> Accepted:
@@ -104,7 +104,7 @@
             revision = result.revision
             if fence:
                 job = AcceptedJob(id=id, record=value, revision=revision, fence=fence)
-                self.owner.accepted(job)
+                self.owner.notify_accepted(job)
         self.log.emit(
             "job.accepted",
             job=id,
--- a/rhubarbferry/cell/candidate.py
+++ b/rhubarbferry/cell/candidate.py
@@ -74,7 +74,7 @@
     async def leave(self) -> None:
         """Hand over the ownership and unregister, for a planned stop."""
         self._draining = True
-        lease = self.around.keeper.held()
+        lease = self.around.keeper.valid_lease()
         if self.term is not None:
             await self._hand_over(self.term)
         if self._term_task is not None:
@@ -108,7 +108,7 @@
         self.around.log.emit("owner.asked_to_take_over", fence=fence)
         return await self._acquire(replaces=fence)
 
-    async def replace_silent(self, ownership: Ownership) -> bool:
+    async def replace_unresponsive(self, ownership: Ownership) -> bool:
         """Replace an owner that does not respond.
 
         Its lease is revoked first, which also removes its key. The owner may be alive and only
@@ -131,7 +131,7 @@
         :param replaces: revision of the owner's key to replace, 0 if there is none.
         :returns: whether this process is now the owner.
         """
-        lease = self.around.keeper.held()
+        lease = self.around.keeper.valid_lease()
         if lease is None or self._draining or self.term is not None or self._overloaded():
             return False
         try:
@@ -143,7 +143,7 @@
             return False
         # The watch also delivers this key, but one store answer later, and until then no process
         # would schedule.
-        self.around.view.owned(ownership)
+        self.around.view.set_owner(ownership)
         self._won.set()
         return True
 
@@ -156,7 +156,7 @@
             term.tenure.end(f"handed over to {member.name}")
 
     async def _step(self) -> None:
-        lease = self.around.keeper.held()
+        lease = self.around.keeper.valid_lease()
         if lease is None:
             self._registered_lease_id = 0
             await self._wait_for_lease()
@@ -190,7 +190,7 @@
         """
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.around.keeper.granted.wait(), STORE_RETRY_INTERVAL_S)
-        if self.around.keeper.granted.is_set() and self.around.keeper.held() is None:
+        if self.around.keeper.granted.is_set() and self.around.keeper.valid_lease() is None:
             # The lease has expired, and its keeper has not noticed yet.
             await asyncio.sleep(EXPIRED_LEASE_POLL_INTERVAL_S)
 
@@ -248,7 +248,7 @@
         ownership = await self._write_owner_key(lease, replaces=replaces)
         self._follower.restart()
         if ownership is not None:
-            self.around.view.owned(ownership)
+            self.around.view.set_owner(ownership)
             await self._run_term(ownership, lease)
 
     async def _write_owner_key(self, lease: Lease, *, replaces: int) -> Ownership | None:
--- a/rhubarbferry/cell/context.py
+++ b/rhubarbferry/cell/context.py
@@ -47,7 +47,7 @@
 
         Call it immediately before each action of the owner, with no ``await`` in between.
         """
-        lease = self.keeper.held()
+        lease = self.keeper.valid_lease()
         return not self.ended and lease is not None and lease.id == self.lease_id
 
     def check(self) -> None:
--- a/rhubarbferry/cell/detour.py
+++ b/rhubarbferry/cell/detour.py
@@ -12,7 +12,7 @@
 from rhubarbferry.cell.job_calls import Accepted, Cancelled, JobCalls, PhaseUnknown
 from rhubarbferry.cell.logs import EventLog
 from rhubarbferry.cell.members import CellView, Member
-from rhubarbferry.cell.owner_link import OwnerLink
+from rhubarbferry.cell.owner_client import OwnerClient
 from rhubarbferry.cell.peers import PeerClient
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.dispatch.record import JobRecord
@@ -50,7 +50,7 @@
     view: CellView
     peers: PeerClient
     direct: JobCalls
-    owner: OwnerLink
+    owner: OwnerClient
     reached: Callable[[], bool]
 
     async def submit(self, record: JobRecord, *, deadline: float) -> Accepted:
--- a/rhubarbferry/cell/inbox.py
+++ b/rhubarbferry/cell/inbox.py
@@ -9,7 +9,7 @@
 from rhubarbferry.cell import keys
 from rhubarbferry.cell.context import OwnershipLost, TermContext
 from rhubarbferry.cell.following import PrefixFollower
-from rhubarbferry.cell.owned_work import AcceptedJob
+from rhubarbferry.cell.owner_calls import AcceptedJob
 from rhubarbferry.dispatch.job import Job, JobPhase
 from rhubarbferry.dispatch.record import (
     JobRecord,
--- a/rhubarbferry/cell/lease.py
+++ b/rhubarbferry/cell/lease.py
@@ -43,12 +43,12 @@
     _incarnation: int = 0
     _renewals: set[asyncio.Task[None]] = field(factory=set)
 
-    def held(self) -> Lease | None:
+    def valid_lease(self) -> Lease | None:
         """Return the lease, ``None`` if it may have expired."""
         lease = self.lease
         return lease if lease is not None and lease.holds(self.clock.monotonic()) else None
 
-    def fresh(self) -> bool:
+    def store_reachable(self) -> bool:
         """Return whether the store has answered this process recently."""
         return self.clock.monotonic() - self.answered_at < STORE_ANSWER_MAX_AGE_S
 
--- a/rhubarbferry/cell/members.py
+++ b/rhubarbferry/cell/members.py
@@ -96,7 +96,7 @@
 
     def _put(self, kv: KeyValue) -> None:
         if kv.key == keys.OWNER:
-            self.owned(
+            self.set_owner(
                 Ownership(
                     owner=decode_member(kv.value), fence=kv.mod_revision, lease_id=kv.lease_id
                 )
@@ -107,7 +107,7 @@
             self.registered[member.name] = kv.mod_revision
             self.version += 1
 
-    def owned(self, ownership: Ownership) -> None:
+    def set_owner(self, ownership: Ownership) -> None:
         """Set the owner, unless a later owner is already set.
 
         A process that becomes the owner learns this from the answer to its write. Its watch
--- a/rhubarbferry/cell/orders.py
+++ b/rhubarbferry/cell/orders.py
@@ -12,7 +12,7 @@
 from rhubarbferry.cell.advice_desk import AdviceDesk, Assignment
 from rhubarbferry.cell.context import TermContext
 from rhubarbferry.cell.decision_log import DecisionLog
-from rhubarbferry.cell.host_watch import HostPoller
+from rhubarbferry.cell.host_poller import HostPoller
 from rhubarbferry.cell.loop_lag import LAG_GOAL_S
 from rhubarbferry.cell.members import Member
 from rhubarbferry.dispatch.hosts import Host
--- a/rhubarbferry/cell/owned_work.py
+++ b/rhubarbferry/cell/owner_calls.py
@@ -24,7 +24,7 @@
     fence: int
 
 
-class OwnedWork(Protocol):
+class OwnerCalls(Protocol):
     """Queries and notifications that a term of ownership serves."""
 
     def pending(self, queue: str) -> int | None:
@@ -35,6 +35,6 @@
         """Return the phase of a job, or ``None`` if unknown."""
         ...
 
-    def accepted(self, job: AcceptedJob) -> bool:
+    def add_accepted(self, job: AcceptedJob) -> bool:
         """Add a job that was accepted under this ownership; return whether it was added."""
         ...
--- a/rhubarbferry/cell/owner_link.py
+++ b/rhubarbferry/cell/owner_client.py
@@ -9,7 +9,7 @@
 from prometheus_client import Counter
 
 from rhubarbferry.cell.members import CellView, Member
-from rhubarbferry.cell.owned_work import AcceptedJob, OwnedWork
+from rhubarbferry.cell.owner_calls import AcceptedJob, OwnerCalls
 from rhubarbferry.cell.peers import PeerClient, Silence
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.ports.clock import Clock
@@ -25,7 +25,7 @@
 
 
 @define(kw_only=True, eq=False)
-class OwnerLink:
+class OwnerClient:
     """Calls the owner of the cell, in this process or in another one.
 
     :param term: returns this process's own term of ownership, ``None`` if it is not the owner.
@@ -35,7 +35,7 @@
     own: Member
     view: CellView
     peers: PeerClient
-    term: Callable[[], OwnedWork | None]
+    term: Callable[[], OwnerCalls | None]
     _pending_counts: dict[str, tuple[float, int]] = field(factory=dict)
     _notifications: set[asyncio.Task[None]] = field(factory=set)
     _unresponsive_fence: int = 0
@@ -45,7 +45,7 @@
         """Return the fence of the last known ownership, 0 if none; a later one may be in force."""
         return self.view.ownership.fence if self.view.ownership is not None else 0
 
-    def accepted(self, job: AcceptedJob) -> None:
+    def notify_accepted(self, job: AcceptedJob) -> None:
         """Notify the owner of an accepted job, without waiting for the reply.
 
         The owner also watches the store and finds the job there in any case. The notification
@@ -57,7 +57,7 @@
             return
         term = self.term()
         if term is not None:
-            term.accepted(job)
+            term.add_accepted(job)
         elif ownership.owner.name != self.own.name:
             notification = asyncio.create_task(self._notify(ownership.owner, job))
             self._notifications.add(notification)
--- a/rhubarbferry/cell/owner_watch.py
+++ b/rhubarbferry/cell/owner_monitor.py
@@ -32,7 +32,7 @@
 
 
 @define(kw_only=True, eq=False)
-class OwnerWatch:
+class OwnerMonitor:
     """Pings the owner and replaces it when it does not answer.
 
     When an owner is killed, loses power or freezes, its key exists until its lease expires, and no
--- a/rhubarbferry/cell/peer_server.py
+++ b/rhubarbferry/cell/peer_server.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from rhubarbferry.cell.job_calls import Cancelled, JobCalls, PhaseUnknown
-from rhubarbferry.cell.owned_work import AcceptedJob, OwnedWork
+from rhubarbferry.cell.owner_calls import AcceptedJob, OwnerCalls
 from rhubarbferry.cell.peers import WIRE_VERDICTS
 from rhubarbferry.dispatch.messages import StepId
 from rhubarbferry.dispatch.record import RecordError, decode_request
@@ -58,7 +58,7 @@
         clock: Clock,
         jobs: JobCalls,
         policy: PolicyService | None,
-        term: Callable[[], OwnedWork | None],
+        term: Callable[[], OwnerCalls | None],
         store_reached: Callable[[], Awaitable[bool]],
         take_over: Callable[[int], Awaitable[bool]],
     ) -> None:
@@ -110,7 +110,7 @@
         if term is None:
             return JobNoticeReply(taken=False)
         job = AcceptedJob(id=req.job, record=req.record, revision=req.revision, fence=req.fence)
-        return JobNoticeReply(taken=term.accepted(job))
+        return JobNoticeReply(taken=term.add_accepted(job))
 
     async def _owned_phase(self, req: OwnedPhaseRequest) -> OwnedPhaseReply:
         term = self._current_term()
--- a/rhubarbferry/cell/peers.py
+++ b/rhubarbferry/cell/peers.py
@@ -11,7 +11,7 @@
 
 from rhubarbferry.cell.job_calls import Accepted, Cancelled, PhaseUnknown
 from rhubarbferry.cell.members import Member
-from rhubarbferry.cell.owned_work import AcceptedJob
+from rhubarbferry.cell.owner_calls import AcceptedJob
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.dispatch.messages import Approval, StepId
 from rhubarbferry.dispatch.record import JobRecord, encode_request
--- a/rhubarbferry/cell/term.py
+++ b/rhubarbferry/cell/term.py
@@ -13,12 +13,12 @@
 from rhubarbferry.cell.context import OwnershipLost, Surroundings, Tenure, TermContext
 from rhubarbferry.cell.decision_log import DecisionLog
 from rhubarbferry.cell.hand_over import hand_over
-from rhubarbferry.cell.host_watch import HostPoller
+from rhubarbferry.cell.host_poller import HostPoller
 from rhubarbferry.cell.inbox import Inbox
 from rhubarbferry.cell.lease import LEASE_TTL_S
 from rhubarbferry.cell.members import Member, successors
 from rhubarbferry.cell.orders import OrderExecutor
-from rhubarbferry.cell.owned_work import AcceptedJob
+from rhubarbferry.cell.owner_calls import AcceptedJob
 from rhubarbferry.cell.recorder import Recorder
 from rhubarbferry.cell.roster import Roster
 from rhubarbferry.dispatch.dispatcher import Dispatcher
@@ -116,7 +116,7 @@
             return dispatcher.ended.get(id)
         return JobPhase.RUNNING if job.phase.final else job.phase
 
-    def accepted(self, job: AcceptedJob) -> bool:
+    def add_accepted(self, job: AcceptedJob) -> bool:
         """Add a job that was accepted under this ownership.
 
         :returns: whether the job was added.
@@ -158,7 +158,7 @@
         try:
             while not loading.done():
                 await asyncio.wait({loading}, timeout=LOAD_TIMEOUT_S)
-                if not loading.done() and self.around.keeper.fresh():
+                if not loading.done() and self.around.keeper.store_reachable():
                     await self._hand_over()
                 self.tenure.check()
             await loading
@@ -201,10 +201,10 @@
         """
         while True:
             await asyncio.sleep(STORE_CHECK_INTERVAL_S)
-            if self.around.keeper.fresh():
+            if self.around.keeper.store_reachable():
                 continue
             member = await self._find_connected_successor()
-            if member is not None and not self.around.keeper.fresh():
+            if member is not None and not self.around.keeper.store_reachable():
                 # This process must not act from here on, whatever the other process answers.
                 self.tenure.end(f"the store does not answer; handing over to {member.name}")
                 await self.around.peers.take_over(member, self.tenure.fence)
--- a/rhubarbferry/platform/process.py
+++ b/rhubarbferry/platform/process.py
@@ -20,8 +20,8 @@
 from rhubarbferry.cell.logs import EventLog
 from rhubarbferry.cell.loop_lag import LoopLag
 from rhubarbferry.cell.members import CellView, Member
-from rhubarbferry.cell.owner_link import OwnerLink
-from rhubarbferry.cell.owner_watch import OwnerWatch
+from rhubarbferry.cell.owner_client import OwnerClient
+from rhubarbferry.cell.owner_monitor import OwnerMonitor
 from rhubarbferry.cell.peer_server import PeerServer
 from rhubarbferry.cell.peers import PeerClient
 from rhubarbferry.cell.routes import RouteTable
@@ -125,7 +125,7 @@
                 lag_s=lambda: self.loop_lag.lag_s,
             )
         )
-        owner = OwnerLink(
+        owner = OwnerClient(
             clock=self.clock,
             own=own,
             view=self.view,
@@ -137,15 +137,15 @@
             store=self.store,
             log=self.log,
             owner=owner,
-            reached=self.keeper.fresh,
+            reached=self.keeper.store_reachable,
         )
-        self.owner_watch = OwnerWatch(
+        self.owner_monitor = OwnerMonitor(
             clock=self.clock,
             log=self.log,
             own=own,
             view=self.view,
             peers=self.peers,
-            replace=self.candidate.replace_silent,
+            replace=self.candidate.replace_unresponsive,
         )
         self.peer_server = PeerServer(
             clock=self.clock,
@@ -166,7 +166,7 @@
                 peers=self.peers,
                 direct=acceptance,
                 owner=owner,
-                reached=self.keeper.fresh,
+                reached=self.keeper.store_reachable,
             ),
             routes=lambda: self.feed.routes,
             count_pending=owner.pending,
@@ -187,7 +187,7 @@
             asyncio.create_task(self.feed.run()),
             asyncio.create_task(self.keeper.run()),
             asyncio.create_task(self.candidate.run()),
-            asyncio.create_task(self.owner_watch.run()),
+            asyncio.create_task(self.owner_monitor.run()),
             asyncio.create_task(self._watch_settings()),
         ]
         sockets = [(health, health_socket), (self.api, client_socket)]
--- a/tests/cell/stage.py
+++ b/tests/cell/cell_harness.py
@@ -100,7 +100,7 @@
 
 
 @define
-class Stage:
+class CellHarness:
     dir: Path
     store: PlatformStoreStandIn = Factory(PlatformStoreStandIn)
     policy: PlatformPolicyStandIn = Factory(PlatformPolicyStandIn)
@@ -112,7 +112,7 @@
     session: aiohttp.ClientSession = field(init=False)
     _stack: AsyncExitStack = Factory(AsyncExitStack)
 
-    async def __aenter__(self) -> Stage:
+    async def __aenter__(self) -> CellHarness:
         self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=6))
         self.store_address = await self._stack.enter_async_context(serving(self.store.app()))
         self.policy_address = await self._stack.enter_async_context(serving(self.policy.app()))
@@ -199,7 +199,7 @@
         status, body = await self.call(member, "GET", prefix + id)
         return body["state"] if status == 200 else str(status)
 
-    async def until(
+    async def wait_for_state(
         self, member: MemberProcess, id: str, state: str, within_s: float = 20.0
     ) -> None:
         loop = asyncio.get_running_loop()
@@ -210,7 +210,7 @@
             found = await self.state(member, id)
         assert found == state
 
-    async def owned(self) -> None:
+    async def wait_for_owner(self) -> None:
         """Wait until some process is the owner; processes may become ready before that."""
         for _ in range(int(START_TIMEOUT_S / 0.05)):
             if self.store.engine.get("cell/control/owner") is not None:
@@ -218,13 +218,13 @@
             await asyncio.sleep(0.05)
         raise AssertionError("no process owns the cell")
 
-    def owned_key_name(self) -> str:
+    def owner_key_name(self) -> str:
         """Return the name that is stored in the owner's key, empty if there is no key."""
         stored = self.store.engine.get("cell/control/owner")
         return json.loads(stored.kv.value)["name"] if stored is not None else ""
 
     def owner(self) -> MemberProcess:
-        name = self.owned_key_name()
+        name = self.owner_key_name()
         assert name
         return self.members[name]
 
--- a/tests/cell/parts.py
+++ b/tests/cell/fakes.py
@@ -12,16 +12,16 @@
 
 
 @define
-class Lines:
+class FakeEventLog:
     """Fake event log that keeps the emitted events."""
 
-    found: list[tuple[str, dict]] = Factory(list)
+    events: list[tuple[str, dict]] = Factory(list)
 
     def emit(self, event: str, **fields) -> None:
-        self.found.append((event, fields))
+        self.events.append((event, fields))
 
     def outcomes(self, event: str) -> list:
-        return [fields.get("outcome") for name, fields in self.found if name == event]
+        return [fields.get("outcome") for name, fields in self.events if name == event]
 
 
 def member(name: str, *, address: str = "", **fields: float) -> Member:
--- a/tests/cell/test_acceptance.py
+++ b/tests/cell/test_acceptance.py
@@ -11,13 +11,13 @@
 from rhubarbferry.cell import keys
 from rhubarbferry.cell.acceptance import Acceptance
 from rhubarbferry.cell.job_calls import Accepted
-from rhubarbferry.cell.owned_work import AcceptedJob
+from rhubarbferry.cell.owner_calls import AcceptedJob
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.dispatch.record import encode_phase
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import Committed, Put, Txn
 
-from .parts import Lines, record
+from .fakes import FakeEventLog, record
 
 ID = "00000000000000aa"
 
@@ -32,13 +32,13 @@
     def fence(self) -> int:
         return self.current_fence
 
-    def accepted(self, job: AcceptedJob) -> None:
+    def notify_accepted(self, job: AcceptedJob) -> None:
         self.notices.append(job)
 
 
 def direct_job_calls(store, owner: OwnerStub) -> Acceptance:
     return Acceptance(
-        clock=SystemClock(), store=store, log=Lines(), owner=owner, reached=lambda: True
+        clock=SystemClock(), store=store, log=FakeEventLog(), owner=owner, reached=lambda: True
     )
 
 
--- a/tests/cell/test_advice_desk.py
+++ b/tests/cell/test_advice_desk.py
@@ -8,7 +8,7 @@
 from rhubarbferry.cell.advice_desk import LONG_REQUEST_S, AdviceDesk
 from rhubarbferry.dispatch.messages import ApprovalCost, ApprovalRequest, StepId
 
-from .parts import member
+from .fakes import member
 
 SHORT = ApprovalCost(decision_s=LONG_REQUEST_S / 2, per_host_s=0.0, valid_s=5.0)
 LONG = ApprovalCost(decision_s=2 * LONG_REQUEST_S, per_host_s=0.0, valid_s=5.0)
--- a/tests/cell/test_busy_owner.py
+++ b/tests/cell/test_busy_owner.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from rhubarbferry.cell.host_watch import HostPoller
+from rhubarbferry.cell.host_poller import HostPoller
 from rhubarbferry.cell.loop_lag import LAG_GOAL_S
 from rhubarbferry.cell.orders import MAX_CONCURRENT_CALLS, MIN_CONCURRENT_CALLS, OrderExecutor
 from rhubarbferry.dispatch.hosts import MAX_POLL_WAIT_S, POLL_WAIT_S, Host
 from rhubarbferry.dispatch.messages import HostEntry, Sizes, StartOrder, TaskId
 
-from .parts import Lines
+from .fakes import FakeEventLog
 
 TASKS_RUN_S = 0.01
 ENTRY = HostEntry(id="a", incarnation=1, service="pool", address="a:1", capacity=Sizes())
@@ -70,7 +70,7 @@
 async def test_a_lagging_owner_starts_fewer_tasks_at_once(lag_s, capacity):
     """Guard against start orders that time out and are retried before their answers are read."""
     async with asyncio.TaskGroup() as group:
-        executor = OrderExecutor(ctx=context(lag_s), log=Lines(), spawn=group.create_task)
+        executor = OrderExecutor(ctx=context(lag_s), log=FakeEventLog(), spawn=group.create_task)
         assert executor.start_capacity() == pytest.approx(capacity)
 
 
@@ -78,7 +78,7 @@
     tasks = []
     executor = OrderExecutor(
         ctx=context(2 * LAG_GOAL_S),
-        log=Lines(),
+        log=FakeEventLog(),
         spawn=lambda call: tasks.append(asyncio.create_task(call)),
     )
     before = executor.start_capacity()
--- a/tests/cell/test_candidate.py
+++ b/tests/cell/test_candidate.py
@@ -10,7 +10,7 @@
 from rhubarbferry.cell.members import CellView, Ownership, encode_member
 from rhubarbferry.ports.store import Changes, KeyPut, KeyValue
 
-from .parts import Lines, member
+from .fakes import FakeEventLog, member
 
 LATER_OWNER_KEY = KeyValue(
     key=keys.OWNER, value=encode_member(member("later")), mod_revision=20, create_revision=20
@@ -30,7 +30,7 @@
 
 def make_candidate() -> Candidate:
     around = SimpleNamespace(
-        view=CellView(), log=Lines(), own=member("own"), follow=lambda prefix: Follower()
+        view=CellView(), log=FakeEventLog(), own=member("own"), follow=lambda prefix: Follower()
     )
     return Candidate(around=around)
 
@@ -38,7 +38,7 @@
 async def test_a_process_that_has_become_owner_still_sees_changes():
     """Guard against a watch that ignores changes after a win, so that no process schedules."""
     candidate = make_candidate()
-    candidate.around.view.owned(Ownership(owner=member("own"), fence=9, lease_id=1))
+    candidate.around.view.set_owner(Ownership(owner=member("own"), fence=9, lease_id=1))
     candidate._won.set()
     async with asyncio.timeout(TIMEOUT_S):
         while candidate.around.view.ownership.fence == 9:
--- a/tests/cell/test_cell.py
+++ b/tests/cell/test_cell.py
@@ -10,7 +10,7 @@
 
 from rhubarbferry.management.app import run_command
 
-from .stage import Stage, configuration, step
+from .cell_harness import CellHarness, configuration, step
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("platform")]
 
@@ -20,17 +20,17 @@
 
 
 @pytest.fixture
-async def stage(tmp_path):
-    async with Stage(tmp_path) as stage:
-        stage.store.put("op/config", configuration())
+async def harness(tmp_path):
+    async with CellHarness(tmp_path) as harness:
+        harness.store.put("op/config", configuration())
         for index in range(3):
-            await stage.add_worker(f"w{index}")
+            await harness.add_worker(f"w{index}")
         for name in NAMES:
-            await stage.start(name)
-        for member in stage.members.values():
-            await stage.ready(member)
-        await stage.owned()
-        yield stage
+            await harness.start(name)
+        for member in harness.members.values():
+            await harness.ready(member)
+        await harness.wait_for_owner()
+        yield harness
 
 
 def ids(count: int) -> list[str]:
@@ -46,12 +46,12 @@
 
 
 @pytest.mark.parametrize("steps", JOBS.values(), ids=JOBS.keys())
-async def test_job_runs_once_and_is_reported_as_complete(stage, steps):
-    first, second, _ = stage.members.values()
-    assert await stage.submit(first, ids(1)[0], *steps) == 200
-    await stage.until(second, ids(1)[0], "complete")
-    assert len(stage.runs()) == sum(row["count"] for row in steps)
-    stage.assert_nothing_twice()
+async def test_job_runs_once_and_is_reported_as_complete(harness, steps):
+    first, second, _ = harness.members.values()
+    assert await harness.submit(first, ids(1)[0], *steps) == 200
+    await harness.wait_for_state(second, ids(1)[0], "complete")
+    assert len(harness.runs()) == sum(row["count"] for row in steps)
+    harness.assert_nothing_twice()
 
 
 REFUSED = {
@@ -71,250 +71,252 @@
 }
 
 
-async def test_invalid_request_is_refused_and_stores_nothing(stage):
-    member = stage.members["one"]
+async def test_invalid_request_is_refused_and_stores_nothing(harness):
+    member = harness.members["one"]
     for description, (method, path, body, status) in REFUSED.items():
         if isinstance(body, bytes):
-            async with stage.session.request(
+            async with harness.session.request(
                 method, f"http://{member.front}{path}", data=body, headers={"Host": "jobs.example"}
             ) as resp:
                 found = resp.status
         else:
-            found, _ = await stage.call(member, method, path, body)
+            found, _ = await harness.call(member, method, path, body)
         assert found == status, description
-    assert stage.store.keys("state/") == []
-    assert await stage.submit(member, ids(1)[0]) == 200
+    assert harness.store.keys("state/") == []
+    assert await harness.submit(member, ids(1)[0]) == 200
 
 
-async def test_jobs_continue_after_their_owner_is_killed(stage):
+async def test_jobs_continue_after_their_owner_is_killed(harness):
     """Guards against jobs that stall or run twice after their owner was killed."""
-    for worker in stage.workers.values():
+    for worker in harness.workers.values():
         worker.work_s = 1.0
-    owner = stage.owner()
-    other = next(member for member in stage.members.values() if member is not owner)
+    owner = harness.owner()
+    other = next(member for member in harness.members.values() if member is not owner)
     for id in ids(6):
-        assert await stage.submit(other, id, step(2), step(2, after=[0])) == 200
+        assert await harness.submit(other, id, step(2), step(2, after=[0])) == 200
     await asyncio.sleep(0.5)
     owner.signal(signal.SIGKILL)
     for id in ids(6):
-        await stage.until(other, id, "complete")
-    stage.assert_nothing_twice()
+        await harness.wait_for_state(other, id, "complete")
+    harness.assert_nothing_twice()
 
 
-async def test_planned_stop_hands_over_without_delay(stage):
+async def test_planned_stop_hands_over_without_delay(harness):
     """Guards against a planned stop after which no task starts until the lease has ended."""
-    owner = stage.owner()
-    other = next(member for member in stage.members.values() if member is not owner)
+    owner = harness.owner()
+    other = next(member for member in harness.members.values() if member is not owner)
     owner.signal(signal.SIGTERM)
     await asyncio.sleep(1.0)
-    assert stage.owner() is not owner
-    assert await stage.submit(owner, ids(1)[0]) == 200
-    await stage.until(other, ids(1)[0], "complete", within_s=3.0)
+    assert harness.owner() is not owner
+    assert await harness.submit(owner, ids(1)[0]) == 200
+    await harness.wait_for_state(other, ids(1)[0], "complete", within_s=3.0)
     assert await asyncio.wait_for(owner.child.wait(), 6.0) == 0
-    stage.assert_nothing_twice()
+    harness.assert_nothing_twice()
 
 
-async def test_owner_schedules_until_it_has_handed_over(stage):
+async def test_owner_schedules_until_it_has_handed_over(harness):
     """Guards against seconds without an owner in a planned stop while the store is slow."""
-    owner = stage.owner()
-    other = next(member for member in stage.members.values() if member is not owner)
+    owner = harness.owner()
+    other = next(member for member in harness.members.values() if member is not owner)
     await asyncio.sleep(MEMBERSHIP_SYNC_S)
-    stage.store.trouble.answer_s = 0.35
+    harness.store.trouble.answer_s = 0.35
     owner.signal(signal.SIGTERM)
     assert await asyncio.wait_for(owner.child.wait(), 8.0) == 0
     (ended,) = owner.events("term.ended")
     # The watch may deliver the successor's key before its reply; the hand-over must still succeed.
     assert [line["outcome"] for line in owner.events("owner.hands_over")] == [True]
-    begun = [line for member in stage.members.values() for line in member.events("term.loaded")]
+    begun = [line for member in harness.members.values() for line in member.events("term.loaded")]
     assert len(begun) == 2
     assert max(line["at"] for line in begun) - ended["at"] < 0.8
-    assert await stage.submit(other, ids(1)[0]) == 200
+    assert await harness.submit(other, ids(1)[0]) == 200
 
 
-async def test_killed_owner_is_replaced_before_its_lease_has_ended(stage):
+async def test_killed_owner_is_replaced_before_its_lease_has_ended(harness):
     """Guards against waiting for the lease of an owner whose address refuses connections."""
-    owner = stage.owner()
+    owner = harness.owner()
     await asyncio.sleep(MEMBERSHIP_SYNC_S)
     owner.signal(signal.SIGKILL)
     await asyncio.sleep(0.9)
-    assert stage.owned_key_name() not in ("", owner.name)
+    assert harness.owner_key_name() not in ("", owner.name)
 
 
-async def test_paused_owner_ends_its_term_after_its_lease(stage):
+async def test_paused_owner_ends_its_term_after_its_lease(harness):
     """Guards against a paused owner that continues to schedule alongside its successor."""
-    owner = stage.owner()
+    owner = harness.owner()
     await asyncio.sleep(MEMBERSHIP_SYNC_S)
     owner.signal(signal.SIGSTOP)
     await asyncio.sleep(1.1)
     owner.signal(signal.SIGCONT)
     await asyncio.sleep(1.0)
-    assert stage.owner() is not owner
+    assert harness.owner() is not owner
     assert owner.events("term.ended")
-    found = [line for each in stage.members.values() for line in each.events("owner.found_silent")]
+    found = [
+        line for each in harness.members.values() for line in each.events("owner.found_silent")
+    ]
     assert "replaced" in [line["outcome"] for line in found]
 
 
-async def test_acknowledged_jobs_survive_the_loss_of_all_processes(stage):
+async def test_acknowledged_jobs_survive_the_loss_of_all_processes(harness):
     """Guards against acknowledged jobs being lost when all processes are killed."""
-    for worker in stage.workers.values():
+    for worker in harness.workers.values():
         worker.work_s = 1.0
-    member = stage.members["one"]
+    member = harness.members["one"]
     for id in ids(5):
-        assert await stage.submit(member, id, step(3)) == 200
-    for each in stage.members.values():
+        assert await harness.submit(member, id, step(3)) == 200
+    for each in harness.members.values():
         each.signal(signal.SIGKILL)
-    for each in list(stage.members.values()):
+    for each in list(harness.members.values()):
         await each.child.wait()
     for name in NAMES:
-        await stage.start(name)
-    for each in stage.members.values():
-        await stage.ready(each)
+        await harness.start(name)
+    for each in harness.members.values():
+        await harness.ready(each)
     for id in ids(5):
-        await stage.until(stage.members["one"], id, "complete")
-    stage.assert_nothing_twice()
+        await harness.wait_for_state(harness.members["one"], id, "complete")
+    harness.assert_nothing_twice()
 
 
-async def test_cancelled_job_stops_and_is_not_restarted(stage):
-    for worker in stage.workers.values():
+async def test_cancelled_job_stops_and_is_not_restarted(harness):
+    for worker in harness.workers.values():
         worker.work_s = 30.0
-    member = stage.members["two"]
-    assert await stage.submit(member, ids(1)[0], step(2)) == 200
-    await stage.until(member, ids(1)[0], "running")
-    status, _ = await stage.call(member, "DELETE", "/q/" + ids(1)[0])
+    member = harness.members["two"]
+    assert await harness.submit(member, ids(1)[0], step(2)) == 200
+    await harness.wait_for_state(member, ids(1)[0], "running")
+    status, _ = await harness.call(member, "DELETE", "/q/" + ids(1)[0])
     assert status == 200
-    await stage.until(member, ids(1)[0], "canceled")
+    await harness.wait_for_state(member, ids(1)[0], "canceled")
     await asyncio.sleep(0.5)
-    assert all(run.how == "stopped" for run in stage.runs())
+    assert all(run.how == "stopped" for run in harness.runs())
 
 
-async def test_task_that_always_fails_ends_its_job_after_the_last_attempt(stage):
+async def test_task_that_always_fails_ends_its_job_after_the_last_attempt(harness):
     """Guards against a task that is retried forever or abandoned too early."""
     id = ids(1)[0]
-    for worker in stage.workers.values():
+    for worker in harness.workers.values():
         worker.fails.add(f"{id}.0.0.0")
-    assert await stage.submit(stage.members["one"], id) == 200
-    await stage.until(stage.members["one"], id, "failed")
-    assert len(stage.runs()) == 3
+    assert await harness.submit(harness.members["one"], id) == 200
+    await harness.wait_for_state(harness.members["one"], id, "failed")
+    assert len(harness.runs()) == 3
 
 
-async def test_job_refused_in_a_store_outage_never_runs(stage):
+async def test_job_refused_in_a_store_outage_never_runs(harness):
     """Guards against a job that runs although it was refused during a store outage."""
-    member = stage.members["one"]
-    for worker in stage.workers.values():
+    member = harness.members["one"]
+    for worker in harness.workers.values():
         worker.work_s = 0.6
-    assert await stage.submit(member, ids(1)[0], step(2), step(2, after=[0])) == 200
-    stage.store.trouble.down = True
+    assert await harness.submit(member, ids(1)[0], step(2), step(2, after=[0])) == 200
+    harness.store.trouble.down = True
     await asyncio.sleep(1.0)
-    assert await stage.submit(member, ids(2)[1]) == 503
+    assert await harness.submit(member, ids(2)[1]) == 503
     await asyncio.sleep(2.0)
-    stage.store.trouble.down = False
-    await stage.until(member, ids(1)[0], "complete")
-    assert await stage.state(member, ids(2)[1]) == "410"
-    assert not any(run.task.startswith(ids(2)[1]) for run in stage.runs())
-    stage.assert_nothing_twice()
+    harness.store.trouble.down = False
+    await harness.wait_for_state(member, ids(1)[0], "complete")
+    assert await harness.state(member, ids(2)[1]) == "410"
+    assert not any(run.task.startswith(ids(2)[1]) for run in harness.runs())
+    harness.assert_nothing_twice()
 
 
-async def test_store_outage_does_not_cause_a_handover(stage):
+async def test_store_outage_does_not_cause_a_handover(harness):
     """Guards against a needless handover while the store is down for all processes."""
-    owner = stage.owner()
-    stage.store.trouble.down = True
+    owner = harness.owner()
+    harness.store.trouble.down = True
     await asyncio.sleep(2.5)
     ended = owner.events("term.ended")
     assert [line["reason"] for line in ended] == ["the lease was not extended in time"]
 
 
-async def test_lost_store_answer_does_not_duplicate_a_job(stage):
+async def test_lost_store_answer_does_not_duplicate_a_job(harness):
     """Guards against a refusal or a duplicate job after a lost answer of the store."""
-    member = stage.members["one"]
-    stage.store.trouble.lose_every = 2
+    member = harness.members["one"]
+    harness.store.trouble.lose_every = 2
     for id in ids(8):
         for _ in range(4):
             try:
-                if await stage.submit(member, id) == 200:
+                if await harness.submit(member, id) == 200:
                     break
             except Exception:
                 await asyncio.sleep(0.2)
-    stage.store.trouble.lose_every = 0
+    harness.store.trouble.lose_every = 0
     for id in ids(8):
-        await stage.until(member, id, "complete")
-    assert len(stage.runs()) == 8
+        await harness.wait_for_state(member, id, "complete")
+    assert len(harness.runs()) == 8
 
 
-async def test_configuration_reaches_every_process_when_watches_lose_their_history(stage):
+async def test_configuration_reaches_every_process_when_watches_lose_their_history(harness):
     """Guards against a process that misses a new queue when the store has dropped its history."""
-    stage.store.trouble.no_history = True
-    stage.store.put("op/config", configuration(7, prefixes=("/q/", "/new/")))
+    harness.store.trouble.no_history = True
+    harness.store.put("op/config", configuration(7, prefixes=("/q/", "/new/")))
     await asyncio.sleep(2.5)
-    for index, member in enumerate(stage.members.values()):
-        assert await stage.submit(member, ids(3)[index], prefix="/new/") == 200
+    for index, member in enumerate(harness.members.values()):
+        assert await harness.submit(member, ids(3)[index], prefix="/new/") == 200
 
 
-async def test_every_process_reports_the_same_number_of_waiting_jobs(stage):
-    for worker in stage.workers.values():
+async def test_every_process_reports_the_same_number_of_waiting_jobs(harness):
+    for worker in harness.workers.values():
         worker.work_s = 30.0
-    member = stage.members["one"]
-    assert await stage.submit(member, ids(1)[0], step(24)) == 200
-    await stage.until(member, ids(1)[0], "running")
+    member = harness.members["one"]
+    assert await harness.submit(member, ids(1)[0], step(24)) == 200
+    await harness.wait_for_state(member, ids(1)[0], "running")
     for id in ids(4)[1:]:
-        assert await stage.submit(member, id) == 200
+        assert await harness.submit(member, id) == 200
     await asyncio.sleep(1.0)
-    for each in stage.members.values():
-        assert await stage.call(each, "GET", "/q/") == (200, {"pending": 3})
+    for each in harness.members.values():
+        assert await harness.call(each, "GET", "/q/") == (200, {"pending": 3})
 
 
-async def test_queue_with_a_policy_uses_approved_hosts_only(stage):
+async def test_queue_with_a_policy_uses_approved_hosts_only(harness):
     cost = {"decisionMs": 10, "perWorkerMs": 0.1, "validMs": 1500}
-    stage.policy.denied = {"w0", "w1"}
-    stage.store.put("op/config", configuration(2, advisor=cost))
+    harness.policy.denied = {"w0", "w1"}
+    harness.store.put("op/config", configuration(2, advisor=cost))
     await asyncio.sleep(1.5)
-    assert await stage.submit(stage.members["one"], ids(1)[0], step(5)) == 200
-    await stage.until(stage.members["one"], ids(1)[0], "complete")
-    assert stage.workers["w0"].history == []
-    assert stage.workers["w1"].history == []
+    assert await harness.submit(harness.members["one"], ids(1)[0], step(5)) == 200
+    await harness.wait_for_state(harness.members["one"], ids(1)[0], "complete")
+    assert harness.workers["w0"].history == []
+    assert harness.workers["w1"].history == []
 
 
-async def test_filling_tasks_are_throttled_on_the_host_of_a_slow_service(stage):
+async def test_filling_tasks_are_throttled_on_the_host_of_a_slow_service(harness):
     """Guards against batch tasks that slow down a service on the same host."""
-    member = stage.members["one"]
+    member = harness.members["one"]
     service, batch = ids(2)
-    worker = stage.workers["w0"]
+    worker = harness.workers["w0"]
     for other in ("w1", "w2"):
-        stage.store.remove(f"servers/{other}")
+        harness.store.remove(f"servers/{other}")
     worker.work_s = 60.0
     worker.serving = {f"{service}.0.0.0"}
     await asyncio.sleep(1.0)
     row = step(longRunning=True, image="web", goalMs=100)
-    assert await stage.submit(member, service, row) == 200
-    await stage.until(member, service, "running")
-    assert await stage.submit(member, batch, step(2, fillCount=True, image="batch")) == 200
-    await stage.until(member, batch, "running")
+    assert await harness.submit(member, service, row) == 200
+    await harness.wait_for_state(member, service, "running")
+    assert await harness.submit(member, batch, step(2, fillCount=True, image="batch")) == 200
+    await harness.wait_for_state(member, batch, "running")
     await asyncio.sleep(3.0)
     paces = [run.pace for run in worker.history if run.task.startswith(batch)]
     assert len(paces) == 2
     assert max(paces) < 50
 
 
-async def test_changed_settings_file_is_applied_with_and_without_a_signal(stage):
+async def test_changed_settings_file_is_applied_with_and_without_a_signal(harness):
     """Guards against a process that exits on SIGHUP or keeps using an old address."""
-    signalled, silent, _ = stage.members.values()
+    signalled, silent, _ = harness.members.values()
     for member in (signalled, silent):
-        path = stage.dir / f"{member.name}.toml"
-        path.write_text(path.read_text().replace(stage.policy_address, "127.0.0.1:9"))
+        path = harness.dir / f"{member.name}.toml"
+        path.write_text(path.read_text().replace(harness.policy_address, "127.0.0.1:9"))
     signalled.signal(signal.SIGHUP)
     await asyncio.sleep(0.5)
     assert signalled.events("settings.applied")
     await asyncio.sleep(2.5)
     assert silent.events("settings.applied")
-    assert await stage.submit(signalled, ids(1)[0]) == 200
-    await stage.until(silent, ids(1)[0], "complete")
+    assert await harness.submit(signalled, ids(1)[0]) == 200
+    await harness.wait_for_state(silent, ids(1)[0], "complete")
 
 
-async def test_metrics_are_served_on_their_address(stage):
+async def test_metrics_are_served_on_their_address(harness):
     # The metrics listener starts concurrently with the others and may not accept connections yet.
-    url = f"http://{stage.addresses['one']}:9464/metrics"
+    url = f"http://{harness.addresses['one']}:9464/metrics"
     for _ in range(50):
         try:
-            async with stage.session.get(url) as resp:
+            async with harness.session.get(url) as resp:
                 assert resp.status == 200
                 assert "rhubarbferry_store_requests_total" in await resp.text()
                 return
@@ -323,10 +325,10 @@
     raise AssertionError("the metrics endpoint did not answer in time")
 
 
-async def test_check_settings_validates_the_settings_file(stage, capsys):
-    path = stage.dir / "one.toml"
+async def test_check_settings_validates_the_settings_file(harness, capsys):
+    path = harness.dir / "one.toml"
     assert run_command(["check-settings", str(path)]) == 0
-    broken = stage.dir / "broken.toml"
+    broken = harness.dir / "broken.toml"
     broken.write_text(path.read_text().replace('ip = "', 'other = "'))
     assert run_command(["check-settings", str(broken)]) != 0
     assert "ip" in capsys.readouterr().out
--- a/tests/cell/test_configuration_feed.py
+++ b/tests/cell/test_configuration_feed.py
@@ -12,7 +12,7 @@
 from rhubarbferry.ports.store import KeyValue, Listing, StoreUnavailable
 from rhubarbferry.test.fake_clock import FakeClock
 
-from .parts import Lines
+from .fakes import FakeEventLog
 
 KEY = "configuration"
 
@@ -35,7 +35,7 @@
     return ConfigurationFeed(
         clock=clock,
         store=store,
-        log=Lines(),
+        log=FakeEventLog(),
         key=KEY,
         decode=lambda value, revision: RouteTable(version=int(value), revision=revision, routes=()),
         history_s=60.0,
--- a/tests/cell/test_following.py
+++ b/tests/cell/test_following.py
@@ -8,14 +8,14 @@
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import Changes, Listing
 
-from .parts import Lines
+from .fakes import FakeEventLog
 
 WAIT_S = 0.05
 
 
 def prefix_watcher(store, *, history_s: float = 60.0) -> PrefixFollower:
     return PrefixFollower(
-        clock=SystemClock(), store=store, log=Lines(), prefix="op/", history_s=history_s
+        clock=SystemClock(), store=store, log=FakeEventLog(), prefix="op/", history_s=history_s
     )
 
 
--- a/tests/cell/test_inbox.py
+++ b/tests/cell/test_inbox.py
@@ -13,7 +13,7 @@
 from rhubarbferry.cell.following import PrefixFollower
 from rhubarbferry.cell.inbox import Inbox
 from rhubarbferry.cell.members import CellView, encode_member
-from rhubarbferry.cell.owned_work import AcceptedJob
+from rhubarbferry.cell.owner_calls import AcceptedJob
 from rhubarbferry.cell.recorder import Recorder
 from rhubarbferry.core.lease import Lease
 from rhubarbferry.dispatch.dispatcher import Dispatcher
@@ -23,7 +23,7 @@
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import Put, Txn
 
-from .parts import Lines, member, record
+from .fakes import FakeEventLog, member, record
 
 LEASE_ID = 7
 
@@ -49,7 +49,7 @@
 async def inbox(store) -> Inbox:
     fence = await take_ownership(store)
     clock = SystemClock()
-    log = Lines()
+    log = FakeEventLog()
     lease = Lease(id=LEASE_ID, incarnation=1, until=time.monotonic() + 60, margin_s=0.0)
     process = SimpleNamespace(
         clock=clock,
@@ -63,7 +63,9 @@
     )
     ctx = TermContext(
         around=process,
-        tenure=Tenure(keeper=SimpleNamespace(held=lambda: lease), lease_id=LEASE_ID, fence=fence),
+        tenure=Tenure(
+            keeper=SimpleNamespace(valid_lease=lambda: lease), lease_id=LEASE_ID, fence=fence
+        ),
         dispatcher=Dispatcher(takeover=Takeover(leases_expire_at=0.0), lease_s=6.0),
     )
     return Inbox(ctx=ctx)
--- a/tests/cell/test_key_following.py
+++ b/tests/cell/test_key_following.py
@@ -8,14 +8,16 @@
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import StoreError
 
-from .parts import Lines
+from .fakes import FakeEventLog
 
 WAIT_S = 0.05
 KEY = "op/config"
 
 
 def key_watcher(store, *, history_s: float = 60.0) -> KeyFollower:
-    return KeyFollower(clock=SystemClock(), store=store, log=Lines(), key=KEY, history_s=history_s)
+    return KeyFollower(
+        clock=SystemClock(), store=store, log=FakeEventLog(), key=KEY, history_s=history_s
+    )
 
 
 async def test_key_is_listed_once_and_then_watched(store, stand_in):
--- a/tests/cell/test_key_following_machine.py
+++ b/tests/cell/test_key_following_machine.py
@@ -28,7 +28,7 @@
 from rhubarbferry.test.memory_store import prefix_end
 from rhubarbferry.test.store_engine import Compacted, Delete, Engine, Put
 
-from .parts import Lines
+from .fakes import FakeEventLog
 
 KEY = "op/config"
 OTHER = "op/config-other"
@@ -104,7 +104,7 @@
         self.clock = FakeClock()
         self.store = FaultyStore()
         self.follower = KeyFollower(
-            clock=self.clock, store=self.store, log=Lines(), key=KEY, history_s=HISTORY_S
+            clock=self.clock, store=self.store, log=FakeEventLog(), key=KEY, history_s=HISTORY_S
         )
         self.shown: list[Version] = []
 
@@ -181,7 +181,7 @@
     @invariant()
     def lists_only_what_it_must(self) -> None:
         """Only the first value, or one after a refusal, comes from a listing."""
-        refused = [event for event, _ in self.follower.log.found if event == "key.not_compared"]
+        refused = [event for event, _ in self.follower.log.events if event == "key.not_compared"]
         listed = [version for version in self.shown if version.source is Source.LISTING]
         assert len(listed) <= 1 + len(refused)
 
--- a/tests/cell/test_members.py
+++ b/tests/cell/test_members.py
@@ -15,7 +15,7 @@
 )
 from rhubarbferry.ports.store import KeyDeleted, KeyPut, KeyValue
 
-from .parts import member
+from .fakes import member
 
 NEAR = 0.004
 FAR = 0.044
@@ -75,7 +75,7 @@
 def test_older_events_do_not_replace_the_current_owner(events, owner):
     """Guard against an owner that assumes that its own key is gone and waits for it forever."""
     view = CellView()
-    view.owned(OWN)
+    view.set_owner(OWN)
     view.apply(events)
     assert (view.ownership.owner.name if view.ownership else "") == owner
 
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize(("items", "revision", "owner"), LISTINGS.values(), ids=LISTINGS.keys())
 def test_an_older_listing_does_not_replace_the_current_owner(items, revision, owner):
     view = CellView()
-    view.owned(OWN)
+    view.set_owner(OWN)
     view.replace(items, revision=revision)
     assert (view.ownership.owner.name if view.ownership else "") == owner
 
--- a/tests/cell/test_owner_link.py
+++ b/tests/cell/test_owner_client.py
@@ -6,13 +6,13 @@
 from attrs import Factory, define
 
 from rhubarbferry.cell.members import CellView, Ownership
-from rhubarbferry.cell.owned_work import AcceptedJob
-from rhubarbferry.cell.owner_link import OWNER_BACKOFF_S, PENDING_COUNT_TTL_S, OwnerLink
+from rhubarbferry.cell.owner_calls import AcceptedJob
+from rhubarbferry.cell.owner_client import OWNER_BACKOFF_S, PENDING_COUNT_TTL_S, OwnerClient
 from rhubarbferry.cell.peers import Silence
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.test.fake_clock import FakeClock
 
-from .parts import member
+from .fakes import member
 
 JOB = AcceptedJob(id="j", record=b"{}", revision=9, fence=5)
 
@@ -50,16 +50,16 @@
     def phase(self, id):
         return JobPhase.RUNNING
 
-    def accepted(self, job):
+    def add_accepted(self, job):
         self.notified.append(job)
         return True
 
 
-def make_client(peers: Peers, *, owner: str = "other", fence: int = 5, term=None) -> OwnerLink:
+def make_client(peers: Peers, *, owner: str = "other", fence: int = 5, term=None) -> OwnerClient:
     view = CellView()
     if owner:
         view.ownership = Ownership(owner=member(owner), fence=fence, lease_id=1)
-    return OwnerLink(
+    return OwnerClient(
         clock=FakeClock(), own=member("own"), view=view, peers=peers, term=lambda: term
     )
 
@@ -95,7 +95,7 @@
     client = make_client(peers, owner="own", term=term)
     assert await client.phase("j") is JobPhase.RUNNING
     assert await client.pending("queue") == 7
-    client.accepted(JOB)
+    client.notify_accepted(JOB)
     assert (term.notified, peers.asked, peers.notified) == ([JOB], [], [])
 
 
@@ -104,7 +104,7 @@
     """Guard against a new owner that treats an inherited job as a new one."""
     peers = Peers()
     client = make_client(peers, fence=fence)
-    client.accepted(JOB)
+    client.notify_accepted(JOB)
     await client.clock.advance(0.0)
     assert peers.notified == notified
 
--- a/tests/cell/test_owner_watch.py
+++ b/tests/cell/test_owner_monitor.py
@@ -7,22 +7,22 @@
 import pytest
 from attrs import Factory, define
 
-from rhubarbferry.cell import keys, owner_watch
+from rhubarbferry.cell import keys, owner_monitor
 from rhubarbferry.cell.members import CellView, Ownership, encode_member, successors
-from rhubarbferry.cell.owner_watch import (
+from rhubarbferry.cell.owner_monitor import (
     MAX_MISSED_PINGS,
     MONITOR_COUNT,
     NEW_OWNER_MAX_MISSED_PINGS,
     NEW_OWNER_PERIOD_S,
     PING_RETRY_INTERVAL_S,
-    OwnerWatch,
+    OwnerMonitor,
 )
 from rhubarbferry.cell.peers import Reach
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import KeyPut, KeyValue
 from rhubarbferry.test.fake_clock import FakeClock
 
-from .parts import Lines, member
+from .fakes import FakeEventLog, member
 
 FENCE = 5
 # Longer than all pings of the owner plus the staggered attempts of three monitors to replace it.
@@ -50,15 +50,15 @@
     peers: Peers
     view: CellView = Factory(CellView)
     replaced: list[int] = Factory(list)
-    monitor: OwnerWatch = None
+    monitor: OwnerMonitor = None
 
     def __attrs_post_init__(self) -> None:
         for name in ("own", "owner", "other"):
             self.view.members[name] = member(name)
         self.owned_by("owner", FENCE)
-        self.monitor = OwnerWatch(
+        self.monitor = OwnerMonitor(
             clock=SystemClock(),
-            log=Lines(),
+            log=FakeEventLog(),
             own=member("own"),
             view=self.view,
             peers=self.peers,
@@ -181,7 +181,7 @@
         computed_for.append(own.name)
         return successors(own, view)
 
-    monkeypatch.setattr(owner_watch, "successors", counted)
+    monkeypatch.setattr(owner_monitor, "successors", counted)
     cell = Cell(peers=Peers(reaches={}))
     ownership = cell.view.ownership
     places = [cell.monitor.position(ownership) for _ in range(10)]
--- a/tests/cell/test_slow_link.py
+++ b/tests/cell/test_slow_link.py
@@ -16,8 +16,8 @@
 from rhubarbferry.test.relay import Link, Mode, Relay, Scope
 from rhubarbferry.test.serving import serving
 
-from .parts import Lines
-from .stage import configuration
+from .cell_harness import configuration
+from .fakes import FakeEventLog
 
 # Time limit from the write of a configuration until it is in force in every process.
 IN_FORCE_LIMIT_S = 4.0
@@ -36,7 +36,7 @@
     stand_in: PlatformStoreStandIn
     link: Link
     watcher: ConfigurationFeed
-    lines: Lines
+    lines: FakeEventLog
 
     def write(self, version: int, *, padding: str = PADDING) -> None:
         self.stand_in.put(KEY, configuration(version) | {"padding": padding})
@@ -66,7 +66,7 @@
 
 @asynccontextmanager
 async def slow_host(stand_in: PlatformStoreStandIn):
-    lines = Lines()
+    lines = FakeEventLog()
     relay = Relay()
     async with serving(stand_in.app()) as address:
         link = await relay.open(address)
@@ -109,7 +109,7 @@
         host.write(2)
         assert await host.until_in_force(2) < IN_FORCE_LIMIT_S
         assert host.calls("range") == 1
-        assert "configuration.not_read" not in [event for event, _ in host.lines.found]
+        assert "configuration.not_read" not in [event for event, _ in host.lines.events]
 
 
 async def test_versions_written_faster_than_they_are_read_are_skipped(stand_in):
@@ -145,7 +145,7 @@
         await host.until_next_watch()
         host.write(2)
         await host.until_in_force(2)
-    events = [fields for event, fields in host.lines.found if event == "configuration.in_force"]
+    events = [fields for event, fields in host.lines.events if event == "configuration.in_force"]
     assert [fields["version"] for fields in events] == [1, 2]
     assert events[1]["value_bytes"] > len(PADDING)
     assert 0.8 * TRANSFER_S < events[1]["transfer_s"] < 1.5 * TRANSFER_S
--- a/tests/cell/test_term.py
+++ b/tests/cell/test_term.py
@@ -14,7 +14,7 @@
 from rhubarbferry.cell.term import Term
 from rhubarbferry.ports.clock import SystemClock
 
-from .parts import Lines, member
+from .fakes import FakeEventLog, member
 
 FENCE = 5
 LOAD_TIMEOUT_S = 0.05
@@ -44,16 +44,16 @@
         return successor.name in self.willing
 
 
-def make_term(peers: Peers, *, fresh: bool) -> Term:
+def make_term(peers: Peers, *, store_reachable: bool) -> Term:
     view = CellView(members={name: member(name) for name in ("own", "b", "c")})
     lease = SimpleNamespace(id=1)
-    keeper = SimpleNamespace(held=lambda: lease, fresh=lambda: fresh)
+    keeper = SimpleNamespace(valid_lease=lambda: lease, store_reachable=lambda: store_reachable)
     follower = SimpleNamespace(restart=lambda: None, next=SlowStore().list)
     around = SimpleNamespace(
         cfg=CellSettings(member="own", region="r", failure_domain="d"),
         clock=SystemClock(),
         store=SlowStore(),
-        log=Lines(),
+        log=FakeEventLog(),
         own=member("own"),
         view=view,
         keeper=keeper,
@@ -67,20 +67,22 @@
 async def test_an_owner_that_cannot_load_the_jobs_hands_over(monkeypatch, willing):
     """Guard against an owner that loads forever and starts no job."""
     monkeypatch.setattr(term_module, "LOAD_TIMEOUT_S", LOAD_TIMEOUT_S)
-    term = make_term(Peers(willing=willing), fresh=True)
+    term = make_term(Peers(willing=willing), store_reachable=True)
     await asyncio.wait_for(term.run(), TIMEOUT_S)
     assert term.overloaded
     assert not term.tenure.holds()
 
 
 @pytest.mark.parametrize(
-    ("willing", "fresh"),
+    ("willing", "store_reachable"),
     [(set(), True), ({"b"}, False)],
     ids=["no process is willing", "store outage"],
 )
-async def test_an_owner_continues_loading_if_no_other_process_can(monkeypatch, willing, fresh):
+async def test_an_owner_continues_loading_if_no_other_process_can(
+    monkeypatch, willing, store_reachable
+):
     monkeypatch.setattr(term_module, "LOAD_TIMEOUT_S", LOAD_TIMEOUT_S)
-    term = make_term(Peers(willing=willing), fresh=fresh)
+    term = make_term(Peers(willing=willing), store_reachable=store_reachable)
     running = asyncio.create_task(term.run())
     await asyncio.sleep(4 * LOAD_TIMEOUT_S)
     assert not running.done()
@@ -108,7 +110,7 @@
 @pytest.mark.parametrize(("answers", "chosen"), ANSWERS.values(), ids=ANSWERS.keys())
 async def test_a_disconnected_owner_hands_over_to_a_host_that_is_large_enough(answers, chosen):
     """Guard against a successor that stops responding because its host is too small."""
-    term = make_term(Peers(willing=set()), fresh=False)
+    term = make_term(Peers(willing=set()), store_reachable=False)
     members = {name: member(name, link_mbps=100.0) for name in ("own", "large")}
     term.around.view.members = {**members, "small": member("small", link_mbps=5.0)}
 
@@ -124,7 +126,7 @@
 
 async def test_reports_that_arrive_close_together_share_a_decision(monkeypatch):
     """Guard against an owner that spends all its processor time on one decision per report."""
-    term = make_term(Peers(willing=set()), fresh=True)
+    term = make_term(Peers(willing=set()), store_reachable=True)
     decided_at: list[float] = []
     clock = SystemClock()
     monkeypatch.setattr(Term, "_decide", lambda self: decided_at.append(clock.monotonic()))
--- a/tests/cell/test_wide_steps.py
+++ b/tests/cell/test_wide_steps.py
@@ -17,7 +17,7 @@
 )
 from tests.dispatch.world import CORES, QUEUE, World, job, step
 
-from .parts import member
+from .fakes import member
 
 HOSTS = 500
 HOST_CORES = 64
