--- a/rhubarbferry/bench/days.py
+++ b/rhubarbferry/bench/days.py
@@ -19,8 +19,8 @@
 from attrs import Factory, define, evolve, field
 
 from rhubarbferry.bench.day_work import DAYS, Arrival, Day, arrivals
-from rhubarbferry.cell.advice_desk import AdviceDesk
 from rhubarbferry.cell.members import Member
+from rhubarbferry.cell.policy_requests import PolicyRequestQueue
 from rhubarbferry.dispatch.dispatcher import Dispatcher
 from rhubarbferry.dispatch.job import Job, JobPhase
 from rhubarbferry.dispatch.messages import (
@@ -117,7 +117,7 @@
     _attempt_counts: dict[TaskId, int] = Factory(dict)
     _approved: dict[StepId, frozenset[str]] = Factory(dict)
     _dispatcher: Dispatcher = field(init=False)
-    _advice_queue: AdviceDesk = field(init=False)
+    _advice_queue: PolicyRequestQueue = field(init=False)
     _members: list[Member] = field(init=False)
 
     def run(self) -> None:
@@ -132,7 +132,7 @@
 
     def _set_up(self) -> None:
         self._dispatcher = Dispatcher(takeover=Takeover(leases_expire_at=0.0), lease_s=LEASE_S)
-        self._advice_queue = AdviceDesk(own="0", region="region")
+        self._advice_queue = PolicyRequestQueue(own="0", region="region")
         self._members = [
             Member(name=str(index), address="", region="region", failure_domain="")
             for index in range(self.day.members)
--- a/rhubarbferry/cell/candidate.py
+++ b/rhubarbferry/cell/candidate.py
@@ -9,11 +9,11 @@
 from loguru import logger
 
 from rhubarbferry.cell import keys
-from rhubarbferry.cell.context import Surroundings, Tenure
-from rhubarbferry.cell.following import PrefixFollower
 from rhubarbferry.cell.hand_over import hand_over
 from rhubarbferry.cell.members import Member, Ownership, election_rank, encode_member
+from rhubarbferry.cell.prefix_watch import PrefixWatcher
 from rhubarbferry.cell.term import Term
+from rhubarbferry.cell.term_context import ProcessContext, Tenure
 from rhubarbferry.core.lease import Lease
 from rhubarbferry.ports.store import (
     Changes,
@@ -48,11 +48,11 @@
     :ivar term: the current term of ownership, ``None`` while this process is not the owner.
     """
 
-    around: Surroundings
+    process: ProcessContext
     term: Term | None = None
     _draining: bool = False
     _term_task: asyncio.Task[None] | None = None
-    _follower: PrefixFollower = field(init=False)
+    _watcher: PrefixWatcher = field(init=False)
     _won: asyncio.Event = field(factory=asyncio.Event)
     _registered_lease_id: int = 0
     _vacant_since: float | None = None
@@ -60,7 +60,7 @@
     _overloaded_until: float = float("-inf")
 
     def __attrs_post_init__(self) -> None:
-        self._follower = self.around.follow(keys.CONTROL)
+        self._watcher = self.process.watch_prefix(keys.CONTROL)
 
     async def run(self) -> None:
         """Take part in the cell until cancelled."""
@@ -68,13 +68,13 @@
             try:
                 await self._step()
             except StoreError as exc:
-                self.around.log.emit("cell.not_read", reason=str(exc)[:200])
+                self.process.log.emit("cell.not_read", reason=str(exc)[:200])
                 await asyncio.sleep(STORE_RETRY_INTERVAL_S)
 
     async def leave(self) -> None:
         """Hand over the ownership and unregister, for a planned stop."""
         self._draining = True
-        lease = self.around.keeper.valid_lease()
+        lease = self.process.keeper.valid_lease()
         if self.term is not None:
             await self._hand_over(self.term)
         if self._term_task is not None:
@@ -83,9 +83,9 @@
         if lease is None:
             return
         try:
-            await self.around.store.commit(Txn(delete=(keys.MEMBERS + self.around.own.name,)))
+            await self.process.store.commit(Txn(delete=(keys.MEMBERS + self.process.own.name,)))
         except StoreError as exc:
-            self.around.log.emit("member.not_removed", reason=str(exc)[:200])
+            self.process.log.emit("member.not_removed", reason=str(exc)[:200])
 
     async def reaches_store(self) -> bool:
         """Return whether the store answers this process now, by sending it a request.
@@ -95,7 +95,7 @@
         """
         try:
             async with asyncio.timeout(STORE_CHECK_TIMEOUT_S):
-                await self.around.store.get(keys.OWNER)
+                await self.process.store.get(keys.OWNER)
         except (StoreError, TimeoutError):
             return False
         return True
@@ -105,7 +105,7 @@
 
         :returns: whether this process is now the owner.
         """
-        self.around.log.emit("owner.asked_to_take_over", fence=fence)
+        self.process.log.emit("owner.asked_to_take_over", fence=fence)
         return await self._acquire(replaces=fence)
 
     async def replace_unresponsive(self, ownership: Ownership) -> bool:
@@ -119,9 +119,9 @@
         :returns: whether this process is now the owner.
         """
         try:
-            await self.around.store.revoke_lease(ownership.lease_id)
+            await self.process.store.revoke_lease(ownership.lease_id)
         except StoreError as exc:
-            self.around.log.emit("owner.not_replaced", reason=str(exc)[:200])
+            self.process.log.emit("owner.not_replaced", reason=str(exc)[:200])
             return False
         return await self._acquire(replaces=0)
 
@@ -131,41 +131,41 @@
         :param replaces: revision of the owner's key to replace, 0 if there is none.
         :returns: whether this process is now the owner.
         """
-        lease = self.around.keeper.valid_lease()
+        lease = self.process.keeper.valid_lease()
         if lease is None or self._draining or self.term is not None or self._overloaded():
             return False
         try:
             ownership = await self._write_owner_key(lease, replaces=replaces)
         except StoreError as exc:
-            self.around.log.emit("owner.not_replaced", reason=str(exc)[:200])
+            self.process.log.emit("owner.not_replaced", reason=str(exc)[:200])
             return False
         if ownership is None:
             return False
         # The watch also delivers this key, but one store answer later, and until then no process
         # would schedule.
-        self.around.view.set_owner(ownership)
+        self.process.view.set_owner(ownership)
         self._won.set()
         return True
 
     def _overloaded(self) -> bool:
-        return self.around.clock.monotonic() < self._overloaded_until
+        return self.process.clock.monotonic() < self._overloaded_until
 
     async def _hand_over(self, term: Term) -> None:
-        member = await hand_over(self.around, term.tenure)
+        member = await hand_over(self.process, term.tenure)
         if member is not None:
             term.tenure.end(f"handed over to {member.name}")
 
     async def _step(self) -> None:
-        lease = self.around.keeper.valid_lease()
+        lease = self.process.keeper.valid_lease()
         if lease is None:
             self._registered_lease_id = 0
             await self._wait_for_lease()
             return
         if lease.id != self._registered_lease_id and not self._draining:
             await self._register(lease)
-        if not self._follower.listed:
+        if not self._watcher.listed:
             await self._follow_changes(0.0)
-        ownership = self.around.view.ownership
+        ownership = self.process.view.ownership
         if ownership is not None:
             self._vacant_since = None
             if self._is_ours(ownership, lease):
@@ -175,7 +175,7 @@
             await self._follow_changes(WATCH_TIMEOUT_S)
         elif ownership is None:
             await self._acquire_in_turn(lease)
-        elif ownership.owner.address == self.around.own.address:
+        elif ownership.owner.address == self.process.own.address:
             # The key was written by an earlier incarnation of this process. An address belongs to
             # one process only, so that incarnation has exited. Waiting for its lease to expire
             # would only lengthen the gap.
@@ -189,14 +189,14 @@
         Any delay here lengthens a start or an outage.
         """
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.around.keeper.granted.wait(), STORE_RETRY_INTERVAL_S)
-        if self.around.keeper.granted.is_set() and self.around.keeper.valid_lease() is None:
+            await asyncio.wait_for(self.process.keeper.granted.wait(), STORE_RETRY_INTERVAL_S)
+        if self.process.keeper.granted.is_set() and self.process.keeper.valid_lease() is None:
             # The lease has expired, and its keeper has not noticed yet.
             await asyncio.sleep(EXPIRED_LEASE_POLL_INTERVAL_S)
 
     async def _follow_changes(self, wait_s: float) -> None:
         """Apply changes of the cell; return early when this process has become the owner."""
-        change = asyncio.ensure_future(self._follower.next(wait_s))
+        change = asyncio.ensure_future(self._watcher.next(wait_s))
         won = asyncio.ensure_future(self._won.wait())
         try:
             await asyncio.wait({change, won}, return_when=asyncio.FIRST_COMPLETED)
@@ -209,35 +209,35 @@
             won.cancel()
         match change.result():
             case Listing(items=items, revision=revision):
-                self.around.view.replace(items, revision=revision)
+                self.process.view.replace(items, revision=revision)
                 self._election_seed = revision
             case Changes(events=events, revision=revision) if events:
-                self.around.view.apply(events)
+                self.process.view.apply(events)
                 self._election_seed = revision
 
     async def _register(self, lease: Lease) -> None:
-        key = keys.MEMBERS + self.around.own.name
+        key = keys.MEMBERS + self.process.own.name
         value = encode_member(self._own_member())
-        await self.around.store.commit(Txn(put=(Put(key=key, value=value, lease_id=lease.id),)))
+        await self.process.store.commit(Txn(put=(Put(key=key, value=value, lease_id=lease.id),)))
         self._registered_lease_id = lease.id
-        self.around.log.emit("member.registered", lease=lease.id)
+        self.process.log.emit("member.registered", lease=lease.id)
 
     def _own_member(self) -> Member:
-        return evolve(self.around.own, store_s=round(self.around.keeper.round_trip_s, 3))
+        return evolve(self.process.own, store_s=round(self.process.keeper.round_trip_s, 3))
 
     def _is_ours(self, ownership: Ownership, lease: Lease) -> bool:
-        return ownership.owner.name == self.around.own.name and ownership.lease_id == lease.id
+        return ownership.owner.name == self.process.own.name and ownership.lease_id == lease.id
 
     async def _acquire_in_turn(self, lease: Lease) -> None:
-        now = self.around.clock.monotonic()
+        now = self.process.clock.monotonic()
         if self._vacant_since is None:
             self._vacant_since = now
         position = election_rank(
-            self._own_member(), self.around.view.members.values(), seed=self._election_seed
+            self._own_member(), self.process.view.members.values(), seed=self._election_seed
         )
         if self._overloaded():
             # Run only if no other member does.
-            position += len(self.around.view.members)
+            position += len(self.process.view.members)
         remaining_s = self._vacant_since + position * ELECTION_STAGGER_S - now
         if remaining_s > 0:
             await self._follow_changes(remaining_s)
@@ -246,9 +246,9 @@
 
     async def _acquire_and_run(self, lease: Lease, *, replaces: int) -> None:
         ownership = await self._write_owner_key(lease, replaces=replaces)
-        self._follower.restart()
+        self._watcher.restart()
         if ownership is not None:
-            self.around.view.set_owner(ownership)
+            self.process.view.set_owner(ownership)
             await self._run_term(ownership, lease)
 
     async def _write_owner_key(self, lease: Lease, *, replaces: int) -> Ownership | None:
@@ -257,8 +257,8 @@
         :param replaces: revision of the owner's key to replace, 0 if there is none.
         :returns: the new ownership, ``None`` if the key has another revision.
         """
-        value = encode_member(self.around.own)
-        result = await self.around.store.commit(
+        value = encode_member(self.process.own)
+        result = await self.process.store.commit(
             Txn(
                 expect=(Expect(key=keys.OWNER, revision=replaces),),
                 put=(Put(key=keys.OWNER, value=value, lease_id=lease.id),),
@@ -266,12 +266,12 @@
         )
         if not isinstance(result, Committed):
             return None
-        return Ownership(owner=self.around.own, fence=result.revision, lease_id=lease.id)
+        return Ownership(owner=self.process.own, fence=result.revision, lease_id=lease.id)
 
     async def _run_term(self, ownership: Ownership, lease: Lease) -> None:
-        tenure = Tenure(keeper=self.around.keeper, lease_id=lease.id, fence=ownership.fence)
-        term = Term(around=self.around, tenure=tenure)
-        self.around.log.emit("term.begun", fence=tenure.fence, lease=lease.id)
+        tenure = Tenure(keeper=self.process.keeper, lease_id=lease.id, fence=ownership.fence)
+        term = Term(process=self.process, tenure=tenure)
+        self.process.log.emit("term.begun", fence=tenure.fence, lease=lease.id)
         self.term = term
         self._term_task = asyncio.create_task(term.run())
         failed = False
@@ -288,20 +288,20 @@
             failed = True
         self.term = None
         if term.overloaded:
-            self._overloaded_until = self.around.clock.monotonic() + OVERLOAD_COOLDOWN_S
+            self._overloaded_until = self.process.clock.monotonic() + OVERLOAD_COOLDOWN_S
         await self._release(term)
-        self._follower.restart()
+        self._watcher.restart()
         if failed:
             await asyncio.sleep(FAILED_TERM_BACKOFF_S)
 
     async def _release(self, term: Term) -> None:
         tenure = term.tenure
-        self.around.log.emit("term.ended", fence=tenure.fence, reason=tenure.ended or "left")
+        self.process.log.emit("term.ended", fence=tenure.fence, reason=tenure.ended or "left")
         if tenure.handed_over or await self._remove_key(term):
             return
         # The key may still exist under a lease that this process keeps renewing, and then no
         # process would schedule. Once the lease is dropped, the key expires with it.
-        self.around.keeper.drop("its term of ownership has ended")
+        self.process.keeper.drop("its term of ownership has ended")
 
     async def _remove_key(self, term: Term) -> bool:
         """Remove the owner's key if this process still owns it.
@@ -314,8 +314,8 @@
         await term.flush()
         tenure.end("given up")
         try:
-            await self.around.store.commit(Txn(expect=(tenure.condition(),), delete=(keys.OWNER,)))
+            await self.process.store.commit(Txn(expect=(tenure.condition(),), delete=(keys.OWNER,)))
         except StoreError as exc:
-            self.around.log.emit("owner.not_removed", reason=str(exc)[:200])
+            self.process.log.emit("owner.not_removed", reason=str(exc)[:200])
             return False
         return True
--- a/rhubarbferry/cell/cleaner.py
+++ b/rhubarbferry/cell/cleaner.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 
 from rhubarbferry.cell import keys
-from rhubarbferry.cell.context import OwnershipLost, TermContext
+from rhubarbferry.cell.term_context import OwnershipLost, TermContext
 from rhubarbferry.dispatch.record import RecordError, decode_phase
 from rhubarbferry.ports.store import Conflict, StoreError, Txn
 
@@ -48,12 +48,12 @@
                 await self._remove_requests()
                 await self._remove_phases()
             except StoreError as exc:
-                self.ctx.around.log.emit("store.not_cleaned", reason=str(exc)[:200])
+                self.ctx.process.log.emit("store.not_cleaned", reason=str(exc)[:200])
                 await asyncio.sleep(REMOVAL_INTERVAL_S)
 
     async def _load(self) -> None:
         """Read the jobs that ended before the takeover; the dispatcher does not wait for this."""
-        listing = await self.ctx.around.store.list(keys.ENDED)
+        listing = await self.ctx.process.store.list(keys.ENDED)
         now = self.ctx.now()
         for item in listing.items:
             id = item.key.removeprefix(keys.ENDED)
@@ -61,12 +61,12 @@
             try:
                 self.ctx.dispatcher.ended.setdefault(id, decode_phase(item.value))
             except RecordError as exc:
-                self.ctx.around.log.emit("job.unreadable", job=id, reason=str(exc))
+                self.ctx.process.log.emit("job.unreadable", job=id, reason=str(exc))
         for id in sorted(self.without_state):
             if id in self._ended_at:
                 self.ctx.removable.append(id)
             else:
-                self.ctx.around.log.emit("job.unreadable", job=id, reason="it has no state")
+                self.ctx.process.log.emit("job.unreadable", job=id, reason="it has no state")
         self._loaded = True
 
     async def _remove_requests(self) -> None:
@@ -81,7 +81,7 @@
                 self._ended_at.setdefault(id, now)
 
     async def _remove_phases(self) -> None:
-        before = self.ctx.now() - self.ctx.around.cfg.bounds.status_s - PHASE_RETENTION_MARGIN_S
+        before = self.ctx.now() - self.ctx.process.cfg.bounds.status_s - PHASE_RETENTION_MARGIN_S
         old = [id for id, at in self._ended_at.items() if at < before]
         for start in range(0, len(old), PHASES_PER_TXN):
             ids = old[start : start + PHASES_PER_TXN]
@@ -92,6 +92,6 @@
 
     async def _remove(self, key_names: list[str]) -> None:
         txn = Txn(expect=(self.ctx.tenure.condition(),), delete=tuple(key_names))
-        if isinstance(await self.ctx.around.store.commit(txn), Conflict):
+        if isinstance(await self.ctx.process.store.commit(txn), Conflict):
             self.ctx.tenure.end("another process has taken over")
             raise OwnershipLost("another process has taken over")
--- a/rhubarbferry/cell/configuration.py
+++ b/rhubarbferry/cell/configuration_watch.py
@@ -7,7 +7,7 @@
 from attrs import define, field
 from prometheus_client import Gauge
 
-from rhubarbferry.cell.key_following import KeyFollower, Version
+from rhubarbferry.cell.key_watch import KeyWatcher, Version
 from rhubarbferry.cell.logs import EventLog
 from rhubarbferry.cell.routes import RouteTable
 from rhubarbferry.ports.clock import Clock
@@ -26,7 +26,7 @@
 
 
 @define(kw_only=True, eq=False)
-class ConfigurationFeed:
+class ConfigurationWatcher:
     """The configuration in force in this process.
 
     :param key: key of the configuration in the store.
@@ -43,10 +43,10 @@
     decode: Decode
     history_s: float
     routes: RouteTable | None = None
-    _watcher: KeyFollower = field(init=False)
+    _watcher: KeyWatcher = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._watcher = KeyFollower(
+        self._watcher = KeyWatcher(
             clock=self.clock,
             store=self.store,
             log=self.log,
--- a/rhubarbferry/cell/decision_log.py
+++ b/rhubarbferry/cell/decision_log.py
@@ -5,8 +5,8 @@
 from attrs import define
 from prometheus_client import Counter, Histogram
 
-from rhubarbferry.cell.advice_desk import Assignment
 from rhubarbferry.cell.logs import EventLog
+from rhubarbferry.cell.policy_requests import Assignment
 from rhubarbferry.dispatch.dispatcher import Dispatcher
 from rhubarbferry.dispatch.messages import (
     OrderResult,
--- a/rhubarbferry/cell/acceptance.py
+++ b/rhubarbferry/cell/direct_calls.py
@@ -40,13 +40,13 @@
 
 
 @define(kw_only=True, eq=False)
-class Acceptance:
+class DirectJobCalls:
     """Serve job calls directly from the store.
 
     No owner is required: any process can accept jobs at any time.
 
     :param owner: receives a notice of each new job, so that the job starts without delay.
-    :param reached: returns whether the store currently answers this process. If not, no
+    :param store_reachable: returns whether the store currently answers this process. If not, no
         calls are sent, because they would only fail: in an outage their number would grow,
         and each call to the store is charged.
     """
@@ -55,7 +55,7 @@
     store: TxnStore
     log: EventLog
     owner: OwnerClient
-    reached: Callable[[], bool]
+    store_reachable: Callable[[], bool]
 
     async def submit(self, record: JobRecord, *, deadline: float) -> Accepted:
         """Accept a job durably, or report whether it may have been accepted.
@@ -142,7 +142,7 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
 
     def _check_store_reachable(self) -> None:
-        if not self.reached():
+        if not self.store_reachable():
             raise StoreUnavailable("the store does not currently answer this process")
 
     def _cancel_txn(self, id: str) -> Txn:
--- a/rhubarbferry/cell/detour.py
+++ b/rhubarbferry/cell/fallback_calls.py
@@ -33,7 +33,7 @@
 
 
 @define(kw_only=True, eq=False)
-class DetouredCalls:
+class FallbackJobCalls:
     """Serve job calls directly from the store, with other processes as the fallback path.
 
     The store may reject or ignore the calls of single processes while it serves the others. Without
@@ -41,7 +41,7 @@
 
     :param direct: serves calls directly from the store.
     :param owner: returns phases of jobs in progress, which saves calls to the store.
-    :param reached: returns whether the store currently answers this process.
+    :param store_reachable: returns whether the store currently answers this process.
     """
 
     clock: Clock
@@ -51,7 +51,7 @@
     peers: PeerClient
     direct: JobCalls
     owner: OwnerClient
-    reached: Callable[[], bool]
+    store_reachable: Callable[[], bool]
 
     async def submit(self, record: JobRecord, *, deadline: float) -> Accepted:
         """Accept a job durably, or report whether it may have been accepted."""
@@ -129,7 +129,7 @@
         :returns: the results received, up to and including the first conclusive one.
         """
         direct_task = asyncio.create_task(direct)
-        await asyncio.wait({direct_task}, timeout=HEDGE_DELAY_S if self.reached() else 0.0)
+        await asyncio.wait({direct_task}, timeout=HEDGE_DELAY_S if self.store_reachable() else 0.0)
         if direct_task.done() and conclusive(direct_task.result()):
             return [direct_task.result()]
         peer_task = asyncio.create_task(self._call_peers(call, via_peer, conclusive, deadline))
--- a/rhubarbferry/cell/hand_over.py
+++ b/rhubarbferry/cell/hand_over.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from rhubarbferry.cell.context import Surroundings, Tenure
 from rhubarbferry.cell.members import Member, successors
+from rhubarbferry.cell.term_context import ProcessContext, Tenure
 
 # Number of successors that an owner asks to take over before it gives up.
 MAX_SUCCESSORS_TRIED = 2
 
 
-async def hand_over(around: Surroundings, tenure: Tenure) -> Member | None:
+async def hand_over(process: ProcessContext, tenure: Tenure) -> Member | None:
     """Have another process replace the owner's key while this one still schedules.
 
     If the key were deleted first, no task would start until another process has noticed that, has
@@ -17,11 +17,11 @@
 
     :returns: the new owner, ``None`` if no process has taken over.
     """
-    for member in successors(around.own, around.view)[:MAX_SUCCESSORS_TRIED]:
+    for member in successors(process.own, process.view)[:MAX_SUCCESSORS_TRIED]:
         if not tenure.holds():
             return None
-        taken = await around.peers.take_over(member, tenure.fence)
-        around.log.emit("owner.hands_over", fence=tenure.fence, to=member.name, outcome=taken)
+        taken = await process.peers.take_over(member, tenure.fence)
+        process.log.emit("owner.hands_over", fence=tenure.fence, to=member.name, outcome=taken)
         if taken:
             tenure.handed_over = True
             return member
--- a/rhubarbferry/cell/host_poller.py
+++ b/rhubarbferry/cell/host_poller.py
@@ -6,8 +6,8 @@
 
 from attrs import define
 
-from rhubarbferry.cell.context import TermContext
 from rhubarbferry.cell.loop_lag import LAG_GOAL_S
+from rhubarbferry.cell.term_context import TermContext
 from rhubarbferry.dispatch.hosts import MAX_POLL_WAIT_S, POLL_WAIT_S, Host
 from rhubarbferry.ports.workers import (
     FenceStale,
@@ -62,7 +62,7 @@
         A process whose event loop lags polls less often. Most polls report no end, and the host
         answers an open poll as soon as a task ends in any case.
         """
-        return min(MAX_POLL_WAIT_S, POLL_WAIT_S * max(1.0, self.ctx.around.lag_s() / LAG_GOAL_S))
+        return min(MAX_POLL_WAIT_S, POLL_WAIT_S * max(1.0, self.ctx.process.lag_s() / LAG_GOAL_S))
 
     async def poll_once(self) -> None:
         """Poll once, without waiting for the end of a task."""
@@ -74,7 +74,7 @@
         ctx = self.ctx
         sent_at = ctx.now()
         entry = host.entry
-        deadline_s = host.extend_leases(sent_at, ctx.around.cfg.bounds.task_lease_s)
+        deadline_s = host.extend_leases(sent_at, ctx.process.cfg.bounds.task_lease_s)
         # The host reports ends after `forget_to` at once, so waiting has no effect while some of
         # them are not recorded. The first poll only reads the host's clock.
         host.poll_wait_s = self.poll_wait_s()
@@ -87,17 +87,17 @@
             patience_s=RESPONSE_MARGIN_S if host.adopted else FIRST_RESPONSE_MARGIN_S,
         )
         try:
-            report = await ctx.around.workers.hold(entry, req)
+            report = await ctx.process.workers.hold(entry, req)
         except FenceStale as exc:
             ctx.tenure.end(f"host {self.id}: {exc}")
             return False
         except WorkerGone as exc:
-            ctx.around.log.emit("host.gone", host=self.id, reason=str(exc))
+            ctx.process.log.emit("host.gone", host=self.id, reason=str(exc))
             ctx.dispatcher.host_gone(self.id, now=ctx.now())
             ctx.wake.set()
             return False
         except WorkerError as exc:
-            ctx.around.log.emit("host.silent", host=self.id, reason=str(exc)[:200])
+            ctx.process.log.emit("host.silent", host=self.id, reason=str(exc)[:200])
             return False
         if host.entry.incarnation != entry.incarnation and (
             report.incarnation != host.entry.incarnation
@@ -106,7 +106,7 @@
         was_adopted = host.adopted
         ctx.dispatcher.handle_report(self.id, report, sent_at=sent_at, now=ctx.now())
         if not was_adopted:
-            ctx.around.log.emit(
+            ctx.process.log.emit(
                 "host.adopted",
                 host=self.id,
                 incarnation=report.incarnation,
--- a/rhubarbferry/cell/inbox.py
+++ b/rhubarbferry/cell/job_watch.py
@@ -7,9 +7,9 @@
 from attrs import define, evolve, field
 
 from rhubarbferry.cell import keys
-from rhubarbferry.cell.context import OwnershipLost, TermContext
-from rhubarbferry.cell.following import PrefixFollower
 from rhubarbferry.cell.owner_calls import AcceptedJob
+from rhubarbferry.cell.prefix_watch import PrefixWatcher
+from rhubarbferry.cell.term_context import OwnershipLost, TermContext
 from rhubarbferry.dispatch.job import Job, JobPhase
 from rhubarbferry.dispatch.record import (
     JobRecord,
@@ -45,7 +45,7 @@
 
 
 @define(kw_only=True, eq=False)
-class Inbox:
+class JobWatcher:
     """Pass jobs and cancellations from the store to the dispatcher.
 
     :ivar loaded: whether all jobs in progress at the takeover have been read.
@@ -56,10 +56,10 @@
     ctx: TermContext
     loaded: bool = False
     without_state: set[str] = field(factory=set)
-    _watcher: PrefixFollower = field(init=False)
+    _watcher: PrefixWatcher = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._watcher = self.ctx.around.follow(keys.CELL)
+        self._watcher = self.ctx.process.watch_prefix(keys.CELL)
 
     async def load(self) -> None:
         """Read all jobs that are in the store at the takeover.
@@ -71,7 +71,7 @@
         :raises StoreError: when the store can't be read.
         :raises OwnershipLost: when another process owns the work.
         """
-        store = self.ctx.around.store
+        store = self.ctx.process.store
         # An earlier attempt may have received only one of the two listings.
         self._watcher.restart()
         stored, listing = await asyncio.gather(
@@ -91,7 +91,7 @@
             try:
                 await self._watch_once()
             except StoreError as exc:
-                self.ctx.around.log.emit("watch.failed", prefix=keys.CELL, reason=str(exc)[:200])
+                self.ctx.process.log.emit("watch.failed", prefix=keys.CELL, reason=str(exc)[:200])
                 await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _watch_once(self) -> None:
@@ -104,7 +104,7 @@
                     await asyncio.sleep(BATCH_DELAY_S)
 
     def _apply_events(self, events: tuple[WatchEvent, ...]) -> None:
-        self.ctx.around.view.apply(events)
+        self.ctx.process.view.apply(events)
         for event in events:
             match event:
                 case KeyPut(kv=kv):
@@ -136,8 +136,8 @@
 
     async def _apply_listing(self, listing: Listing, states: dict[str, KeyValue]) -> None:
         control = (item for item in listing.items if item.key.startswith(keys.CONTROL))
-        self.ctx.around.view.replace(control, revision=listing.revision)
-        ownership = self.ctx.around.view.ownership
+        self.ctx.process.view.replace(control, revision=listing.revision)
+        ownership = self.ctx.process.view.ownership
         if ownership is None or ownership.fence != self.ctx.tenure.fence:
             self._end_tenure("its key was removed or replaced")
         # Process jobs first: the cancellation of an unknown job is taken for that of an ended one.
@@ -178,11 +178,11 @@
         try:
             job = self._make_job(kv, state, inherited=inherited)
         except RecordError as exc:
-            self.ctx.around.log.emit("job.unreadable", job=id, reason=str(exc))
+            self.ctx.process.log.emit("job.unreadable", job=id, reason=str(exc))
             return
-        wall_s = self.ctx.around.clock.wall()
+        wall_s = self.ctx.process.clock.wall()
         self.ctx.dispatcher.add_job(job, now=self.ctx.now(), wall_s=wall_s)
-        self.ctx.around.log.emit(
+        self.ctx.process.log.emit(
             "job.taken",
             job=id,
             queue=job.queue.name,
@@ -195,7 +195,7 @@
 
     def _make_job(self, kv: KeyValue, state: KeyValue, *, inherited: bool) -> Job:
         record = decode_request(kv.value)
-        routes = self.ctx.around.routes()
+        routes = self.ctx.process.routes()
         queue = routes.queues.get(record.queue.name) if routes is not None else None
         job = Job(
             req=record.req,
@@ -216,7 +216,7 @@
         If a job that waited during a takeover were treated as new, it would be ordered before jobs
         that can still meet their objective. An inaccurate clock changes this order only slightly.
         """
-        age_s = self.ctx.around.clock.wall() - record.accepted_at_s
+        age_s = self.ctx.process.clock.wall() - record.accepted_at_s
         return age_s if 0.0 < age_s < MAX_JOB_AGE_S else 0.0
 
     def _cancel_job(self, kv: KeyValue) -> None:
@@ -229,4 +229,6 @@
         else:
             self.ctx.removable.append(id)
             outcome = "had ended"
-        self.ctx.around.log.emit("job.cancelled", job=id, revision=kv.mod_revision, outcome=outcome)
+        self.ctx.process.log.emit(
+            "job.cancelled", job=id, revision=kv.mod_revision, outcome=outcome
+        )
--- a/rhubarbferry/cell/key_following.py
+++ b/rhubarbferry/cell/key_watch.py
@@ -6,8 +6,8 @@
 
 from attrs import define, frozen
 
-from rhubarbferry.cell.following import RELIST_HISTORY_SHARE
 from rhubarbferry.cell.logs import EventLog
+from rhubarbferry.cell.prefix_watch import RELIST_HISTORY_SHARE
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.store import (
     Committed,
@@ -47,7 +47,7 @@
 
 
 @define(kw_only=True, eq=False)
-class KeyFollower:
+class KeyWatcher:
     """Return new values of one key, which may be large.
 
     The watch starts from the last revision at which the value was known to be current. An empty
--- a/rhubarbferry/cell/logs.py
+++ b/rhubarbferry/cell/logs.py
@@ -94,7 +94,7 @@
         return True
 
 
-def set_up(*, member: str) -> EventLog:
+def configure_logging(*, member: str) -> EventLog:
     """Return the process's log, and route the log lines of loguru to it as well."""
     log = EventLog(member=member, writer=LineWriter(fd=sys.stdout.fileno()))
 
--- a/rhubarbferry/cell/orders.py
+++ b/rhubarbferry/cell/orders.py
@@ -9,12 +9,12 @@
 
 from attrs import define, field
 
-from rhubarbferry.cell.advice_desk import AdviceDesk, Assignment
-from rhubarbferry.cell.context import TermContext
 from rhubarbferry.cell.decision_log import DecisionLog
 from rhubarbferry.cell.host_poller import HostPoller
 from rhubarbferry.cell.loop_lag import LAG_GOAL_S
 from rhubarbferry.cell.members import Member
+from rhubarbferry.cell.policy_requests import Assignment, PolicyRequestQueue
+from rhubarbferry.cell.term_context import TermContext
 from rhubarbferry.dispatch.hosts import Host
 from rhubarbferry.dispatch.messages import (
     ApprovalRequest,
@@ -46,16 +46,16 @@
     ctx: TermContext
     log: DecisionLog
     spawn: Callable[[Coroutine[Any, Any, None]], None]
-    _desk: AdviceDesk = field(init=False)
+    _policy_requests: PolicyRequestQueue = field(init=False)
     _calls: int = 0
 
     def __attrs_post_init__(self) -> None:
-        own = self.ctx.around.own
-        self._desk = AdviceDesk(own=own.name, region=own.region)
+        own = self.ctx.process.own
+        self._policy_requests = PolicyRequestQueue(own=own.name, region=own.region)
 
     def start_capacity(self) -> float:
         """Return how many more tasks may be started now, ``inf`` if the lag is within its goal."""
-        lag_s = self.ctx.around.lag_s()
+        lag_s = self.ctx.process.lag_s()
         if lag_s <= LAG_GOAL_S:
             return math.inf
         return max(MIN_CONCURRENT_CALLS, MAX_CONCURRENT_CALLS * LAG_GOAL_S / lag_s) - self._calls
@@ -71,11 +71,13 @@
                 self.spawn(self._pace(order))
             case ApprovalRequest():
                 job = self.ctx.dispatcher.jobs.get(order.step.job)
-                self._desk.add(order, priority=job.queue.priority if job is not None else 0)
+                self._policy_requests.add(
+                    order, priority=job.queue.priority if job is not None else 0
+                )
 
     def request_approvals(self, members: list[Member]) -> None:
         """Distribute the queued approval requests among the processes of the cell."""
-        for assignment in self._desk.assign(members):
+        for assignment in self._policy_requests.assign(members):
             self.spawn(self._request_approval(assignment))
 
     @contextmanager
@@ -99,7 +101,9 @@
 
     async def _call_start(self, host: Host, order: StartOrder) -> None:
         sent_at = self.ctx.now()
-        result = await self.ctx.around.workers.start(host.entry, order, fence=self.ctx.tenure.fence)
+        result = await self.ctx.process.workers.start(
+            host.entry, order, fence=self.ctx.tenure.fence
+        )
         now = self.ctx.now()
         self.log.start(order, result, took_s=now - sent_at, fence=self.ctx.tenure.fence)
         self.ctx.dispatcher.start_answered(order.host, order.task, order.attempt, result, now=now)
@@ -134,7 +138,7 @@
         if host is None:
             return
         with self._log_failures(order, self.log.stop):
-            clock_s = await self.ctx.around.workers.stop(
+            clock_s = await self.ctx.process.workers.stop(
                 host.entry, order, fence=self.ctx.tenure.fence
             )
             self.log.stop(order, outcome="taken")
@@ -146,7 +150,7 @@
         if host is None:
             return
         with self._log_failures(order, self.log.pace):
-            await self.ctx.around.workers.pace(host.entry, order, fence=self.ctx.tenure.fence)
+            await self.ctx.process.workers.pace(host.entry, order, fence=self.ctx.tenure.fence)
             self.log.pace(order, outcome="taken")
             self.ctx.dispatcher.pace_answered(
                 order.host, order.task, order.attempt, order.percent, now=self.ctx.now()
@@ -176,14 +180,14 @@
         timeout_s = order.cost.duration_s(len(order.hosts)) + APPROVAL_TIMEOUT_MARGIN_S
         try:
             if (
-                assignment.member.name == self.ctx.around.own.name
-                and self.ctx.around.policy is not None
+                assignment.member.name == self.ctx.process.own.name
+                and self.ctx.process.policy is not None
             ):
-                response = await self.ctx.around.policy.ask(
+                response = await self.ctx.process.policy.ask(
                     order.step, order.hosts, timeout_s=timeout_s
                 )
             else:
-                response = await self.ctx.around.peers.ask_approval(
+                response = await self.ctx.process.peers.ask_approval(
                     assignment.member, order.step, order.hosts, timeout_s=timeout_s
                 )
         except WorkerError as exc:
@@ -203,5 +207,5 @@
                 now=now,
             )
         finally:
-            self._desk.done(assignment.member.name)
+            self._policy_requests.done(assignment.member.name)
             self.ctx.wake.set()
--- a/rhubarbferry/cell/owner_client.py
+++ b/rhubarbferry/cell/owner_client.py
@@ -10,7 +10,7 @@
 
 from rhubarbferry.cell.members import CellView, Member
 from rhubarbferry.cell.owner_calls import AcceptedJob, OwnerCalls
-from rhubarbferry.cell.peers import PeerClient, Silence
+from rhubarbferry.cell.peers import NoReply, PeerClient
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.ports.clock import Clock
 
@@ -79,7 +79,7 @@
         if ownership.fence == self._unresponsive_fence and now < self._retry_at:
             return None
         reply = await self.peers.owned_phase(ownership.owner, id, timeout_s=OWNER_TIMEOUT_S)
-        if isinstance(reply, Silence):
+        if isinstance(reply, NoReply):
             self._unresponsive_fence = ownership.fence
             self._retry_at = now + OWNER_BACKOFF_S
             OWNER_REQUESTS.labels("no answer").inc()
--- a/rhubarbferry/cell/owner_monitor.py
+++ b/rhubarbferry/cell/owner_monitor.py
@@ -10,7 +10,7 @@
 from rhubarbferry.cell.candidate import ELECTION_STAGGER_S
 from rhubarbferry.cell.logs import EventLog
 from rhubarbferry.cell.members import CellView, Member, Ownership, successors
-from rhubarbferry.cell.peers import PeerClient, Reach
+from rhubarbferry.cell.peers import PeerClient, PingResult
 from rhubarbferry.ports.clock import Clock
 
 # Interval between two pings of the owner.
@@ -102,10 +102,10 @@
         refused = unanswered = 0
         while refused < MAX_MISSED_PINGS and unanswered < self.max_missed_pings():
             match await self._ping(ownership.owner):
-                case Reach.ANSWERED:
+                case PingResult.ANSWERED:
                     await self.clock.sleep(PING_INTERVAL_S)
                     return False
-                case Reach.REFUSED:
+                case PingResult.REFUSED:
                     refused += 1
             unanswered += 1
             await self.clock.sleep(PING_RETRY_INTERVAL_S)
@@ -119,9 +119,9 @@
             :CONNECTIVITY_PROBES
         ]
         results = await asyncio.gather(*(self._ping(member) for member in others))
-        return not others or Reach.ANSWERED in results
+        return not others or PingResult.ANSWERED in results
 
-    async def _ping(self, member: Member) -> Reach:
+    async def _ping(self, member: Member) -> PingResult:
         return await self.peers.ping(member, timeout_s=PING_TIMEOUT_S)
 
     async def _replace(self, ownership: Ownership, position: int) -> None:
--- a/rhubarbferry/cell/peers.py
+++ b/rhubarbferry/cell/peers.py
@@ -59,13 +59,13 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Silence:
+class NoReply:
     """Result of a call that another process did not answer."""
 
     reason: str
 
 
-class Reach(Enum):
+class PingResult(Enum):
     """Result of a ping to another process.
 
     REFUSED means that its host refused the connection, so that nothing listens at its address;
@@ -117,14 +117,14 @@
 
     async def owned_phase(
         self, member: Member, id: str, *, timeout_s: float
-    ) -> JobPhase | Silence | None:
+    ) -> JobPhase | NoReply | None:
         """Return the phase of a job according to the owner, ``None`` when the owner has none."""
         try:
             reply = await self._call(
                 member, "owned_phase", OwnedPhaseRequest(job=id), timeout_s=timeout_s
             )
         except RpcError as exc:
-            return Silence(reason=str(exc))
+            return NoReply(reason=str(exc))
         return JobPhase(reply.phase) if reply.phase is not None else None
 
     async def ask_approval(
@@ -177,16 +177,16 @@
             return False
         return reply.taken
 
-    async def ping(self, member: Member, *, timeout_s: float) -> Reach:
+    async def ping(self, member: Member, *, timeout_s: float) -> PingResult:
         """Check that another process answers."""
         try:
             async with asyncio.timeout(timeout_s + self._extra_s()):
                 await self._call(member, "ping", PingRequest(), timeout_s=timeout_s)
         except PeerRefused:
-            return Reach.REFUSED
+            return PingResult.REFUSED
         except (RpcError, TimeoutError):
-            return Reach.SILENT
-        return Reach.ANSWERED
+            return PingResult.SILENT
+        return PingResult.ANSWERED
 
     async def submit(self, member: Member, record: JobRecord, *, timeout_s: float) -> Accepted:
         """Submit a job through another process."""
--- a/rhubarbferry/cell/advice_desk.py
+++ b/rhubarbferry/cell/policy_requests.py
@@ -43,7 +43,7 @@
 
 
 @define(kw_only=True, eq=False)
-class AdviceDesk:
+class PolicyRequestQueue:
     """Queue of requests for the policy service, and the requests in progress.
 
     Each process sends one request at a time. Processes are ordered by distance: this process, then
--- a/rhubarbferry/cell/following.py
+++ b/rhubarbferry/cell/prefix_watch.py
@@ -15,7 +15,7 @@
 
 
 @define(kw_only=True, eq=False)
-class PrefixFollower:
+class PrefixWatcher:
     """Return listings and changes of one prefix in the order of their revisions.
 
     A watch can fail to deliver changes, and its empty answer then carries a revision after them.
--- a/rhubarbferry/cell/recorder.py
+++ b/rhubarbferry/cell/recorder.py
@@ -9,7 +9,7 @@
 from prometheus_client import Counter, Histogram
 
 from rhubarbferry.cell import keys
-from rhubarbferry.cell.context import OwnershipLost, TermContext
+from rhubarbferry.cell.term_context import OwnershipLost, TermContext
 from rhubarbferry.dispatch.job import Job
 from rhubarbferry.dispatch.record import encode_state
 from rhubarbferry.ports.store import (
@@ -114,7 +114,7 @@
                 put.append(Put(key=key, value=snapshot.value))
         txn = Txn(expect=tuple(expect), put=tuple(put), delete=tuple(delete))
         try:
-            result = await self.ctx.around.store.commit(txn)
+            result = await self.ctx.process.store.commit(txn)
         except StoreError as exc:
             # The result is unknown or the write was refused, so the jobs stay dirty. Each write is
             # conditional on the key's last revision, so a delayed write can't overwrite a newer
@@ -135,7 +135,7 @@
         for snapshot in group:
             snapshot.job.record_revision = revision
             STATES_RECORDED.inc()
-            self.ctx.around.log.emit(
+            self.ctx.process.log.emit(
                 "job.recorded",
                 job=snapshot.job.id,
                 phase=snapshot.job.phase.value,
@@ -161,6 +161,6 @@
     def _retry_later(self, group: list[_Snapshot], reason: str) -> None:
         for snapshot in group:
             self.ctx.dispatcher.dirty.setdefault(snapshot.job.id, snapshot.job)
-        self.ctx.around.log.emit(
+        self.ctx.process.log.emit(
             "job.not_recorded", jobs=[snapshot.job.id for snapshot in group], reason=reason
         )
--- a/rhubarbferry/cell/roster.py
+++ b/rhubarbferry/cell/roster.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 
 from rhubarbferry.cell import keys
-from rhubarbferry.cell.context import OwnershipLost, Tenure
+from rhubarbferry.cell.term_context import OwnershipLost, Tenure
 from rhubarbferry.dispatch.takeover import RosterEntry
 from rhubarbferry.ports.store import Conflict, Expect, KeyValue, Put, Txn, TxnStore
 
--- a/rhubarbferry/cell/term.py
+++ b/rhubarbferry/cell/term.py
@@ -10,17 +10,17 @@
 
 from rhubarbferry.cell import keys
 from rhubarbferry.cell.cleaner import Cleaner
-from rhubarbferry.cell.context import OwnershipLost, Surroundings, Tenure, TermContext
 from rhubarbferry.cell.decision_log import DecisionLog
 from rhubarbferry.cell.hand_over import hand_over
 from rhubarbferry.cell.host_poller import HostPoller
-from rhubarbferry.cell.inbox import Inbox
+from rhubarbferry.cell.job_watch import JobWatcher
 from rhubarbferry.cell.lease import LEASE_TTL_S
 from rhubarbferry.cell.members import Member, successors
 from rhubarbferry.cell.orders import OrderExecutor
 from rhubarbferry.cell.owner_calls import AcceptedJob
 from rhubarbferry.cell.recorder import Recorder
 from rhubarbferry.cell.roster import Roster
+from rhubarbferry.cell.term_context import OwnershipLost, ProcessContext, Tenure, TermContext
 from rhubarbferry.dispatch.dispatcher import Dispatcher
 from rhubarbferry.dispatch.hosts import LEASE_EXPIRY_MARGIN_S, MAX_CLOCK_DRIFT
 from rhubarbferry.dispatch.job import JobPhase
@@ -61,11 +61,11 @@
     :ivar overloaded: whether the jobs were handed over because loading them took too long.
     """
 
-    around: Surroundings
+    process: ProcessContext
     tenure: Tenure
     ctx: TermContext = field(init=False)
     _roster: Roster = field(init=False)
-    _inbox: Inbox = field(init=False)
+    _job_watcher: JobWatcher = field(init=False)
     _recorder: Recorder = field(init=False)
     _log: DecisionLog = field(init=False)
     _executor: OrderExecutor = field(init=False)
@@ -77,8 +77,8 @@
     overloaded: bool = False
 
     def __attrs_post_init__(self) -> None:
-        self._took_over_at = self.around.clock.monotonic()
-        lease_s = self.around.cfg.bounds.task_lease_s
+        self._took_over_at = self.process.clock.monotonic()
+        lease_s = self.process.cfg.bounds.task_lease_s
         takeover = Takeover(
             leases_expire_at=self._took_over_at
             + LEASE_TTL_S
@@ -86,19 +86,19 @@
             + LEASE_EXPIRY_MARGIN_S
         )
         self.ctx = TermContext(
-            around=self.around,
+            process=self.process,
             tenure=self.tenure,
             dispatcher=Dispatcher(takeover=takeover, lease_s=lease_s),
         )
-        self._roster = Roster(store=self.around.store, tenure=self.tenure)
-        self._inbox = Inbox(ctx=self.ctx)
+        self._roster = Roster(store=self.process.store, tenure=self.tenure)
+        self._job_watcher = JobWatcher(ctx=self.ctx)
         self._recorder = Recorder(ctx=self.ctx)
-        self._log = DecisionLog(log=self.around.log)
+        self._log = DecisionLog(log=self.process.log)
         self._executor = OrderExecutor(ctx=self.ctx, log=self._log, spawn=self._spawn)
 
     def pending(self, queue: str) -> int | None:
         """Return how many jobs of a queue have not started, or ``None`` if unknown."""
-        if not self.tenure.holds() or not self._inbox.loaded:
+        if not self.tenure.holds() or not self._job_watcher.loaded:
             return None
         return self.ctx.dispatcher.count_pending(queue)
 
@@ -108,7 +108,7 @@
         A final phase is reported only once it is stored. Otherwise a client could see a job as
         complete and the next owner could run it again.
         """
-        if not self.tenure.holds() or not self._inbox.loaded:
+        if not self.tenure.holds() or not self._job_watcher.loaded:
             return None
         dispatcher = self.ctx.dispatcher
         job = dispatcher.jobs.get(id)
@@ -121,16 +121,16 @@
 
         :returns: whether the job was added.
         """
-        return self._inbox.accepted(job)
+        return self._job_watcher.accepted(job)
 
     async def run(self) -> None:
         """Run the term; return when the ownership has ended."""
         try:
             await self._load_or_hand_over()
             async with asyncio.TaskGroup() as self._tasks:
-                self._spawn(self._inbox.run())
+                self._spawn(self._job_watcher.run())
                 self._spawn(self._recorder.run())
-                cleaner = Cleaner(ctx=self.ctx, without_state=self._inbox.without_state)
+                cleaner = Cleaner(ctx=self.ctx, without_state=self._job_watcher.without_state)
                 self._spawn(cleaner.run())
                 self._spawn(self._follow_host_list())
                 self._spawn(self._hand_over_if_disconnected())
@@ -143,7 +143,7 @@
         try:
             await self._recorder.flush()
         except OwnershipLost as exc:
-            self.around.log.emit("term.unfinished", reason=str(exc))
+            self.process.log.emit("term.unfinished", reason=str(exc))
 
     def _spawn(self, call: Coroutine[Any, Any, None]) -> None:
         self._tasks.create_task(call)
@@ -158,7 +158,7 @@
         try:
             while not loading.done():
                 await asyncio.wait({loading}, timeout=LOAD_TIMEOUT_S)
-                if not loading.done() and self.around.keeper.store_reachable():
+                if not loading.done() and self.process.keeper.store_reachable():
                     await self._hand_over()
                 self.tenure.check()
             await loading
@@ -167,7 +167,7 @@
             await asyncio.gather(loading, return_exceptions=True)
 
     async def _hand_over(self) -> None:
-        member = await hand_over(self.around, self.tenure)
+        member = await hand_over(self.process, self.tenure)
         if member is not None:
             self.overloaded = True
             self.tenure.end(f"not loaded after {LOAD_TIMEOUT_S} s; passed on to {member.name}")
@@ -177,16 +177,16 @@
             self.tenure.check()
             try:
                 roster, _ = await asyncio.gather(
-                    self.around.store.get(keys.ROSTER), self._inbox.load()
+                    self.process.store.get(keys.ROSTER), self._job_watcher.load()
                 )
                 self._roster.load(roster)
                 break
             except StoreError as exc:
-                self.around.log.emit("term.not_loaded", reason=str(exc))
+                self.process.log.emit("term.not_loaded", reason=str(exc))
                 await asyncio.sleep(LOAD_RETRY_INTERVAL_S)
         takeover = self.ctx.dispatcher.takeover
         takeover.unconfirmed = dict(self._roster.entries)
-        self.around.log.emit(
+        self.process.log.emit(
             "term.loaded",
             fence=self.tenure.fence,
             jobs=len(self.ctx.dispatcher.jobs),
@@ -201,13 +201,13 @@
         """
         while True:
             await asyncio.sleep(STORE_CHECK_INTERVAL_S)
-            if self.around.keeper.store_reachable():
+            if self.process.keeper.store_reachable():
                 continue
             member = await self._find_connected_successor()
-            if member is not None and not self.around.keeper.store_reachable():
+            if member is not None and not self.process.keeper.store_reachable():
                 # This process must not act from here on, whatever the other process answers.
                 self.tenure.end(f"the store does not answer; handing over to {member.name}")
-                await self.around.peers.take_over(member, self.tenure.fence)
+                await self.process.peers.take_over(member, self.tenure.fence)
                 self.tenure.check()
 
     async def _find_connected_successor(self) -> Member | None:
@@ -217,8 +217,8 @@
         as the owner, and no job would start until the others find it unresponsive: three to four
         seconds.
         """
-        candidates = successors(self.around.own, self.around.view)
-        checks = [asyncio.create_task(self.around.peers.store_reached(m)) for m in candidates]
+        candidates = successors(self.process.own, self.process.view)
+        checks = [asyncio.create_task(self.process.peers.store_reached(m)) for m in candidates]
         pending = set(checks)
         try:
             reached = False
@@ -243,7 +243,7 @@
             try:
                 await self._read_host_list()
             except StoreError as exc:
-                self.around.log.emit("hosts.not_read", reason=str(exc))
+                self.process.log.emit("hosts.not_read", reason=str(exc))
             await asyncio.sleep(HOST_LIST_INTERVAL_S)
 
     def _poll_roster_hosts(self) -> None:
@@ -261,7 +261,7 @@
         apply_roster(self._roster.entries, self.ctx.dispatcher.tracker.hosts)
 
     async def _read_host_list(self) -> None:
-        entries = {entry.id: entry for entry in await self.around.directory.hosts()}
+        entries = {entry.id: entry for entry in await self.process.directory.hosts()}
         hosts = self.ctx.dispatcher.tracker.hosts
         await self._update_roster(entries)
         now = self.ctx.now()
@@ -275,7 +275,7 @@
                 self._start_polling(entry.id)
         for id, host in hosts.items():
             if id not in entries and host.listed:
-                self.around.log.emit("host.unlisted", host=id, runs=len(host.runs))
+                self.process.log.emit("host.unlisted", host=id, runs=len(host.runs))
                 self.ctx.dispatcher.host_unlisted(id)
         self.ctx.wake.set()
 
@@ -291,7 +291,7 @@
     def _log_listed_phase(self, entry: HostEntry) -> None:
         known = self.ctx.dispatcher.tracker.hosts.get(entry.id)
         if known is None or known.entry.phase is not entry.phase:
-            self.around.log.emit(
+            self.process.log.emit(
                 "host.listed",
                 host=entry.id,
                 incarnation=entry.incarnation,
@@ -334,7 +334,7 @@
     def _decide(self) -> None:
         dispatcher = self.ctx.dispatcher
         now = self.ctx.now()
-        routes = self.around.routes()
+        routes = self.process.routes()
         if routes is not None:
             dispatcher.configure(routes.queues, now=now)
         if now - self._rechecked_at >= STEP_RECHECK_INTERVAL_S:
@@ -342,7 +342,7 @@
             dispatcher.reconsider_all()
         unconfirmed = list(dispatcher.takeover.unconfirmed)
         orders = dispatcher.decide(
-            now=now, wall_s=self.around.clock.wall(), starts=self._executor.start_capacity()
+            now=now, wall_s=self.process.clock.wall(), starts=self._executor.start_capacity()
         )
         self._log_settled(unconfirmed, now)
         self._log.outcomes(dispatcher)
@@ -358,7 +358,7 @@
         if self._settled or not self.ctx.dispatcher.takeover_complete:
             return
         self._settled = True
-        self.around.log.emit(
+        self.process.log.emit(
             "term.settled",
             fence=self.tenure.fence,
             waited_s=round(now - self._took_over_at, 3),
@@ -366,6 +366,6 @@
         )
 
     def _members(self) -> list[Member]:
-        members = dict(self.around.view.members)
-        members.setdefault(self.around.own.name, self.around.own)
+        members = dict(self.process.view.members)
+        members.setdefault(self.process.own.name, self.process.own)
         return list(members.values())
--- a/rhubarbferry/cell/context.py
+++ b/rhubarbferry/cell/term_context.py
@@ -8,11 +8,11 @@
 from attrs import define, field, frozen
 
 from rhubarbferry.cell import keys
-from rhubarbferry.cell.following import PrefixFollower
 from rhubarbferry.cell.lease import LeaseKeeper
 from rhubarbferry.cell.logs import EventLog
 from rhubarbferry.cell.members import CellView, Member
 from rhubarbferry.cell.peers import PeerClient
+from rhubarbferry.cell.prefix_watch import PrefixWatcher
 from rhubarbferry.cell.routes import RouteTable
 from rhubarbferry.cell.settings import CellSettings
 from rhubarbferry.dispatch.dispatcher import Dispatcher
@@ -68,7 +68,7 @@
 
 
 @frozen(kw_only=True)
-class Surroundings:
+class ProcessContext:
     """Settings and collaborators of a process, whether or not it owns the work.
 
     :param own: this process as a member of the cell.
@@ -91,9 +91,9 @@
     routes: Callable[[], RouteTable | None]
     lag_s: Callable[[], float]
 
-    def follow(self, prefix: str) -> PrefixFollower:
+    def watch_prefix(self, prefix: str) -> PrefixWatcher:
         """Return a watcher of the keys under a prefix."""
-        return PrefixFollower(
+        return PrefixWatcher(
             clock=self.clock,
             store=self.store,
             log=self.log,
@@ -116,7 +116,7 @@
     :ivar removable: ids of jobs recorded as ended, whose requests can be removed from the store.
     """
 
-    around: Surroundings
+    process: ProcessContext
     tenure: Tenure
     dispatcher: Dispatcher
     wake: asyncio.Event = field(factory=asyncio.Event)
@@ -134,4 +134,4 @@
 
     def now(self) -> float:
         """Return the monotonic time in seconds."""
-        return self.around.clock.monotonic()
+        return self.process.clock.monotonic()
--- a/rhubarbferry/platform/__main__.py
+++ b/rhubarbferry/platform/__main__.py
@@ -19,11 +19,11 @@
     """Read the settings and run the process until it receives SIGTERM."""
     import asyncio
 
-    from rhubarbferry.cell.logs import set_up
+    from rhubarbferry.cell.logs import configure_logging
     from rhubarbferry.platform.process import Process, Signals, read_settings
     from rhubarbferry.platform.settings import SettingsFileError
 
-    log = set_up(member="starting")
+    log = configure_logging(member="starting")
     try:
         settings = read_settings()
     except SettingsFileError as exc:
--- a/rhubarbferry/platform/process.py
+++ b/rhubarbferry/platform/process.py
@@ -11,11 +11,10 @@
 from attrs import define, field
 from loguru import logger
 
-from rhubarbferry.cell.acceptance import Acceptance
 from rhubarbferry.cell.candidate import Candidate
-from rhubarbferry.cell.configuration import ConfigurationFeed
-from rhubarbferry.cell.context import Surroundings
-from rhubarbferry.cell.detour import DetouredCalls
+from rhubarbferry.cell.configuration_watch import ConfigurationWatcher
+from rhubarbferry.cell.direct_calls import DirectJobCalls
+from rhubarbferry.cell.fallback_calls import FallbackJobCalls
 from rhubarbferry.cell.lease import LeaseKeeper
 from rhubarbferry.cell.logs import EventLog
 from rhubarbferry.cell.loop_lag import LoopLag
@@ -25,6 +24,7 @@
 from rhubarbferry.cell.peer_server import PeerServer
 from rhubarbferry.cell.peers import PeerClient
 from rhubarbferry.cell.routes import RouteTable
+from rhubarbferry.cell.term_context import ProcessContext
 from rhubarbferry.platform.client_api import ClientApi
 from rhubarbferry.platform.configuration import KEY as CONFIGURATION_KEY
 from rhubarbferry.platform.configuration import ConfigurationError, decode_configuration
@@ -92,7 +92,7 @@
         self.store = PlatformStore(
             address=addresses.store, extra_timeout_s=self.loop_lag.per_call_s
         )
-        self.feed = ConfigurationFeed(
+        self.feed = ConfigurationWatcher(
             clock=self.clock,
             store=self.store,
             log=self.log,
@@ -109,7 +109,7 @@
         self.peers = PeerClient(extra_s=self.loop_lag.per_call_s)
         self.keeper = LeaseKeeper(clock=self.clock, store=self.store, log=self.log)
         self.candidate = Candidate(
-            around=Surroundings(
+            process=ProcessContext(
                 cfg=cfg,
                 clock=self.clock,
                 store=self.store,
@@ -132,12 +132,12 @@
             peers=self.peers,
             term=lambda: self.candidate.term,
         )
-        acceptance = Acceptance(
+        direct_calls = DirectJobCalls(
             clock=self.clock,
             store=self.store,
             log=self.log,
             owner=owner,
-            reached=self.keeper.store_reachable,
+            store_reachable=self.keeper.store_reachable,
         )
         self.owner_monitor = OwnerMonitor(
             clock=self.clock,
@@ -149,7 +149,7 @@
         )
         self.peer_server = PeerServer(
             clock=self.clock,
-            jobs=acceptance,
+            jobs=direct_calls,
             policy=self.policy,
             term=lambda: self.candidate.term,
             store_reached=self.candidate.reaches_store,
@@ -158,15 +158,15 @@
         self.api = ClientApi(
             clock=self.clock,
             log=self.log,
-            jobs=DetouredCalls(
+            jobs=FallbackJobCalls(
                 clock=self.clock,
                 log=self.log,
                 own=own,
                 view=self.view,
                 peers=self.peers,
-                direct=acceptance,
+                direct=direct_calls,
                 owner=owner,
-                reached=self.keeper.store_reachable,
+                store_reachable=self.keeper.store_reachable,
             ),
             routes=lambda: self.feed.routes,
             count_pending=owner.pending,
--- a/tests/cell/test_busy_owner.py
+++ b/tests/cell/test_busy_owner.py
@@ -29,7 +29,7 @@
 
 def context(lag_s: float = 0.0, **fields) -> SimpleNamespace:
     return SimpleNamespace(
-        around=SimpleNamespace(
+        process=SimpleNamespace(
             lag_s=lambda: lag_s,
             own=SimpleNamespace(name="own", region="region"),
             workers=Workers(),
--- a/tests/cell/test_candidate.py
+++ b/tests/cell/test_candidate.py
@@ -29,18 +29,21 @@
 
 
 def make_candidate() -> Candidate:
-    around = SimpleNamespace(
-        view=CellView(), log=FakeEventLog(), own=member("own"), follow=lambda prefix: Follower()
+    process = SimpleNamespace(
+        view=CellView(),
+        log=FakeEventLog(),
+        own=member("own"),
+        watch_prefix=lambda prefix: Follower(),
     )
-    return Candidate(around=around)
+    return Candidate(process=process)
 
 
 async def test_a_process_that_has_become_owner_still_sees_changes():
     """Guard against a watch that ignores changes after a win, so that no process schedules."""
     candidate = make_candidate()
-    candidate.around.view.set_owner(Ownership(owner=member("own"), fence=9, lease_id=1))
+    candidate.process.view.set_owner(Ownership(owner=member("own"), fence=9, lease_id=1))
     candidate._won.set()
     async with asyncio.timeout(TIMEOUT_S):
-        while candidate.around.view.ownership.fence == 9:
+        while candidate.process.view.ownership.fence == 9:
             await candidate._follow_changes(1.0)
-    assert candidate.around.view.ownership.owner.name == "later"
+    assert candidate.process.view.ownership.owner.name == "later"
--- a/tests/cell/test_configuration_feed.py
+++ b/tests/cell/test_configuration_watch.py
@@ -7,7 +7,7 @@
 import pytest
 from attrs import Factory, define
 
-from rhubarbferry.cell.configuration import RETRY_INTERVAL_S, ConfigurationFeed
+from rhubarbferry.cell.configuration_watch import RETRY_INTERVAL_S, ConfigurationWatcher
 from rhubarbferry.cell.routes import RouteTable
 from rhubarbferry.ports.store import KeyValue, Listing, StoreUnavailable
 from rhubarbferry.test.fake_clock import FakeClock
@@ -31,8 +31,8 @@
         raise StoreUnavailable("no answer")
 
 
-def configuration_watcher(clock: FakeClock, store) -> ConfigurationFeed:
-    return ConfigurationFeed(
+def configuration_watcher(clock: FakeClock, store) -> ConfigurationWatcher:
+    return ConfigurationWatcher(
         clock=clock,
         store=store,
         log=FakeEventLog(),
--- a/tests/cell/test_acceptance.py
+++ b/tests/cell/test_direct_calls.py
@@ -1,4 +1,4 @@
-"""Acceptance of jobs in the store, and the notices to the owner."""
+"""DirectJobCalls of jobs in the store, and the notices to the owner."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from attrs import Factory, define
 
 from rhubarbferry.cell import keys
-from rhubarbferry.cell.acceptance import Acceptance
+from rhubarbferry.cell.direct_calls import DirectJobCalls
 from rhubarbferry.cell.job_calls import Accepted
 from rhubarbferry.cell.owner_calls import AcceptedJob
 from rhubarbferry.dispatch.job import JobPhase
@@ -36,9 +36,13 @@
         self.notices.append(job)
 
 
-def direct_job_calls(store, owner: OwnerStub) -> Acceptance:
-    return Acceptance(
-        clock=SystemClock(), store=store, log=FakeEventLog(), owner=owner, reached=lambda: True
+def direct_job_calls(store, owner: OwnerStub) -> DirectJobCalls:
+    return DirectJobCalls(
+        clock=SystemClock(),
+        store=store,
+        log=FakeEventLog(),
+        owner=owner,
+        store_reachable=lambda: True,
     )
 
 
--- a/tests/cell/test_inbox.py
+++ b/tests/cell/test_job_watch.py
@@ -9,12 +9,12 @@
 
 from rhubarbferry.cell import keys
 from rhubarbferry.cell.cleaner import Cleaner
-from rhubarbferry.cell.context import OwnershipLost, Tenure, TermContext
-from rhubarbferry.cell.following import PrefixFollower
-from rhubarbferry.cell.inbox import Inbox
+from rhubarbferry.cell.job_watch import JobWatcher
 from rhubarbferry.cell.members import CellView, encode_member
 from rhubarbferry.cell.owner_calls import AcceptedJob
+from rhubarbferry.cell.prefix_watch import PrefixWatcher
 from rhubarbferry.cell.recorder import Recorder
+from rhubarbferry.cell.term_context import OwnershipLost, Tenure, TermContext
 from rhubarbferry.core.lease import Lease
 from rhubarbferry.dispatch.dispatcher import Dispatcher
 from rhubarbferry.dispatch.job import JobPhase
@@ -46,7 +46,7 @@
     return (await store.commit(Txn(put=(put,)))).revision
 
 
-async def inbox(store) -> Inbox:
+async def job_watcher(store) -> JobWatcher:
     fence = await take_ownership(store)
     clock = SystemClock()
     log = FakeEventLog()
@@ -57,18 +57,18 @@
         log=log,
         view=CellView(),
         routes=lambda: None,
-        follow=lambda prefix: PrefixFollower(
+        watch_prefix=lambda prefix: PrefixWatcher(
             clock=clock, store=store, log=log, prefix=prefix, history_s=20.0
         ),
     )
     ctx = TermContext(
-        around=process,
+        process=process,
         tenure=Tenure(
             keeper=SimpleNamespace(valid_lease=lambda: lease), lease_id=LEASE_ID, fence=fence
         ),
         dispatcher=Dispatcher(takeover=Takeover(leases_expire_at=0.0), lease_s=6.0),
     )
-    return Inbox(ctx=ctx)
+    return JobWatcher(ctx=ctx)
 
 
 def notice(id: str, *, revision: int, fence: int) -> AcceptedJob:
@@ -79,7 +79,7 @@
 async def test_jobs_in_progress_are_inherited_and_ended_jobs_are_not(store):
     await accept(store, "a")
     await accept(store, "b", JobPhase.COMPLETE)
-    watcher = await inbox(store)
+    watcher = await job_watcher(store)
     await watcher.load()
     dispatcher = watcher.ctx.dispatcher
     assert [job.inherited for job in dispatcher.jobs.values()] == [True]
@@ -91,7 +91,7 @@
     for index in range(1200):
         stand_in.put(f"{keys.ENDED}{index:016x}", {"phase": "complete"})
     await accept(store, "a")
-    watcher = await inbox(store)
+    watcher = await job_watcher(store)
     stand_in.calls.clear()
     await watcher.load()
     assert stand_in.calls["range"] == 2
@@ -103,7 +103,7 @@
     await accept(store, "a", JobPhase.COMPLETE)
     if not ended:
         await store.commit(Txn(delete=(keys.ENDED + "a",)))
-    watcher = await inbox(store)
+    watcher = await job_watcher(store)
     await watcher.load()
     cleaner = Cleaner(ctx=watcher.ctx, without_state=watcher.without_state)
     await cleaner._load()
@@ -112,7 +112,7 @@
 
 
 async def test_state_moves_to_its_own_prefix_when_the_job_ends(store):
-    watcher = await inbox(store)
+    watcher = await job_watcher(store)
     await watcher.load()
     revision = await accept(store, "a")
     assert watcher.accepted(notice("a", revision=revision, fence=watcher.ctx.tenure.fence))
@@ -126,14 +126,14 @@
 async def test_inherited_job_keeps_its_age_unless_a_clock_is_wrong(store, ago_s, age_s):
     """Guards against late jobs being ordered before jobs that can meet their objective."""
     await accept(store, "a", accepted_at_s=time.time() - ago_s)
-    watcher = await inbox(store)
+    watcher = await job_watcher(store)
     await watcher.load()
     (job,) = watcher.ctx.dispatcher.jobs.values()
     assert time.monotonic() - job.arrived_at == pytest.approx(age_s, abs=0.5)
 
 
 async def test_job_from_a_notice_and_the_watch_is_added_once(store):
-    watcher = await inbox(store)
+    watcher = await job_watcher(store)
     await watcher.load()
     revision = await accept(store, "a")
     assert watcher.accepted(notice("a", revision=revision, fence=watcher.ctx.tenure.fence))
@@ -145,7 +145,7 @@
 
 async def test_notice_of_a_job_under_another_ownership_is_ignored(store):
     """Guards against a delayed notice that makes a job run twice."""
-    watcher = await inbox(store)
+    watcher = await job_watcher(store)
     await watcher.load()
     assert not watcher.accepted(notice("a", revision=99, fence=watcher.ctx.tenure.fence - 1))
     assert watcher.ctx.dispatcher.jobs == {}
@@ -153,7 +153,7 @@
 
 async def test_owner_whose_key_was_replaced_stops_before_it_adds_later_jobs(store):
     """Guards against a former owner that starts a job of its successor."""
-    watcher = await inbox(store)
+    watcher = await job_watcher(store)
     await watcher.load()
     await take_ownership(store)
     await accept(store, "a")
--- a/tests/cell/test_key_following.py
+++ b/tests/cell/test_key_watch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rhubarbferry.cell.key_following import KeyFollower, Source
+from rhubarbferry.cell.key_watch import KeyWatcher, Source
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import StoreError
 
@@ -14,8 +14,8 @@
 KEY = "op/config"
 
 
-def key_watcher(store, *, history_s: float = 60.0) -> KeyFollower:
-    return KeyFollower(
+def key_watcher(store, *, history_s: float = 60.0) -> KeyWatcher:
+    return KeyWatcher(
         clock=SystemClock(), store=store, log=FakeEventLog(), key=KEY, history_s=history_s
     )
 
--- a/tests/cell/test_key_following_machine.py
+++ b/tests/cell/test_key_watch_machine.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from rhubarbferry.cell.key_following import SLOW_TRANSFER_S, KeyFollower, Source, Version
+from rhubarbferry.cell.key_watch import SLOW_TRANSFER_S, KeyWatcher, Source, Version
 from rhubarbferry.ports.store import (
     Changes,
     Committed,
@@ -103,7 +103,7 @@
         super().__init__()
         self.clock = FakeClock()
         self.store = FaultyStore()
-        self.follower = KeyFollower(
+        self.follower = KeyWatcher(
             clock=self.clock, store=self.store, log=FakeEventLog(), key=KEY, history_s=HISTORY_S
         )
         self.shown: list[Version] = []
--- a/tests/cell/test_owner_client.py
+++ b/tests/cell/test_owner_client.py
@@ -8,7 +8,7 @@
 from rhubarbferry.cell.members import CellView, Ownership
 from rhubarbferry.cell.owner_calls import AcceptedJob
 from rhubarbferry.cell.owner_client import OWNER_BACKOFF_S, PENDING_COUNT_TTL_S, OwnerClient
-from rhubarbferry.cell.peers import Silence
+from rhubarbferry.cell.peers import NoReply
 from rhubarbferry.dispatch.job import JobPhase
 from rhubarbferry.test.fake_clock import FakeClock
 
@@ -21,7 +21,7 @@
 class Peers:
     """Fake of the calls to other processes."""
 
-    answer: JobPhase | Silence | None = None
+    answer: JobPhase | NoReply | None = None
     asked: list[str] = Factory(list)
     notified: list[AcceptedJob] = Factory(list)
 
@@ -71,7 +71,7 @@
 
 async def test_an_unresponsive_owner_is_not_queried_again_at_once():
     """Guard against hundreds of clients that each wait for a frozen owner."""
-    peers = Peers(answer=Silence(reason="no answer"))
+    peers = Peers(answer=NoReply(reason="no answer"))
     client = make_client(peers)
     assert [await client.phase("j") for _ in range(3)] == [None] * 3
     assert peers.asked == ["j"]
--- a/tests/cell/test_owner_monitor.py
+++ b/tests/cell/test_owner_monitor.py
@@ -17,7 +17,7 @@
     PING_RETRY_INTERVAL_S,
     OwnerMonitor,
 )
-from rhubarbferry.cell.peers import Reach
+from rhubarbferry.cell.peers import PingResult
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import KeyPut, KeyValue
 from rhubarbferry.test.fake_clock import FakeClock
@@ -33,7 +33,7 @@
 class Peers:
     """Fake of the connections to other processes."""
 
-    reaches: dict[str, Reach]
+    reaches: dict[str, PingResult]
     pinged: list[str] = Factory(list)
     pinged_once: asyncio.Event = Factory(asyncio.Event)
 
@@ -75,11 +75,11 @@
 
 
 CASES = {
-    "the owner's process has exited": (Reach.REFUSED, Reach.ANSWERED, [FENCE]),
-    "the owner's host has lost power": (Reach.SILENT, Reach.ANSWERED, [FENCE]),
-    "the owner is healthy": (Reach.ANSWERED, Reach.ANSWERED, []),
-    "this process is disconnected from all": (Reach.SILENT, Reach.SILENT, []),
-    "no process may connect to another": (Reach.REFUSED, Reach.REFUSED, []),
+    "the owner's process has exited": (PingResult.REFUSED, PingResult.ANSWERED, [FENCE]),
+    "the owner's host has lost power": (PingResult.SILENT, PingResult.ANSWERED, [FENCE]),
+    "the owner is healthy": (PingResult.ANSWERED, PingResult.ANSWERED, []),
+    "this process is disconnected from all": (PingResult.SILENT, PingResult.SILENT, []),
+    "no process may connect to another": (PingResult.REFUSED, PingResult.REFUSED, []),
 }
 
 
@@ -94,10 +94,10 @@
 
 
 async def test_one_unanswered_ping_does_not_change_the_owner():
-    cell = Cell(peers=Peers(reaches={"owner": Reach.SILENT, "other": Reach.ANSWERED}))
+    cell = Cell(peers=Peers(reaches={"owner": PingResult.SILENT, "other": PingResult.ANSWERED}))
     running = asyncio.create_task(cell.monitor.run())
     await cell.peers.pinged_once.wait()
-    cell.peers.reaches["owner"] = Reach.ANSWERED
+    cell.peers.reaches["owner"] = PingResult.ANSWERED
     await asyncio.sleep(OUTCOME_S)
     running.cancel()
     assert cell.replaced == []
@@ -105,7 +105,7 @@
 
 async def test_an_owner_that_has_been_replaced_meanwhile_is_not_replaced_again():
     """Guard against a second change of the owner after a planned stop."""
-    cell = Cell(peers=Peers(reaches={"owner": Reach.REFUSED, "other": Reach.ANSWERED}))
+    cell = Cell(peers=Peers(reaches={"owner": PingResult.REFUSED, "other": PingResult.ANSWERED}))
     running = asyncio.create_task(cell.monitor.run())
     await cell.peers.pinged_once.wait()
     cell.owned_by("other", FENCE + 1)
@@ -116,7 +116,7 @@
 
 async def test_only_the_first_members_in_the_order_of_succession_ping_the_owner():
     """Guard against pings from all members, which would cost the owner more than scheduling."""
-    cell = Cell(peers=Peers(reaches={"owner": Reach.ANSWERED}))
+    cell = Cell(peers=Peers(reaches={"owner": PingResult.ANSWERED}))
     for number in range(MONITOR_COUNT):
         cell.view.members[f"later-{number}"] = member(f"later-{number}")
         cell.view.registered[f"later-{number}"] = 100 + number
@@ -137,9 +137,9 @@
 
 
 MISSED_PINGS = {
-    "old owner, unresponsive": (Reach.SILENT, False, MAX_MISSED_PINGS),
-    "new owner, unresponsive": (Reach.SILENT, True, NEW_OWNER_MAX_MISSED_PINGS),
-    "new owner, process has exited": (Reach.REFUSED, True, MAX_MISSED_PINGS),
+    "old owner, unresponsive": (PingResult.SILENT, False, MAX_MISSED_PINGS),
+    "new owner, unresponsive": (PingResult.SILENT, True, NEW_OWNER_MAX_MISSED_PINGS),
+    "new owner, process has exited": (PingResult.REFUSED, True, MAX_MISSED_PINGS),
 }
 
 
@@ -148,7 +148,7 @@
 )
 async def test_a_new_owner_may_miss_more_pings(owner, is_new, pings):
     """Guard against owners on busy processors that replace each other endlessly."""
-    cell = Cell(peers=Peers(reaches={"owner": owner, "other": Reach.ANSWERED}))
+    cell = Cell(peers=Peers(reaches={"owner": owner, "other": PingResult.ANSWERED}))
     cell.monitor.record_owner(cell.view.ownership)
     if is_new:
         cell.owned_by("owner", FENCE + 1)
@@ -157,7 +157,7 @@
 
 async def test_an_owner_is_new_for_a_limited_period():
     """Guard against a dead owner that is kept for longer than necessary."""
-    cell = Cell(peers=Peers(reaches={"owner": Reach.SILENT, "other": Reach.ANSWERED}))
+    cell = Cell(peers=Peers(reaches={"owner": PingResult.SILENT, "other": PingResult.ANSWERED}))
     cell.monitor.clock = FakeClock()
     for fence in (FENCE, FENCE + 1):
         cell.owned_by("owner", fence)
--- a/tests/cell/test_advice_desk.py
+++ b/tests/cell/test_policy_requests.py
@@ -5,7 +5,7 @@
 import pytest
 from attrs import evolve
 
-from rhubarbferry.cell.advice_desk import LONG_REQUEST_S, AdviceDesk
+from rhubarbferry.cell.policy_requests import LONG_REQUEST_S, PolicyRequestQueue
 from rhubarbferry.dispatch.messages import ApprovalCost, ApprovalRequest, StepId
 
 from .fakes import member
@@ -24,13 +24,15 @@
     return ApprovalRequest(step=StepId(job=job, occurrence=0, step=0), hosts=("a",), cost=cost)
 
 
-def add_and_assign(queue: AdviceDesk, *requests: tuple[str, ApprovalCost]) -> list[tuple[str, str]]:
+def add_and_assign(
+    queue: PolicyRequestQueue, *requests: tuple[str, ApprovalCost]
+) -> list[tuple[str, str]]:
     for job, cost in requests:
         queue.add(request_for(job, cost), priority=0)
     return assigned(queue)
 
 
-def assigned(queue: AdviceDesk) -> list[tuple[str, str]]:
+def assigned(queue: PolicyRequestQueue) -> list[tuple[str, str]]:
     return [(item.order.step.job, item.member.name) for item in queue.assign(MEMBERS)]
 
 
@@ -55,11 +57,11 @@
 @pytest.mark.parametrize(("requests", "assignments"), ASSIGNED.values(), ids=ASSIGNED.keys())
 def test_requests_are_assigned_to_idle_processes(requests, assignments):
     """Guards against short requests that wait behind long ones."""
-    assert add_and_assign(AdviceDesk(own="own", region="region"), *requests) == assignments
+    assert add_and_assign(PolicyRequestQueue(own="own", region="region"), *requests) == assignments
 
 
 def test_process_sends_one_request_at_a_time():
-    queue = AdviceDesk(own="own", region="region")
+    queue = PolicyRequestQueue(own="own", region="region")
     add_and_assign(queue, *[(job, SHORT) for job in "abcde"])
     assert assigned(queue) == []
     queue.done("far")
@@ -68,7 +70,7 @@
 
 def test_long_request_counts_until_it_is_answered():
     """Guards against long requests that occupy all processes."""
-    queue = AdviceDesk(own="own", region="region")
+    queue = PolicyRequestQueue(own="own", region="region")
     add_and_assign(queue, ("a", LONG), ("b", LONG))
     assert add_and_assign(queue, ("c", LONG)) == []
     queue.done("farther")
@@ -76,7 +78,7 @@
 
 
 def test_lower_priority_number_is_assigned_first():
-    queue = AdviceDesk(own="own", region="region")
+    queue = PolicyRequestQueue(own="own", region="region")
     for job, priority in [("late", 2), ("soon", 0), ("next", 1)]:
         queue.add(request_for(job, SHORT), priority=priority)
     assert [job for job, _ in assigned(queue)] == ["soon", "next", "late"]
@@ -92,7 +94,7 @@
             return super().duration_s(hosts)
 
     cost = CountedCost(decision_s=LONG_REQUEST_S / 2, per_host_s=0.0, valid_s=5.0)
-    queue = AdviceDesk(own="own", region="region")
+    queue = PolicyRequestQueue(own="own", region="region")
     add_and_assign(queue, *[(f"job{index}", cost) for index in range(500)])
     cost_lookups.clear()
     assert assigned(queue) == []
@@ -119,7 +121,7 @@
 @pytest.mark.parametrize(("processes", "hosts", "sizes"), PARTS.values(), ids=PARTS.keys())
 def test_long_request_is_split_among_idle_processes(processes, hosts, sizes):
     """Guards against wide jobs that start late because their requests are sent one at a time."""
-    queue = AdviceDesk(own="own", region="region")
+    queue = PolicyRequestQueue(own="own", region="region")
     queue.add(slow_request(hosts), priority=0)
     assignments = queue.assign([member(f"m{index}") for index in range(processes)])
     assert [len(item.order.hosts) for item in assignments] == sizes
@@ -129,7 +131,7 @@
 
 def test_all_parts_of_a_request_are_sent():
     """Guards against hosts that a step waits for but no request contains."""
-    queue = AdviceDesk(own="own", region="region")
+    queue = PolicyRequestQueue(own="own", region="region")
     queue.add(slow_request(250), priority=0)
     requested: list[str] = []
     while assignments := queue.assign([member("one"), member("two")]):
--- a/tests/cell/test_following.py
+++ b/tests/cell/test_prefix_watch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rhubarbferry.cell.following import PrefixFollower
+from rhubarbferry.cell.prefix_watch import PrefixWatcher
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import Changes, Listing
 
@@ -13,8 +13,8 @@
 WAIT_S = 0.05
 
 
-def prefix_watcher(store, *, history_s: float = 60.0) -> PrefixFollower:
-    return PrefixFollower(
+def prefix_watcher(store, *, history_s: float = 60.0) -> PrefixWatcher:
+    return PrefixWatcher(
         clock=SystemClock(), store=store, log=FakeEventLog(), prefix="op/", history_s=history_s
     )
 
--- a/tests/cell/test_roster.py
+++ b/tests/cell/test_roster.py
@@ -8,8 +8,8 @@
 import pytest
 
 from rhubarbferry.cell import keys
-from rhubarbferry.cell.context import OwnershipLost, Tenure
 from rhubarbferry.cell.roster import Roster
+from rhubarbferry.cell.term_context import OwnershipLost, Tenure
 from rhubarbferry.core.lease import Lease
 from rhubarbferry.dispatch.takeover import RosterEntry
 from rhubarbferry.ports.store import Put, StoreUnclear, Txn
--- a/tests/cell/test_slow_link.py
+++ b/tests/cell/test_slow_link.py
@@ -8,7 +8,7 @@
 import pytest
 from attrs import define
 
-from rhubarbferry.cell.configuration import ConfigurationFeed
+from rhubarbferry.cell.configuration_watch import ConfigurationWatcher
 from rhubarbferry.platform.configuration import KEY, decode_configuration
 from rhubarbferry.platform.store import PlatformStore
 from rhubarbferry.ports.clock import SystemClock
@@ -35,7 +35,7 @@
 
     stand_in: PlatformStoreStandIn
     link: Link
-    watcher: ConfigurationFeed
+    watcher: ConfigurationWatcher
     lines: FakeEventLog
 
     def write(self, version: int, *, padding: str = PADDING) -> None:
@@ -72,7 +72,7 @@
         link = await relay.open(address)
         link.set(Mode.PASS, bytes_per_s=LINK_BYTES_PER_S)
         store = PlatformStore(address=link.address)
-        watcher = ConfigurationFeed(
+        watcher = ConfigurationWatcher(
             clock=SystemClock(),
             store=store,
             log=lines,
--- a/tests/cell/test_takeover_with_backlog.py
+++ b/tests/cell/test_takeover_with_backlog.py
@@ -9,9 +9,9 @@
 import asyncio
 import itertools
 
-from rhubarbferry.cell.inbox import JOBS_PER_TURN
+from rhubarbferry.cell.job_watch import JOBS_PER_TURN
 
-from .test_inbox import accept, inbox
+from .test_job_watch import accept, job_watcher
 
 BACKLOG = 200
 
@@ -36,7 +36,7 @@
     """Guard against an owner that is replaced because it does not respond while it loads."""
     for index in range(BACKLOG):
         await accept(store, f"{index:016x}")
-    new_inbox = await inbox(store)
+    new_inbox = await job_watcher(store)
     counter = TurnCounter(lambda: len(new_inbox.ctx.dispatcher.jobs))
     counting = asyncio.create_task(counter.run())
     await new_inbox.load()
--- a/tests/cell/test_term.py
+++ b/tests/cell/test_term.py
@@ -8,10 +8,10 @@
 import pytest
 
 from rhubarbferry.cell import term as term_module
-from rhubarbferry.cell.context import Tenure
 from rhubarbferry.cell.members import CellView
 from rhubarbferry.cell.settings import CellSettings
 from rhubarbferry.cell.term import Term
+from rhubarbferry.cell.term_context import Tenure
 from rhubarbferry.ports.clock import SystemClock
 
 from .fakes import FakeEventLog, member
@@ -49,7 +49,7 @@
     lease = SimpleNamespace(id=1)
     keeper = SimpleNamespace(valid_lease=lambda: lease, store_reachable=lambda: store_reachable)
     follower = SimpleNamespace(restart=lambda: None, next=SlowStore().list)
-    around = SimpleNamespace(
+    process = SimpleNamespace(
         cfg=CellSettings(member="own", region="r", failure_domain="d"),
         clock=SystemClock(),
         store=SlowStore(),
@@ -58,9 +58,9 @@
         view=view,
         keeper=keeper,
         peers=peers,
-        follow=lambda prefix: follower,
+        watch_prefix=lambda prefix: follower,
     )
-    return Term(around=around, tenure=Tenure(keeper=keeper, lease_id=1, fence=FENCE))
+    return Term(process=process, tenure=Tenure(keeper=keeper, lease_id=1, fence=FENCE))
 
 
 @pytest.mark.parametrize("willing", [{"b"}, {"c"}])
@@ -112,14 +112,14 @@
     """Guard against a successor that stops responding because its host is too small."""
     term = make_term(Peers(willing=set()), store_reachable=False)
     members = {name: member(name, link_mbps=100.0) for name in ("own", "large")}
-    term.around.view.members = {**members, "small": member("small", link_mbps=5.0)}
+    term.process.view.members = {**members, "small": member("small", link_mbps=5.0)}
 
     async def store_reached(asked):
         after_s, reached = answers[asked.name]
         await asyncio.sleep(after_s)
         return reached
 
-    term.around.peers.store_reached = store_reached
+    term.process.peers.store_reached = store_reached
     best = await asyncio.wait_for(term._find_connected_successor(), TIMEOUT_S)
     assert (best.name if best is not None else None) == chosen
 
--- a/tests/cell/test_wide_steps.py
+++ b/tests/cell/test_wide_steps.py
@@ -7,7 +7,7 @@
 import pytest
 from attrs import evolve
 
-from rhubarbferry.cell.advice_desk import AdviceDesk
+from rhubarbferry.cell.policy_requests import PolicyRequestQueue
 from rhubarbferry.dispatch.messages import (
     Approval,
     ApprovalCost,
@@ -61,13 +61,13 @@
 def wait_for_starts(world: World, *, processes: int, until: float) -> list[StartOrder]:
     """Simulate the processes that query the policy service until a task starts."""
     members = [member(f"m{index}") for index in range(processes)]
-    desk = AdviceDesk(own="m0", region="region")
+    queue = PolicyRequestQueue(own="m0", region="region")
     in_progress: list[tuple[float, str, ApprovalRequest]] = []
     while world.now < until:
         world.deliver_reports()
         for entry in [entry for entry in in_progress if entry[0] <= world.now]:
             in_progress.remove(entry)
-            desk.done(entry[1])
+            queue.done(entry[1])
             answer(world, entry[2])
         orders = world.decide(DECISION_INTERVAL_S)
         started = [order for order in orders if isinstance(order, StartOrder)]
@@ -75,8 +75,8 @@
             return started
         for order in orders:
             if isinstance(order, ApprovalRequest):
-                desk.add(order, priority=0)
-        for item in desk.assign(members):
+                queue.add(order, priority=0)
+        for item in queue.assign(members):
             answered_at = world.now + COST.duration_s(len(item.order.hosts))
             in_progress.append((answered_at, item.member.name, item.order))
     return []
