--- a/rhubarbferry/adapters/etcd.py
+++ b/rhubarbferry/adapters/etcd.py
@@ -11,11 +11,11 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.store import (
     MAX_VALUE_BYTES,
+    BudgetKind,
     CallBudget,
     KeyValue,
     LeaseLost,
     Listing,
-    Spend,
     StoreError,
     StoreRefused,
     WatchBroken,
@@ -87,7 +87,7 @@
         )
         return bool(response.get("succeeded"))
 
-    async def delete_prefix_below(self, prefix: str, end: str) -> int:
+    async def delete_range(self, prefix: str, end: str) -> int:
         """Delete the keys in ``[prefix, end)``; return their number."""
         req = self._codec.encode_delete_range(prefix, end)
         response = await self._write("delete_range", wire.DELETE_RANGE, req)
@@ -97,7 +97,7 @@
         """Create a lease of at least ``ttl_s`` seconds; return its id."""
         req = wire.encode_lease_grant(ttl_s)
         response = await self._write(
-            "grant_lease", wire.LEASE_GRANT, req, budget_kind=Spend.RENEWAL
+            "grant_lease", wire.LEASE_GRANT, req, budget_kind=BudgetKind.RENEWAL
         )
         return wire.read_int(response, "ID")
 
@@ -111,7 +111,7 @@
         sent_at = self._clock.monotonic()
         req = wire.encode_lease(lease_id)
         response = await self._write(
-            "keep_alive", wire.LEASE_KEEP_ALIVE, req, budget_kind=Spend.RENEWAL
+            "keep_alive", wire.LEASE_KEEP_ALIVE, req, budget_kind=BudgetKind.RENEWAL
         )
         ttl_s = wire.read_int(response.get("result", {}), "TTL")
         if ttl_s <= 0:
@@ -125,7 +125,7 @@
                 "revoke_lease",
                 wire.LEASE_REVOKE,
                 wire.encode_lease(lease_id),
-                budget_kind=Spend.RENEWAL,
+                budget_kind=BudgetKind.RENEWAL,
             )
         except LeaseLost:
             return
@@ -135,7 +135,7 @@
     ) -> AsyncIterator[tuple[WatchEvent, ...]]:
         """Yield the changes under ``prefix`` from ``from_revision`` on, in order."""
         try:
-            await self._acquire_budget(Spend.READ)
+            await self._acquire_budget(BudgetKind.READ)
         except StoreError as exc:
             raise WatchBroken(f"the watch was not started: {exc}") from exc
         CALLS.labels("watch").inc()
@@ -166,22 +166,24 @@
         return wire.response_revision(response) if response.get("succeeded") else None
 
     async def _read(self, kind: str, path: str, body: wire.Json) -> wire.Json:
-        return await self._call(kind, path, body, Spend.READ)
+        return await self._call(kind, path, body, BudgetKind.READ)
 
     async def _write(
-        self, kind: str, path: str, body: wire.Json, *, budget_kind: Spend = Spend.WRITE
+        self, kind: str, path: str, body: wire.Json, *, budget_kind: BudgetKind = BudgetKind.WRITE
     ) -> wire.Json:
         return await self._call(kind, path, body, budget_kind)
 
-    async def _call(self, kind: str, path: str, body: wire.Json, budget_kind: Spend) -> wire.Json:
+    async def _call(
+        self, kind: str, path: str, body: wire.Json, budget_kind: BudgetKind
+    ) -> wire.Json:
         try:
             await self._acquire_budget(budget_kind)
             CALLS.labels(kind).inc()
-            return await self._gateway.call(path, body, write=budget_kind is not Spend.READ)
+            return await self._gateway.call(path, body, write=budget_kind is not BudgetKind.READ)
         except StoreError as exc:
             ERRORS.labels(kind, type(exc).__name__).inc()
             raise
 
-    async def _acquire_budget(self, budget_kind: Spend) -> None:
+    async def _acquire_budget(self, budget_kind: BudgetKind) -> None:
         if self._budget is not None:
-            await self._budget.spend(budget_kind)
+            await self._budget.acquire(budget_kind)
--- a/rhubarbferry/cell/host_poller.py
+++ b/rhubarbferry/cell/host_poller.py
@@ -11,7 +11,7 @@
 from rhubarbferry.dispatch.hosts import MAX_POLL_WAIT_S, POLL_WAIT_S, Host
 from rhubarbferry.ports.workers import (
     FenceStale,
-    HoldRequest,
+    TaskLeaseRequest,
     WorkerError,
     WorkerGone,
 )
@@ -75,19 +75,19 @@
         sent_at = ctx.now()
         entry = host.entry
         deadline_s = host.extend_leases(sent_at, ctx.process.cfg.bounds.task_lease_s)
-        # The host reports ends after `forget_to` at once, so waiting has no effect while some of
+        # The host reports ends after `acknowledged_to` at once, so waiting has no effect while some of
         # them are not recorded. The first poll only reads the host's clock.
         host.poll_wait_s = self.poll_wait_s()
         no_wait = no_wait or deadline_s is None or host.seen_end > host.recorded_end
-        req = HoldRequest(
+        req = TaskLeaseRequest(
             fence=ctx.tenure.fence,
             deadline_s=deadline_s,
-            forget_to=host.recorded_end,
+            acknowledged_to=host.recorded_end,
             wait_s=0.0 if no_wait else host.poll_wait_s,
-            patience_s=RESPONSE_MARGIN_S if host.adopted else FIRST_RESPONSE_MARGIN_S,
+            response_margin_s=RESPONSE_MARGIN_S if host.adopted else FIRST_RESPONSE_MARGIN_S,
         )
         try:
-            report = await ctx.process.workers.hold(entry, req)
+            report = await ctx.process.workers.extend_leases(entry, req)
         except FenceStale as exc:
             ctx.tenure.end(f"host {self.id}: {exc}")
             return False
--- a/rhubarbferry/cell/orders.py
+++ b/rhubarbferry/cell/orders.py
@@ -183,7 +183,7 @@
                 assignment.member.name == self.ctx.process.own.name
                 and self.ctx.process.policy is not None
             ):
-                response = await self.ctx.process.policy.ask(
+                response = await self.ctx.process.policy.request_approvals(
                     order.step, order.hosts, timeout_s=timeout_s
                 )
             else:
--- a/rhubarbferry/cell/peer_server.py
+++ b/rhubarbferry/cell/peer_server.py
@@ -150,7 +150,9 @@
                 answered=False, approvals=[], valid_ms=0, detail="no policy service is set"
             )
         try:
-            answer = await self._policy.ask(step, tuple(req.hosts), timeout_s=req.timeout_ms / 1000)
+            answer = await self._policy.request_approvals(
+                step, tuple(req.hosts), timeout_s=req.timeout_ms / 1000
+            )
         except WorkerError as exc:
             return ApprovalReply(answered=False, approvals=[], valid_ms=0, detail=str(exc))
         return ApprovalReply(
--- a/rhubarbferry/coordination/budget.py
+++ b/rhubarbferry/coordination/budget.py
@@ -6,7 +6,7 @@
 
 from rhubarbferry.core.budget import Bucket, Rate, share, take
 from rhubarbferry.ports.clock import Clock
-from rhubarbferry.ports.store import Spend, StoreRateLimited
+from rhubarbferry.ports.store import BudgetKind, StoreRateLimited
 
 BURST_S = 0.5
 MAX_WAIT_S = 2.0
@@ -46,9 +46,9 @@
         max_wait_s: float = MAX_WAIT_S,
     ) -> None:
         self._clock = clock
-        self._limits_per_s = {Spend.WRITE: writes_per_s, Spend.READ: reads_per_s}
+        self._limits_per_s = {BudgetKind.WRITE: writes_per_s, BudgetKind.READ: reads_per_s}
         self._max_wait_s = max_wait_s
-        self._rates: dict[Spend, Rate] = {}
+        self._rates: dict[BudgetKind, Rate] = {}
         self.set_members(members)
         now = clock.monotonic()
         self._buckets = {
@@ -62,14 +62,14 @@
             for kind, per_s in self._limits_per_s.items()
         }
 
-    async def spend(self, spend: Spend) -> None:
+    async def acquire(self, spend: BudgetKind) -> None:
         """Wait until the call may be sent.
 
         :raises StoreRateLimited: when the wait would exceed the limit; the call must not be sent.
         """
-        kind = Spend.READ if spend is Spend.READ else Spend.WRITE
+        kind = BudgetKind.READ if spend is BudgetKind.READ else BudgetKind.WRITE
         taken = take(self._buckets[kind], self._rates[kind], self._clock.monotonic())
-        if spend is Spend.RENEWAL:
+        if spend is BudgetKind.RENEWAL:
             self._buckets[kind] = taken.bucket
             return
         if taken.wait_s > self._max_wait_s:
--- a/rhubarbferry/coordination/configuration.py
+++ b/rhubarbferry/coordination/configuration.py
@@ -89,7 +89,7 @@
 
 
 class ActiveConfig:
-    """The configuration in force in one process; implements ``ports.ownership.CellView``.
+    """The configuration in force in one process; implements ``ports.ownership.ConfigurationView``.
 
     :ivar record: the active revision; it never decreases.
     :ivar changes: notified after each change.
--- a/rhubarbferry/coordination/log.py
+++ b/rhubarbferry/coordination/log.py
@@ -36,7 +36,7 @@
 from rhubarbferry.core.log import LogKeys, Retention, Verdict, judge
 from rhubarbferry.core.partition import PartitionId
 from rhubarbferry.ports.clock import Clock
-from rhubarbferry.ports.log import (
+from rhubarbferry.ports.entry_log import (
     LogCorrupt,
     LogError,
     LogFenced,
@@ -66,7 +66,7 @@
     :param min_write_interval_s: minimum time between the starts of two writes; appends made in the
         meantime are batched.
     :param resolve_timeout_s: how long a write whose reply was lost is retried before its callers
-        receive :exc:`~rhubarbferry.ports.log.LogUnclear`.
+        receive :exc:`~rhubarbferry.ports.entry_log.LogUnclear`.
     :param retention_s: see :class:`~rhubarbferry.core.log.Retention`; the same in all processes.
     :param segment_bytes: how many bytes of appends are batched into one segment.
     :param max_queued_appends: further appends are rejected while this many are queued.
--- a/rhubarbferry/coordination/log_batches.py
+++ b/rhubarbferry/coordination/log_batches.py
@@ -9,7 +9,7 @@
 from attrs import define, field
 
 from rhubarbferry.core.log import leading
-from rhubarbferry.ports.log import LogError
+from rhubarbferry.ports.entry_log import LogError
 from rhubarbferry.rpc.gen.ttypes import LogEntry
 
 
--- a/rhubarbferry/coordination/log_codec.py
+++ b/rhubarbferry/coordination/log_codec.py
@@ -10,7 +10,7 @@
 from thrift.transport.TTransport import TMemoryBuffer
 
 from rhubarbferry.core.log import Head, Stamp
-from rhubarbferry.ports.log import LogCorrupt
+from rhubarbferry.ports.entry_log import LogCorrupt
 from rhubarbferry.rpc.codec import check_required
 from rhubarbferry.rpc.gen.ttypes import LogEntry, LogSegment
 
--- a/rhubarbferry/coordination/log_compaction.py
+++ b/rhubarbferry/coordination/log_compaction.py
@@ -15,7 +15,7 @@
 from rhubarbferry.coordination.write_once import Conflict, Created
 from rhubarbferry.core.log import LogKeys, Retention, chunked, snapshot_id
 from rhubarbferry.ports.clock import Clock
-from rhubarbferry.ports.log import LogUnavailable
+from rhubarbferry.ports.entry_log import LogUnavailable
 from rhubarbferry.ports.store import Store, StoreError
 from rhubarbferry.rpc.gen.ttypes import LogEntry, LogSegment
 
@@ -99,10 +99,10 @@
         """Delete what the head no longer refers to; the next compaction deletes any remainder."""
         now = self._clock.monotonic()
         try:
-            await self._store.delete_prefix_below(*self._keys.snapshots_below(snapshot))
+            await self._store.delete_range(*self._keys.snapshots_below(snapshot))
             if self._retention.may_delete(sealed_at=sealed_at, now=now):
                 end = self._keys.segment(upto + 1)
-                await self._store.delete_prefix_below(self._keys.first_segment, end)
+                await self._store.delete_range(self._keys.first_segment, end)
         except StoreError as exc:
             FAILURES.labels("sweep").inc()
             logger.debug("log {}: deleting compacted records failed: {}", self._keys.partition, exc)
--- a/rhubarbferry/coordination/log_head.py
+++ b/rhubarbferry/coordination/log_head.py
@@ -11,7 +11,7 @@
 from rhubarbferry.coordination.log_codec import decode_head, encode_head
 from rhubarbferry.core.log import Head, LogKeys, may_move
 from rhubarbferry.ports.clock import Clock
-from rhubarbferry.ports.log import LogFenced, LogUnavailable, LogUnclear
+from rhubarbferry.ports.entry_log import LogFenced, LogUnavailable, LogUnclear
 from rhubarbferry.ports.store import KeyValue, Store, StoreError, StoreUnclear
 
 MAX_ATTEMPTS = 8
--- a/rhubarbferry/coordination/log_reader.py
+++ b/rhubarbferry/coordination/log_reader.py
@@ -10,7 +10,7 @@
     missing_record_error,
 )
 from rhubarbferry.core.log import PAGE, Head, LogKeys
-from rhubarbferry.ports.log import LogFenced, LogUnavailable
+from rhubarbferry.ports.entry_log import LogFenced, LogUnavailable
 from rhubarbferry.ports.store import KeyValue, Store, StoreError
 from rhubarbferry.rpc.gen.ttypes import LogEntry, LogSegment
 
--- a/rhubarbferry/coordination/promises.py
+++ b/rhubarbferry/coordination/promises.py
@@ -128,7 +128,7 @@
             epoch=tenure.epoch,
             owner_id=self._member_id,
             duration_ms=NO_PROMISE_MS,
-            guard_version=tenure.book.version,
+            guard_version=tenure.promises.version,
         )
         guards = self._mirror.guards(tenure.partition.region)
         replies = await asyncio.gather(*(self._client.promise(guard, req) for guard in guards))
@@ -146,7 +146,7 @@
 
     async def _renew_with(self, tenure: HeldTenure, guard: Guard) -> None:
         asked_at = self._clock.monotonic()
-        version = tenure.book.version
+        version = tenure.promises.version
         duration_ms = min(
             int(self._cfg.promise_s * MS_PER_S), self._limits_ms.get(guard.id, MAX_PROMISE_MS)
         )
@@ -161,12 +161,12 @@
         PROMISE_REQUESTS.labels("given" if reply is not None and reply.given else "none").inc()
         if reply is None:
             return
-        tenure.seen(reply.highest_epoch)
+        tenure.observe_epoch(reply.highest_epoch)
         if reply.limit_ms:
             # A guard started with a lower limit refuses promises longer than that limit.
             self._limits_ms[guard.id] = reply.limit_ms
         if reply.given:
-            tenure.book.given(
+            tenure.promises.given(
                 guard=guard.id,
                 version=version,
                 asked_at=asked_at,
--- a/rhubarbferry/coordination/tenure.py
+++ b/rhubarbferry/coordination/tenure.py
@@ -37,7 +37,7 @@
 
     :param lease_holds: returns whether the lease under which the tenure was won is still valid.
     :param extension_until: returns the monotonic time up to which promises may replace the lease.
-    :param book: the promises of the guards, or the replies of a rack's workers.
+    :param promises: the promises of the guards, or the replies of a rack's workers.
     :param ended: whether the tenure has ended permanently.
     :param highest_seen_epoch: the highest epoch that a worker or guard has reported.
     """
@@ -48,7 +48,7 @@
     clock: Clock
     lease_holds: Callable[[], bool]
     extension_until: Callable[[], float]
-    book: PromiseBook = field(factory=PromiseBook)
+    promises: PromiseBook = field(factory=PromiseBook)
     ended: bool = False
     highest_seen_epoch: int = 0
 
@@ -64,7 +64,7 @@
                 # this owner, a successor has no majority, and so has not made any decision yet.
                 return self.lease_holds() or self._promised()
 
-    def seen(self, epoch: int) -> None:
+    def observe_epoch(self, epoch: int) -> None:
         """Record an epoch reported by a worker or guard; a higher epoch ends the tenure."""
         self.highest_seen_epoch = max(self.highest_seen_epoch, epoch)
         if epoch > self.epoch:
@@ -72,7 +72,7 @@
 
     def _promised(self) -> bool:
         now = self.clock.monotonic()
-        return now < self.extension_until() and self.book.majority(now)
+        return now < self.extension_until() and self.promises.majority(now)
 
 
 @frozen(kw_only=True, slots=True)
@@ -169,7 +169,7 @@
             clock=self._clock,
             lease_holds=lambda: self._membership.holds(incarnation),
             extension_until=self._extension_until,
-            book=PromiseBook(margin_s=self._cfg.clock_margin_s),
+            promises=PromiseBook(margin_s=self._cfg.clock_margin_s),
         )
         self.current[partition] = tenure
         self._used_epochs[partition] = entry.epoch
@@ -189,7 +189,7 @@
                 guard_set = self._mirror.guard_set(partition.region)
                 guards = () if guard_set.closing else guard_set.guards
                 names = (guard.id for guard in guards)
-                tenure.book.use(guards=names, version=guard_set.version)
+                tenure.promises.use(guards=names, version=guard_set.version)
 
     @property
     def _member_id(self) -> str:
--- a/rhubarbferry/frontend/daemon.py
+++ b/rhubarbferry/frontend/daemon.py
@@ -27,7 +27,7 @@
 from rhubarbferry.frontend.spill import Spill, spill_rules
 from rhubarbferry.frontend.waits import ExpectedWaits
 from rhubarbferry.ports.clock import Clock, SystemClock
-from rhubarbferry.ports.ownership import CellView, OwnershipView, Role
+from rhubarbferry.ports.ownership import ConfigurationView, OwnershipView, Role
 from rhubarbferry.reports.events import publish as publish_objectives
 from rhubarbferry.rpc import Pool, Server, Timing
 from rhubarbferry.rpc.services import GUARD, SCHEDULER
@@ -50,7 +50,7 @@
         ...
 
     @property
-    def cell(self) -> CellView:
+    def cell(self) -> ConfigurationView:
         """The configuration in force."""
         ...
 
--- a/rhubarbferry/frontend/forward.py
+++ b/rhubarbferry/frontend/forward.py
@@ -46,7 +46,7 @@
 from rhubarbferry.frontend.spill import Spill
 from rhubarbferry.frontend.waits import WaitClass
 from rhubarbferry.ports.clock import Clock
-from rhubarbferry.ports.ownership import CellView, OwnershipView
+from rhubarbferry.ports.ownership import ConfigurationView, OwnershipView
 from rhubarbferry.reports.burn import EventKind
 from rhubarbferry.reports.events import BOOK, Work, objective_of
 from rhubarbferry.rpc.gen import ttypes as t
@@ -105,7 +105,7 @@
         *,
         clock: Clock,
         cfg: Settings,
-        cell: CellView,
+        cell: ConfigurationView,
         ownership: OwnershipView,
         attempts: Attempts,
         intents: IntentClient,
--- a/rhubarbferry/frontend/jobs.py
+++ b/rhubarbferry/frontend/jobs.py
@@ -21,7 +21,7 @@
 from rhubarbferry.frontend.owners import NoReply, Owners, Replied
 from rhubarbferry.frontend.problems import Outcome, Problem
 from rhubarbferry.ports.clock import Clock
-from rhubarbferry.ports.ownership import CellView
+from rhubarbferry.ports.ownership import ConfigurationView
 from rhubarbferry.rpc.gen import ttypes as t
 
 MS_PER_S = 1000
@@ -53,7 +53,9 @@
 class JobEndpoints:
     """Serve ``/v1/jobs`` by RPC calls to the homes of the jobs."""
 
-    def __init__(self, *, clock: Clock, cfg: Settings, cell: CellView, owners: Owners) -> None:
+    def __init__(
+        self, *, clock: Clock, cfg: Settings, cell: ConfigurationView, owners: Owners
+    ) -> None:
         self._clock = clock
         self._cfg = cfg
         self._cell = cell
--- a/rhubarbferry/management/commands/check_settings.py
+++ b/rhubarbferry/management/commands/check_settings.py
@@ -28,10 +28,10 @@
 
 
 def _check_platform_file(file: Path, format: Format) -> int:
-    from rhubarbferry.platform.settings import SettingsFileError, load
+    from rhubarbferry.platform.settings import SettingsFileError, load_settings_file
 
     try:
-        load(file)
+        load_settings_file(file)
     except SettingsFileError as exc:
         field, _, message = str(exc).partition(": ")
         hint = "The platform writes this file; ask the platform's operators to correct it."
--- a/rhubarbferry/platform/configuration.py
+++ b/rhubarbferry/platform/configuration.py
@@ -10,7 +10,7 @@
 from rhubarbferry.cell.routes import DEFAULT_BODY_BYTES, Limits, Route, RouteTable
 from rhubarbferry.dispatch.messages import ApprovalCost, Queue
 
-KEY = "op/config"
+CONFIGURATION_KEY = "op/config"
 
 
 class ConfigurationError(Exception):
--- a/rhubarbferry/platform/policy.py
+++ b/rhubarbferry/platform/policy.py
@@ -22,7 +22,9 @@
         self.address = address
         self._http = JsonClient(extra_timeout_s=extra_timeout_s)
 
-    async def ask(self, step: StepId, hosts: tuple[str, ...], *, timeout_s: float) -> Approvals:
+    async def request_approvals(
+        self, step: StepId, hosts: tuple[str, ...], *, timeout_s: float
+    ) -> Approvals:
         """Request approval to run ``step`` on each of ``hosts``; return the approvals granted."""
         body = {"stepId": step_name(step), "workers": list(hosts)}
         try:
--- a/rhubarbferry/platform/process.py
+++ b/rhubarbferry/platform/process.py
@@ -26,8 +26,11 @@
 from rhubarbferry.cell.routes import RouteTable
 from rhubarbferry.cell.term_context import ProcessContext
 from rhubarbferry.platform.client_api import ClientApi
-from rhubarbferry.platform.configuration import KEY as CONFIGURATION_KEY
-from rhubarbferry.platform.configuration import ConfigurationError, decode_configuration
+from rhubarbferry.platform.configuration import (
+    CONFIGURATION_KEY,
+    ConfigurationError,
+    decode_configuration,
+)
 from rhubarbferry.platform.directory import PlatformDirectory
 from rhubarbferry.platform.health_api import build_app
 from rhubarbferry.platform.http_server import create_server, listen
@@ -36,7 +39,7 @@
     SETTINGS_VARIABLE,
     SettingsFile,
     SettingsFileError,
-    load,
+    load_settings_file,
 )
 from rhubarbferry.platform.store import PlatformStore
 from rhubarbferry.platform.workers import PlatformWorkers
@@ -298,4 +301,4 @@
         raise SettingsFileError(
             f"{SETTINGS_VARIABLE}: not set; set it to the path of the settings file"
         )
-    return load(Path(path))
+    return load_settings_file(Path(path))
--- a/rhubarbferry/platform/settings.py
+++ b/rhubarbferry/platform/settings.py
@@ -50,7 +50,7 @@
     addresses: Addresses
 
 
-def load(path: Path) -> SettingsFile:
+def load_settings_file(path: Path) -> SettingsFile:
     """Read and validate a settings file; ignore unknown fields.
 
     :raises SettingsFileError: when the file is not usable.
--- a/rhubarbferry/platform/workers.py
+++ b/rhubarbferry/platform/workers.py
@@ -24,7 +24,7 @@
 )
 from rhubarbferry.platform.http_client import JsonClient, NoAnswer, NotSent, Response, TransferLimit
 from rhubarbferry.platform.task_names import parse_task, task_name
-from rhubarbferry.ports.workers import FenceStale, HoldRequest, WorkerGone, WorkerSilent
+from rhubarbferry.ports.workers import FenceStale, TaskLeaseRequest, WorkerGone, WorkerSilent
 
 # Allows for a round trip between regions, one retransmitted packet and a busy host. A call that
 # takes longer is treated as unanswered.
@@ -69,16 +69,16 @@
         # never delay an order.
         self._report_client = JsonClient(extra_timeout_s=extra_timeout_s)
 
-    async def hold(self, host: HostEntry, req: HoldRequest) -> HostReport:
+    async def extend_leases(self, host: HostEntry, req: TaskLeaseRequest) -> HostReport:
         """Extend the task leases of a host; return its running and ended tasks."""
         body: dict[str, Any] = {
             "fence": req.fence,
-            "ackIndex": req.forget_to,
+            "ackIndex": req.acknowledged_to,
             "waitMs": int(req.wait_s * 1000),
         }
         if req.deadline_s is not None:
             body["deadlineMs"] = int(req.deadline_s * 1000)
-        timeout_s = req.wait_s + req.patience_s
+        timeout_s = req.wait_s + req.response_margin_s
         response = await self._call(
             self._report_client,
             host,
--- a/rhubarbferry/ports/ownership.py
+++ b/rhubarbferry/ports/ownership.py
@@ -85,7 +85,7 @@
         ...
 
 
-class CellView(Protocol):
+class ConfigurationView(Protocol):
     """The configuration that this process currently uses."""
 
     def current(self) -> Cell:
@@ -115,7 +115,7 @@
     """A tenure that promises of the workers of its rack can extend beyond the lease."""
 
     @property
-    def book(self) -> PromiseBook:
+    def promises(self) -> PromiseBook:
         """The promises of the workers, and the set of workers whose majority is required."""
         ...
 
@@ -124,6 +124,6 @@
         """Returns whether the lease in the store is valid, so that no successor can exist."""
         ...
 
-    def seen(self, epoch: int) -> None:
+    def observe_epoch(self, epoch: int) -> None:
         """Record an epoch reported by a worker; a higher one ends the tenure."""
         ...
--- a/rhubarbferry/ports/store.py
+++ b/rhubarbferry/ports/store.py
@@ -221,7 +221,7 @@
         ...
 
 
-class Spend(StrEnum):
+class BudgetKind(StrEnum):
     """Kinds of calls, which the call budget treats differently."""
 
     READ = "read"
@@ -232,7 +232,7 @@
 class CallBudget(Protocol):
     """The share of the store's rate limit that one process may use."""
 
-    async def spend(self, spend: Spend) -> None:
+    async def acquire(self, kind: BudgetKind) -> None:
         """Wait until a call of this kind may be sent.
 
         :raises StoreRateLimited: when the wait would be too long; do not send the call.
@@ -271,7 +271,7 @@
         """Delete a key whose last write must be ``mod_revision``; return whether it was deleted."""
         ...
 
-    async def delete_prefix_below(self, prefix: str, end: str) -> int:
+    async def delete_range(self, prefix: str, end: str) -> int:
         """Delete the keys from ``prefix`` up to, not including, ``end``; return their number."""
         ...
 
--- a/rhubarbferry/ports/workers.py
+++ b/rhubarbferry/ports/workers.py
@@ -39,22 +39,22 @@
 
 
 @frozen(kw_only=True, slots=True)
-class HoldRequest:
+class TaskLeaseRequest:
     """Request to extend the task leases of a host and to report its tasks.
 
     :param fence: fence number of the owner that sends the request.
     :param deadline_s: time on the host's clock until which to extend the leases; ``None`` leaves
         them unchanged.
-    :param forget_to: highest number of an ended task that the host need not list any more.
+    :param acknowledged_to: highest number of an ended task that the host need not list any more.
     :param wait_s: time after which the host responds; it responds earlier only when a task ends.
-    :param patience_s: time beyond ``wait_s`` after which the call times out.
+    :param response_margin_s: time beyond ``wait_s`` after which the call times out.
     """
 
     fence: int
     deadline_s: float | None
-    forget_to: int
+    acknowledged_to: int
     wait_s: float
-    patience_s: float
+    response_margin_s: float
 
 
 class WorkerCalls(Protocol):
@@ -64,7 +64,7 @@
     refuses the call.
     """
 
-    async def hold(self, host: HostEntry, req: HoldRequest) -> HostReport:
+    async def extend_leases(self, host: HostEntry, req: TaskLeaseRequest) -> HostReport:
         """Extend the task leases of a host; return its running and ended tasks.
 
         :raises WorkerError: when the host refuses the request or does not respond.
@@ -118,7 +118,9 @@
 class PolicyService(Protocol):
     """The service that decides which hosts may run the tasks of a step."""
 
-    async def ask(self, step: StepId, hosts: tuple[str, ...], *, timeout_s: float) -> Approvals:
+    async def request_approvals(
+        self, step: StepId, hosts: tuple[str, ...], *, timeout_s: float
+    ) -> Approvals:
         """Request approval to run ``step`` on each of ``hosts``; return the approvals granted.
 
         :raises WorkerError: when the service rejects the request or does not respond.
--- a/rhubarbferry/reports/events.py
+++ b/rhubarbferry/reports/events.py
@@ -11,7 +11,7 @@
 
 from rhubarbferry.core.cell import Account, Cell, Objective
 from rhubarbferry.ports.clock import Clock
-from rhubarbferry.ports.ownership import CellView
+from rhubarbferry.ports.ownership import ConfigurationView
 from rhubarbferry.reports.burn import (
     EVENT_KINDS,
     Counts,
@@ -101,7 +101,7 @@
     :param cell: source of the objectives and template names.
     """
 
-    def __init__(self, *, counters: EventCounters, cell: CellView, clock: Clock) -> None:
+    def __init__(self, *, counters: EventCounters, cell: ConfigurationView, clock: Clock) -> None:
         self._counters = counters
         self._cell = cell
         self._clock = clock
@@ -153,6 +153,8 @@
         )
 
 
-def publish(*, cell: CellView, clock: Clock, registry: CollectorRegistry = REGISTRY) -> None:
+def publish(
+    *, cell: ConfigurationView, clock: Clock, registry: CollectorRegistry = REGISTRY
+) -> None:
     """Register the collector of this process; call it once for each process."""
     registry.register(SloCollector(counters=BOOK, cell=cell, clock=clock))
--- a/rhubarbferry/scheduler/context.py
+++ b/rhubarbferry/scheduler/context.py
@@ -7,7 +7,7 @@
 from rhubarbferry.conf.settings import Settings
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.hosts import HostList
-from rhubarbferry.ports.ownership import CellView, OwnershipView
+from rhubarbferry.ports.ownership import ConfigurationView, OwnershipView
 from rhubarbferry.ports.store import Store
 from rhubarbferry.rpc import Pool
 
@@ -28,7 +28,7 @@
     store: Store
     ownership: OwnershipView
     hosts: HostList
-    cell: CellView
+    cell: ConfigurationView
     schedulers: Pool
     guards: Pool
     workers: Pool
--- a/rhubarbferry/scheduler/intents.py
+++ b/rhubarbferry/scheduler/intents.py
@@ -23,7 +23,7 @@
     Running,
     Unclear,
 )
-from rhubarbferry.ports.log import EntryLog, LogError, LogFenced, LogUnclear
+from rhubarbferry.ports.entry_log import EntryLog, LogError, LogFenced, LogUnclear
 from rhubarbferry.ports.ownership import Role, Tenure
 from rhubarbferry.rpc import Handler
 from rhubarbferry.rpc.gen.ttypes import (
--- a/rhubarbferry/scheduler/job_home.py
+++ b/rhubarbferry/scheduler/job_home.py
@@ -16,7 +16,7 @@
 from rhubarbferry.core.jobs import Job, JobKind, JobPhase, LiveAttempt, TaskState
 from rhubarbferry.core.partition import PartitionId, PartitionKind
 from rhubarbferry.core.worker_ledger import End
-from rhubarbferry.ports.log import EntryLog, LogError, LogFenced, LogUnavailable, LogUnclear
+from rhubarbferry.ports.entry_log import EntryLog, LogError, LogFenced, LogUnavailable, LogUnclear
 from rhubarbferry.ports.ownership import Tenure
 from rhubarbferry.reports.burn import EventKind
 from rhubarbferry.reports.events import BOOK, Work, judge_start, objective_of
--- a/rhubarbferry/scheduler/key_component.py
+++ b/rhubarbferry/scheduler/key_component.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 from collections.abc import Iterable, Mapping
 
-from rhubarbferry.ports.log import EntryLog
+from rhubarbferry.ports.entry_log import EntryLog
 from rhubarbferry.ports.ownership import Tenure
 from rhubarbferry.rpc import Handler
 from rhubarbferry.rpc.gen.ttypes import LogEntry
--- a/rhubarbferry/scheduler/key_partition.py
+++ b/rhubarbferry/scheduler/key_partition.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from rhubarbferry.ports.log import EntryLog, LogError, LogFenced
+from rhubarbferry.ports.entry_log import EntryLog, LogError, LogFenced
 from rhubarbferry.ports.ownership import Tenure
 from rhubarbferry.rpc import Handler
 from rhubarbferry.rpc.gen.ttypes import LogEntry
--- a/rhubarbferry/scheduler/lifecycle.py
+++ b/rhubarbferry/scheduler/lifecycle.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from rhubarbferry.core.partition import PartitionId
-from rhubarbferry.ports.log import LogCorrupt
+from rhubarbferry.ports.entry_log import LogCorrupt
 from rhubarbferry.ports.ownership import Tenure
 from rhubarbferry.rpc.gen.ttypes import PartitionStatus
 from rhubarbferry.scheduler import metrics
--- a/rhubarbferry/scheduler/registry.py
+++ b/rhubarbferry/scheduler/registry.py
@@ -5,7 +5,7 @@
 from typing import cast
 
 from rhubarbferry.core.partition import PartitionKind
-from rhubarbferry.ports.log import EntryLog
+from rhubarbferry.ports.entry_log import EntryLog
 from rhubarbferry.ports.ownership import RackTenure, Tenure
 from rhubarbferry.ports.runners import RunnerReports
 from rhubarbferry.scheduler.context import Context
--- a/rhubarbferry/scheduler/worker_link.py
+++ b/rhubarbferry/scheduler/worker_link.py
@@ -205,7 +205,7 @@
     async def _renew(self) -> None:
         acks = list(self._acks)[:MAX_ITEMS_PER_CALL]
         orders = dict(list(self._actions.items())[:MAX_ITEMS_PER_CALL])
-        book, asked_at = self._tenure.book, self._ctx.clock.monotonic()
+        book, asked_at = self._tenure.promises, self._ctx.clock.monotonic()
         version = book.version
         req = t.RenewRequest(
             partition=str(self._tenure.partition),
--- a/rhubarbferry/scheduler/worker_partition.py
+++ b/rhubarbferry/scheduler/worker_partition.py
@@ -426,7 +426,7 @@
                 self._ledger.silent(worker)
             case Fenced(highest_epoch=highest):
                 self._fenced = True
-                self._rack_tenure.seen(highest)
+                self._rack_tenure.observe_epoch(highest)
                 logger.warning(
                     "{}: superseded by the owner with epoch {}", self.tenure.partition, highest
                 )
@@ -571,7 +571,7 @@
         workers would always have a majority of itself. It also changes only after the takeover is
         complete, because until then the previous owner may still have a majority.
         """
-        book = self._rack_tenure.book
+        book = self._rack_tenure.promises
         over = self.ctx.clock.monotonic() >= self._succession.settled_at()
         if not self._rack_tenure.lease_holds() or not (over or self._all_adopted()):
             return
--- a/rhubarbferry/serving/connections.py
+++ b/rhubarbferry/serving/connections.py
@@ -11,14 +11,14 @@
 
 MAX_HEADER_BYTES = 64 * 1024
 MAX_HEADERS = 200
-GATHERED_BYTES = 64 * 1024
+FLUSH_THRESHOLD_BYTES = 64 * 1024
 # Key in the scope of a request for a function that closes its connection without a response. It is
 # for requests with an unknown outcome, about which any response could be wrong.
 ABORT = "rhubarbferry.abort"
 BAD_REQUEST = "the bytes are no HTTP/1.1 request, or its headers are too large"
 
 
-class GatheringTransport(asyncio.Transport):
+class BatchingTransport(asyncio.Transport):
     """Batch all writes of one event loop iteration into one system call.
 
     The server writes the head and the body of a response separately, and a system call takes longer
@@ -40,7 +40,7 @@
             self._loop.call_soon(self.flush)
         self._buffer.append(bytes(data))
         self._buffered_bytes += len(data)
-        if self._buffered_bytes >= GATHERED_BYTES:
+        if self._buffered_bytes >= FLUSH_THRESHOLD_BYTES:
             self.flush()
 
     def flush(self) -> None:
@@ -102,7 +102,7 @@
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         """Start serving a connection."""
-        super().connection_made(GatheringTransport(transport))
+        super().connection_made(BatchingTransport(transport))
 
     def on_message_begin(self) -> None:
         """Reset the header count for the next request."""
@@ -128,13 +128,13 @@
         # When the error is in the body, part of the request may already have been forwarded.
         begun = self.cycle is not None and not self.cycle.response_complete
         if not (begun and self.cycle.response_started):
-            self.transport.write(self.bad_request(begun=begun))
+            self.transport.write(self.bad_request(headers_complete=begun))
         self.transport.close()
 
-    def bad_request(self, *, begun: bool) -> bytes:
+    def bad_request(self, *, headers_complete: bool) -> bytes:
         """Return the complete response to a malformed request.
 
-        :param begun: whether the head was valid and the error is in the body.
+        :param headers_complete: whether the head was valid and the error is in the body.
         """
         body = json.dumps({"error": BAD_REQUEST}).encode()
         return bad_request_head(len(body), [("content-type", "application/json")]) + body
--- a/rhubarbferry/test/memory_store.py
+++ b/rhubarbferry/test/memory_store.py
@@ -133,7 +133,7 @@
         result = await self._txn(compare, Delete(key=key))
         return result.succeeded and result.deleted > 0
 
-    async def delete_prefix_below(self, prefix: str, end: str) -> int:
+    async def delete_range(self, prefix: str, end: str) -> int:
         """Delete the keys in ``[prefix, end)``."""
         delete = Delete(key=prefix, end=end)
         result = await self.call(CallKind.DELETE_RANGE, lambda: self.engine.txn((), (delete,)))
--- a/tests/adapters/test_etcd.py
+++ b/tests/adapters/test_etcd.py
@@ -15,8 +15,8 @@
 from rhubarbferry.adapters.etcd import EtcdStore
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import (
+    BudgetKind,
     LeaseLost,
-    Spend,
     StoreError,
     StoreRateLimited,
     StoreRefused,
@@ -147,11 +147,11 @@
 
 class _RecordingBudget:
     def __init__(self) -> None:
-        self.acquired: list[Spend] = []
+        self.acquired: list[BudgetKind] = []
 
-    async def spend(self, spend: Spend) -> None:
+    async def acquire(self, spend: BudgetKind) -> None:
         self.acquired.append(spend)
-        if spend is Spend.WRITE:
+        if spend is BudgetKind.WRITE:
             raise StoreRateLimited("no budget")
 
 
@@ -167,5 +167,5 @@
         await store.get("a")
         await store.grant_lease(1.0)
         await store.close()
-    assert budget.acquired == [Spend.WRITE, Spend.READ, Spend.RENEWAL]
+    assert budget.acquired == [BudgetKind.WRITE, BudgetKind.READ, BudgetKind.RENEWAL]
     assert memory.counters.calls["txn"] == 0
--- a/tests/adapters/test_store_contract.py
+++ b/tests/adapters/test_store_contract.py
@@ -98,7 +98,7 @@
 async def test_a_range_is_deleted_without_its_end(harness: Harness) -> None:
     for key in ("s/1", "s/2", "s/3", "t/1"):
         await harness.store.create(key, b"")
-    assert await harness.store.delete_prefix_below("s/1", "s/3") == 2
+    assert await harness.store.delete_range("s/1", "s/3") == 2
     assert [kv.key for kv in (await harness.store.list("")).items] == ["s/3", "t/1"]
 
 
@@ -221,7 +221,7 @@
 
 
 def _delete_range(store: Store) -> Awaitable[object]:
-    return store.delete_prefix_below("o", "p")
+    return store.delete_range("o", "p")
 
 
 def _get(store: Store) -> Awaitable[object]:
@@ -288,7 +288,7 @@
     """After an outage the store returns outdated data, which its revision shows."""
     await harness.store.create("a", b"1")
     await harness.store.create("b", b"1")
-    await harness.store.delete_prefix_below("a", "b")
+    await harness.store.delete_range("a", "b")
     harness.memory.faults.stale_revisions = 2
     listing = await harness.store.list("")
     assert [kv.key for kv in listing.items] == ["a"]
@@ -303,7 +303,7 @@
     await store.list("")
     await store.keep_alive(await store.grant_lease(5.0))
     await _first_change(store, 2)
-    await store.delete_prefix_below("a", "b")
+    await store.delete_range("a", "b")
     counted = {kind.value: count for kind, count in harness.memory.counters.calls.items()}
     assert counted == {
         "txn": 1,
--- a/tests/cell/test_slow_link.py
+++ b/tests/cell/test_slow_link.py
@@ -9,7 +9,7 @@
 from attrs import define
 
 from rhubarbferry.cell.configuration_watch import ConfigurationWatcher
-from rhubarbferry.platform.configuration import KEY, decode_configuration
+from rhubarbferry.platform.configuration import CONFIGURATION_KEY, decode_configuration
 from rhubarbferry.platform.store import PlatformStore
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.test.platform_store import PlatformStoreStandIn
@@ -39,7 +39,7 @@
     lines: FakeEventLog
 
     def write(self, version: int, *, padding: str = PADDING) -> None:
-        self.stand_in.put(KEY, configuration(version) | {"padding": padding})
+        self.stand_in.put(CONFIGURATION_KEY, configuration(version) | {"padding": padding})
 
     async def until(self, condition, limit_s: float) -> float:
         """Wait for a condition and return the seconds that it took."""
@@ -76,7 +76,7 @@
             clock=SystemClock(),
             store=store,
             log=lines,
-            key=KEY,
+            key=CONFIGURATION_KEY,
             decode=lambda value, revision: decode_configuration(value, revision=revision),
             history_s=HISTORY_S,
         )
@@ -92,7 +92,7 @@
 
 async def test_first_configuration_may_exceed_the_usual_timeout(stand_in):
     """Guards against a listing that is cut off by a timeout and retried forever."""
-    stand_in.put(KEY, configuration(1) | {"padding": PADDING})
+    stand_in.put(CONFIGURATION_KEY, configuration(1) | {"padding": PADDING})
     async with slow_host(stand_in) as host:
         await host.until_in_force(1, 2 * TRANSFER_S)
         assert host.calls("range") == 1
--- a/tests/coordination/gated_store.py
+++ b/tests/coordination/gated_store.py
@@ -107,7 +107,5 @@
             lambda: self._memory.put_if(key, value, mod_revision=mod_revision), is_write=True
         )
 
-    async def delete_prefix_below(self, prefix: str, end: str) -> int:
-        return await self._call(
-            lambda: self._memory.delete_prefix_below(prefix, end), is_write=True
-        )
+    async def delete_range(self, prefix: str, end: str) -> int:
+        return await self._call(lambda: self._memory.delete_range(prefix, end), is_write=True)
--- a/tests/coordination/test_budget_shared.py
+++ b/tests/coordination/test_budget_shared.py
@@ -4,7 +4,7 @@
 from log_rig import AutoAdvancingClock
 
 from rhubarbferry.coordination.budget import SharedBudget
-from rhubarbferry.ports.store import Spend, StoreRateLimited
+from rhubarbferry.ports.store import BudgetKind, StoreRateLimited
 
 
 def _budget(clock: AutoAdvancingClock, *, members: int = 1) -> SharedBudget:
@@ -17,7 +17,7 @@
     budget = _budget(clock, members=members)
     started_at = clock.now
     for _ in range(200):
-        await budget.spend(Spend.WRITE)
+        await budget.acquire(BudgetKind.WRITE)
     assert seconds * 0.7 <= clock.now - started_at <= seconds
 
 
@@ -26,9 +26,9 @@
     budget = _budget(clock)
     budget.set_members(100)
     for _ in range(50):
-        await budget.spend(Spend.WRITE)
+        await budget.acquire(BudgetKind.WRITE)
     started_at = clock.now
-    await budget.spend(Spend.WRITE)
+    await budget.acquire(BudgetKind.WRITE)
     assert clock.now - started_at == pytest.approx(1.0, abs=0.05)
 
 
@@ -40,9 +40,9 @@
     clock = AutoAdvancingClock()
     budget = _budget(clock)
     for _ in range(300):
-        await budget.spend(Spend.RENEWAL)
+        await budget.acquire(BudgetKind.RENEWAL)
     assert clock.now == AutoAdvancingClock().now
-    await budget.spend(Spend.READ)
+    await budget.acquire(BudgetKind.READ)
     assert clock.now == AutoAdvancingClock().now
     with pytest.raises(StoreRateLimited):
-        await budget.spend(Spend.WRITE)
+        await budget.acquire(BudgetKind.WRITE)
--- a/tests/coordination/test_log.py
+++ b/tests/coordination/test_log.py
@@ -12,7 +12,7 @@
 from rhubarbferry.coordination.log import MAX_APPEND_BYTES, SealedLog
 from rhubarbferry.coordination.log_codec import decode_segment, encode_segment
 from rhubarbferry.core.log import LogKeys
-from rhubarbferry.ports.log import (
+from rhubarbferry.ports.entry_log import (
     LogCorrupt,
     LogFenced,
     LogTooLarge,
@@ -400,7 +400,7 @@
     await log.append([entry("b")])
     await log.append([entry("c")])
     key = _key_of(store, kind)
-    await store.delete_prefix_below(key, key + "\x00")
+    await store.delete_range(key, key + "\x00")
     with pytest.raises(LogCorrupt) as caught:
         await make_log(store, epoch=2).open()
     assert key in str(caught.value)
--- a/tests/coordination/test_log_machine.py
+++ b/tests/coordination/test_log_machine.py
@@ -15,7 +15,7 @@
 from log_rig import RETENTION_S, AutoAdvancingClock, entry, make_log, make_store, names
 
 from rhubarbferry.coordination.log import SealedLog
-from rhubarbferry.ports.log import LogFenced, LogUnavailable, LogUnclear
+from rhubarbferry.ports.entry_log import LogFenced, LogUnavailable, LogUnclear
 from rhubarbferry.test.store_engine import Engine
 
 FUZZ = os.environ.get("HYPOTHESIS_PROFILE") == "fuzz"
--- a/tests/coordination/test_long_outage.py
+++ b/tests/coordination/test_long_outage.py
@@ -45,7 +45,7 @@
         clock=clock,
         lease_holds=lambda: lease.holds(clock.monotonic()),
         extension_until=lambda: began + EXTENSION_S,
-        book=book,
+        promises=book,
     )
     held: set[bool] = set()
     acknowledged: set[bool] = set()
--- a/tests/coordination/test_node_guards.py
+++ b/tests/coordination/test_node_guards.py
@@ -50,7 +50,7 @@
     guards.dead.update({"f0", "f1"})
     await asyncio.gather(frontends[0].stop(), frontends[1].stop())
     await until(lambda: node.ownership.guard_set("north").closing)
-    await until(lambda: not _runner(node).book.guards)
+    await until(lambda: not _runner(node).promises.guards)
     await until(lambda: [guard.id for guard in node.ownership.guards("north")] == ["f2"])
 
 
@@ -107,7 +107,7 @@
 
 def _promised(node):
     runners = [t for p, t in node.tenures.items() if p.kind is PartitionKind.RUNNER]
-    return any(tenure.book.majority(time.monotonic()) for tenure in runners)
+    return any(tenure.promises.majority(time.monotonic()) for tenure in runners)
 
 
 class FakeGuardPool:
--- a/tests/frontend/test_gathering_transport.py
+++ b/tests/frontend/test_gathering_transport.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rhubarbferry.serving.connections import GATHERED_BYTES, GatheringTransport
+from rhubarbferry.serving.connections import FLUSH_THRESHOLD_BYTES, BatchingTransport
 
 
 class FakeTransport:
@@ -26,7 +26,7 @@
         self.calls.append("abort")
 
 
-LARGE = b"x" * GATHERED_BYTES
+LARGE = b"x" * FLUSH_THRESHOLD_BYTES
 
 
 @pytest.mark.parametrize(
@@ -41,7 +41,7 @@
     parts: list[bytes], sent_at_once: list[bytes]
 ) -> None:
     inner = FakeTransport()
-    transport = GatheringTransport(inner)  # type: ignore[arg-type]
+    transport = BatchingTransport(inner)  # type: ignore[arg-type]
     for part in parts:
         transport.write(part)
     assert inner.calls == sent_at_once
@@ -55,7 +55,7 @@
     If the connection closed first, the caller would get an error instead of the answer.
     """
     inner = FakeTransport()
-    transport = GatheringTransport(inner)  # type: ignore[arg-type]
+    transport = BatchingTransport(inner)  # type: ignore[arg-type]
     transport.write(b"answer")
     transport.close()
     assert inner.calls == [b"answer", "close"]
@@ -67,7 +67,7 @@
     If the data were still sent, a truncated answer could look like a complete one.
     """
     inner = FakeTransport()
-    transport = GatheringTransport(inner)  # type: ignore[arg-type]
+    transport = BatchingTransport(inner)  # type: ignore[arg-type]
     transport.write(b"part")
     transport.abort()
     await asyncio.sleep(0)
--- a/tests/on_platform/test_host_reports.py
+++ b/tests/on_platform/test_host_reports.py
@@ -6,7 +6,7 @@
 
 from rhubarbferry.dispatch.messages import HostEntry, Sizes
 from rhubarbferry.platform.workers import PlatformWorkers
-from rhubarbferry.ports.workers import HoldRequest, WorkerSilent
+from rhubarbferry.ports.workers import TaskLeaseRequest, WorkerSilent
 from rhubarbferry.test.platform_worker import PlatformWorkerStandIn
 from rhubarbferry.test.relay import Mode, Relay
 from rhubarbferry.test.serving import serving
@@ -25,8 +25,8 @@
     host._ended = [[number, TASK, number, "done", ""] for number in range(1, ENDED_TASKS + 1)]
     relay = Relay()
     workers = PlatformWorkers()
-    req = HoldRequest(
-        fence=1, deadline_s=None, forget_to=0, wait_s=0.0, patience_s=RESPONSE_MARGIN_S
+    req = TaskLeaseRequest(
+        fence=1, deadline_s=None, acknowledged_to=0, wait_s=0.0, response_margin_s=RESPONSE_MARGIN_S
     )
     async with serving(host.app()) as address:
         link = await relay.open(address)
@@ -40,10 +40,10 @@
         )
         try:
             if received:
-                assert len((await workers.hold(entry, req)).ended) == ENDED_TASKS
+                assert len((await workers.extend_leases(entry, req)).ended) == ENDED_TASKS
             else:
                 with pytest.raises(WorkerSilent):
-                    await workers.hold(entry, req)
+                    await workers.extend_leases(entry, req)
         finally:
             await workers.close()
             await relay.close()
--- a/tests/scheduler/fakes.py
+++ b/tests/scheduler/fakes.py
@@ -11,8 +11,8 @@
 from rhubarbferry.core.cell import Account, Cell, Service
 from rhubarbferry.core.partition import PartitionId, PartitionKind, runner_partition
 from rhubarbferry.ports.clock import SystemClock
+from rhubarbferry.ports.entry_log import LogError
 from rhubarbferry.ports.hosts import Host, HostKind
-from rhubarbferry.ports.log import LogError
 from rhubarbferry.ports.ownership import Guard, Member, Owner, Role
 from rhubarbferry.ports.runners import RunnerReport, RunnerUnreachable
 from rhubarbferry.rpc import Pool, Server, Timing
--- a/tests/scheduler/jobs_harness.py
+++ b/tests/scheduler/jobs_harness.py
@@ -12,8 +12,8 @@
 from rhubarbferry.core.partition import PartitionId, PartitionKind
 from rhubarbferry.core.promise import PromiseBook
 from rhubarbferry.ports.clock import SystemClock
+from rhubarbferry.ports.entry_log import LogFenced, LogUnavailable, LogUnclear
 from rhubarbferry.ports.hosts import Host, HostKind
-from rhubarbferry.ports.log import LogFenced, LogUnavailable, LogUnclear
 from rhubarbferry.ports.ownership import Member, Owner, Role
 from rhubarbferry.rpc import Pool, Server, Timing
 from rhubarbferry.rpc.gen import ttypes as t
@@ -52,15 +52,15 @@
     epoch: int
     held: bool = True
     lease_valid: bool = True
-    book: PromiseBook = field(factory=PromiseBook)
+    promises: PromiseBook = field(factory=PromiseBook)
 
     def holds(self) -> bool:
-        return self.held and (self.lease_valid or self.book.majority(SystemClock().monotonic()))
+        return self.held and (self.lease_valid or self.promises.majority(SystemClock().monotonic()))
 
     def lease_holds(self) -> bool:
         return self.held and self.lease_valid
 
-    def seen(self, epoch: int) -> None:
+    def observe_epoch(self, epoch: int) -> None:
         if epoch > self.epoch:
             self.held = False
 
--- a/tests/scheduler/test_intents.py
+++ b/tests/scheduler/test_intents.py
@@ -6,7 +6,7 @@
 
 from rhubarbferry.core.intents import IntentRules
 from rhubarbferry.core.partition import key_partition
-from rhubarbferry.ports.log import LogFenced, LogUnavailable, LogUnclear
+from rhubarbferry.ports.entry_log import LogFenced, LogUnavailable, LogUnclear
 from rhubarbferry.ports.ownership import Member, Role
 from rhubarbferry.rpc.gen import ttypes as t
 from rhubarbferry.scheduler.intents import IntentRegistry
--- a/tests/scheduler/test_lifecycle.py
+++ b/tests/scheduler/test_lifecycle.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rhubarbferry.core.partition import key_partition
-from rhubarbferry.ports.log import LogCorrupt, LogUnavailable
+from rhubarbferry.ports.entry_log import LogCorrupt, LogUnavailable
 from rhubarbferry.rpc.codec import LENGTH, decode_reply, encode_reply
 from rhubarbferry.rpc.gen import ttypes as t
 from rhubarbferry.rpc.services import SCHEDULER
--- a/tests/scheduler/test_worker_partition.py
+++ b/tests/scheduler/test_worker_partition.py
@@ -213,7 +213,7 @@
         await cluster.home()
         await cluster.submit(JOB, spec(kind=t.JobKind.SERVICE))
         await eventually(lambda: len(cluster.runs()) == 1)
-        await eventually(lambda: rack.tenure.book.held(cluster.clock.monotonic()) == 3)
+        await eventually(lambda: rack.tenure.promises.held(cluster.clock.monotonic()) == 3)
         rack.tenure.lease_valid = False
         first_number = reached.engine._number
         # After this number of heartbeats both the task lease and the promise have expired.
@@ -241,7 +241,7 @@
         await cluster.submit(JOB, spec(run_ms=60_000))
         await eventually(lambda: len(cluster.runs()) == 1)
         await eventually(lambda: len(cluster.workers["w1"].engine._settled) == 1)
-        await eventually(lambda: rack.tenure.book.held(cluster.clock.monotonic()) == 3)
+        await eventually(lambda: rack.tenure.promises.held(cluster.clock.monotonic()) == 3)
         await cluster.stop(rack)
         cluster.workers[cluster.runs()[0].worker].set_faults({"pause_s": 60.0})
         await cluster.rack()
