--- a/rhubarbferry/adapters/hosts.py
+++ b/rhubarbferry/adapters/hosts.py
@@ -12,7 +12,7 @@
 from loguru import logger
 from prometheus_client import Counter
 
-from rhubarbferry.coordination.signal import Signal
+from rhubarbferry.coordination.change_notifier import ChangeNotifier
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.hosts import Host, HostKind
 
@@ -112,7 +112,7 @@
         self._poll_s = poll_s
         self._clock = clock
         self._hosts: tuple[Host, ...] = ()
-        self._change_notifier = Signal()
+        self._change_notifier = ChangeNotifier()
         self._seen_version = 0
         self._last_poll_ok = True
         self._task: asyncio.Task[None] | None = None
--- a/rhubarbferry/coordination/signal.py
+++ b/rhubarbferry/coordination/change_notifier.py
@@ -9,7 +9,7 @@
 from rhubarbferry.ports.clock import Clock
 
 
-class Signal:
+class ChangeNotifier:
     """A change counter that tasks can wait on; changes between two waits are not missed."""
 
     def __init__(self) -> None:
--- a/rhubarbferry/coordination/configuration.py
+++ b/rhubarbferry/coordination/configuration.py
@@ -11,10 +11,10 @@
 
 from rhubarbferry.conf.cell import parse_cell
 from rhubarbferry.conf.problems import Problem
-from rhubarbferry.coordination.keys import CELL, CONFIG, MEMBERS
-from rhubarbferry.coordination.mirror import read_state
+from rhubarbferry.coordination.change_notifier import ChangeNotifier
+from rhubarbferry.coordination.keys import CELL_PREFIX, CONFIG_KEY, MEMBERS_PREFIX
+from rhubarbferry.coordination.mirror import decode_state
 from rhubarbferry.coordination.records import RecordCorrupt, decode, encode
-from rhubarbferry.coordination.signal import Signal
 from rhubarbferry.core.cell import Cell
 from rhubarbferry.core.configuration import (
     NO_CONFIG,
@@ -97,7 +97,7 @@
 
     def __init__(self) -> None:
         self.record = NO_CONFIG
-        self.changes = Signal()
+        self.changes = ChangeNotifier()
         self._cell = Cell()
         self._rejected_record: ConfigRecord | None = None
 
@@ -142,7 +142,7 @@
 
     :raises RecordCorrupt: when the record can't be decoded.
     """
-    return _decode_stored(await store.get(CONFIG))
+    return _decode_stored(await store.get(CONFIG_KEY))
 
 
 async def apply(
@@ -161,9 +161,9 @@
     match parse_cell(text, based_on + 1):
         case Failure(problems):
             raise ConfigInvalid(problems)
-    listing = await store.list(CELL)
-    state = read_state(listing.items)
-    config = next((kv for kv in listing.items if kv.key == CONFIG), None)
+    listing = await store.list(CELL_PREFIX)
+    state = decode_state(listing.items)
+    config = next((kv for kv in listing.items if kv.key == CONFIG_KEY), None)
     current = _decode_stored(config)
     _check_base_revision(current, based_on)
     if highest_in_force(state.members.values()) > current.record.revision:
@@ -193,8 +193,8 @@
     logger.warning("the store lost configuration {}; writing it back", in_force.revision)
     try:
         if based_on == 0:
-            return await store.create(CONFIG, encode(in_force)) is not None
-        return await store.put_if(CONFIG, encode(in_force), mod_revision=based_on) is not None
+            return await store.create(CONFIG_KEY, encode(in_force)) is not None
+        return await store.put_if(CONFIG_KEY, encode(in_force), mod_revision=based_on) is not None
     except StoreUnclear:
         # The next read of the store shows whether the write took effect; repeating it is harmless.
         return False
@@ -209,8 +209,8 @@
     pending: tuple[str, ...] = ("unknown, the store can't be read",)
     while True:
         try:
-            listing = await store.list(MEMBERS)
-            pending = lagging(read_state(listing.items).members.values(), revision)
+            listing = await store.list(MEMBERS_PREFIX)
+            pending = lagging(decode_state(listing.items).members.values(), revision)
         except StoreError as exc:
             logger.debug("the members can't be read: {}", exc)
         if not pending:
@@ -223,7 +223,9 @@
 def _decode_stored(kv: KeyValue | None) -> StoredConfig:
     if kv is None:
         return StoredConfig(record=NO_CONFIG, mod_revision=0)
-    return StoredConfig(record=decode(CONFIG, kv.value, ConfigRecord), mod_revision=kv.mod_revision)
+    return StoredConfig(
+        record=decode(CONFIG_KEY, kv.value, ConfigRecord), mod_revision=kv.mod_revision
+    )
 
 
 def _check_base_revision(current: StoredConfig, based_on: int) -> None:
@@ -240,9 +242,9 @@
     for _ in range(MAX_ATTEMPTS):
         try:
             if based_on == 0:
-                revision = await store.create(CONFIG, value)
+                revision = await store.create(CONFIG_KEY, value)
             else:
-                revision = await store.put_if(CONFIG, value, mod_revision=based_on)
+                revision = await store.put_if(CONFIG_KEY, value, mod_revision=based_on)
             if revision is None:
                 await _check_stored(store, record, outcome_unknown=outcome_unknown)
             return
--- a/rhubarbferry/coordination/keys.py
+++ b/rhubarbferry/coordination/keys.py
@@ -6,12 +6,12 @@
 
 from __future__ import annotations
 
-CELL = "cell/"
-MEMBERS = CELL + "members/"
-OWNERSHIP = CELL + "ownership"
-CONFIG = CELL + "config"
+CELL_PREFIX = "cell/"
+MEMBERS_PREFIX = CELL_PREFIX + "members/"
+OWNERSHIP_KEY = CELL_PREFIX + "ownership"
+CONFIG_KEY = CELL_PREFIX + "config"
 
 
 def member_key(member_id: str) -> str:
     """Return the key of a member's record."""
-    return MEMBERS + member_id
+    return MEMBERS_PREFIX + member_id
--- a/rhubarbferry/coordination/membership.py
+++ b/rhubarbferry/coordination/membership.py
@@ -10,9 +10,9 @@
 from prometheus_client import Counter
 
 from rhubarbferry.conf.settings import OwnershipSettings
+from rhubarbferry.coordination.change_notifier import ChangeNotifier, wait_at_most
 from rhubarbferry.coordination.keys import member_key
 from rhubarbferry.coordination.records import decode, encode
-from rhubarbferry.coordination.signal import Signal, wait_at_most
 from rhubarbferry.core.lease import Lease
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.ownership import Member
@@ -44,10 +44,10 @@
         self._desired = evolve(member, incarnation=FIRST_INCARNATION)
         self._published: Member | None = None
         self._revision = 0
-        self._updates = Signal()
+        self._updates = ChangeNotifier()
         self.lease: Lease | None = None
         self.store_answered = True
-        self.changes = Signal()
+        self.changes = ChangeNotifier()
 
     @property
     def member(self) -> Member:
--- a/rhubarbferry/coordination/mirror.py
+++ b/rhubarbferry/coordination/mirror.py
@@ -9,9 +9,9 @@
 from loguru import logger
 from prometheus_client import Counter
 
-from rhubarbferry.coordination.keys import CONFIG, MEMBERS, OWNERSHIP
+from rhubarbferry.coordination.change_notifier import ChangeNotifier
+from rhubarbferry.coordination.keys import CONFIG_KEY, MEMBERS_PREFIX, OWNERSHIP_KEY
 from rhubarbferry.coordination.records import RecordCorrupt, TableRecord, decode
-from rhubarbferry.coordination.signal import Signal
 from rhubarbferry.core.configuration import ConfigRecord
 from rhubarbferry.core.guards import NO_GUARDS, GuardSet
 from rhubarbferry.core.ownership import Table
@@ -31,7 +31,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class State:
+class CellState:
     """The decoded records at one revision of the store.
 
     :param members: live members by id.
@@ -50,7 +50,7 @@
     config_revision: int
 
 
-EMPTY_STATE = State(
+EMPTY_STATE = CellState(
     members={},
     table=Table(),
     table_revision=0,
@@ -60,7 +60,7 @@
 )
 
 
-def read_state(items: Iterable[KeyValue], previous: State = EMPTY_STATE) -> State:
+def decode_state(items: Iterable[KeyValue], previous: CellState = EMPTY_STATE) -> CellState:
     """Decode the records of a list; records that can't be decoded are skipped and counted.
 
     :param previous: supplies the table or configuration while the stored one can't be decoded.
@@ -69,19 +69,19 @@
     table, table_revision, table_readable = Table(), 0, True
     config, config_revision = None, 0
     for kv in items:
-        if kv.key.startswith(MEMBERS):
+        if kv.key.startswith(MEMBERS_PREFIX):
             member = _read(kv, Member)
             if member is not None:
                 members[member.id] = member
-        elif kv.key == OWNERSHIP:
+        elif kv.key == OWNERSHIP_KEY:
             record = _read(kv, TableRecord)
             table_readable = record is not None
             table = previous.table if record is None else record.table
             table_revision = kv.mod_revision
-        elif kv.key == CONFIG:
+        elif kv.key == CONFIG_KEY:
             config = _read(kv, ConfigRecord) or previous.config
             config_revision = kv.mod_revision
-    return State(
+    return CellState(
         members=members,
         table=table,
         table_revision=table_revision,
@@ -114,7 +114,7 @@
         self.state = EMPTY_STATE
         self.revision = 0
         self.last_read_at = float("-inf")
-        self.changes = Signal()
+        self.changes = ChangeNotifier()
         self.epochs: dict[PartitionId, int] = {}
         self._items: dict[str, KeyValue] = {}
         self._by_kind: dict[tuple[PartitionKind, str | None], tuple[PartitionId, ...]] = {}
@@ -164,7 +164,7 @@
         self.revision = max(self.revision, revision)
 
     def _update(self) -> None:
-        self.state = read_state(self._items.values(), self.state)
+        self.state = decode_state(self._items.values(), self.state)
         for partition, entry in self.state.table.entries.items():
             self.epochs[partition] = max(entry.epoch, self.epochs.get(partition, 0))
         self._by_kind.clear()
--- a/rhubarbferry/coordination/node.py
+++ b/rhubarbferry/coordination/node.py
@@ -11,6 +11,7 @@
 
 from rhubarbferry.conf.settings import Settings
 from rhubarbferry.coordination.budget import SharedBudget
+from rhubarbferry.coordination.change_notifier import wait_at_most
 from rhubarbferry.coordination.configuration import ActiveConfig, restore
 from rhubarbferry.coordination.guard_sets import GuardSetManager
 from rhubarbferry.coordination.membership import Membership
@@ -18,9 +19,8 @@
 from rhubarbferry.coordination.peers import PeerConfiguration
 from rhubarbferry.coordination.planner import Planner
 from rhubarbferry.coordination.promises import GuardClient, PromiseRenewer
-from rhubarbferry.coordination.signal import wait_at_most
 from rhubarbferry.coordination.table import TableWriter
-from rhubarbferry.coordination.tenure import HeldTenure, Lost, Tenures, Won
+from rhubarbferry.coordination.tenure import HeldTenure, TenureLost, Tenures, TenureWon
 from rhubarbferry.coordination.watcher import Watcher
 from rhubarbferry.core.budget import sharers
 from rhubarbferry.core.configuration import ConfigRecord, gone_back
@@ -52,7 +52,7 @@
     :param jitter: returns random numbers from 0 up to 1.
     :param budget: the rate limiter of ``store``; updated to this process's share of the cell's
         limits.
-    :ivar events: :class:`Won` and :class:`Lost`; only schedulers receive any.
+    :ivar events: :class:`TenureWon` and :class:`TenureLost`; only schedulers receive any.
     """
 
     def __init__(
@@ -135,7 +135,7 @@
         return self.cell.record.text
 
     @property
-    def events(self) -> asyncio.Queue[Won | Lost]:
+    def events(self) -> asyncio.Queue[TenureWon | TenureLost]:
         """Queue of won and lost tenures, in order."""
         return self._tenures.events
 
--- a/rhubarbferry/coordination/planner.py
+++ b/rhubarbferry/coordination/planner.py
@@ -9,11 +9,11 @@
 from loguru import logger
 
 from rhubarbferry.conf.settings import OwnershipSettings
+from rhubarbferry.coordination.change_notifier import wait_at_most
 from rhubarbferry.coordination.guard_sets import GuardSetManager
 from rhubarbferry.coordination.membership import Membership
 from rhubarbferry.coordination.mirror import Mirror
 from rhubarbferry.coordination.records import RecordCorrupt
-from rhubarbferry.coordination.signal import wait_at_most
 from rhubarbferry.coordination.table import TableWriter
 from rhubarbferry.coordination.tenure import Tenures
 from rhubarbferry.core.ownership import Table, misplaced, permitted, plan
--- a/rhubarbferry/coordination/promises.py
+++ b/rhubarbferry/coordination/promises.py
@@ -8,9 +8,9 @@
 from prometheus_client import Counter
 
 from rhubarbferry.conf.settings import OwnershipSettings
+from rhubarbferry.coordination.change_notifier import wait_at_most
 from rhubarbferry.coordination.guard_sets import CloseConfirmation
 from rhubarbferry.coordination.mirror import Mirror
-from rhubarbferry.coordination.signal import wait_at_most
 from rhubarbferry.coordination.tenure import HeldTenure, Tenures
 from rhubarbferry.core.partition import PartitionKind
 from rhubarbferry.core.promise import NO_PROMISE_MS
--- a/rhubarbferry/coordination/release.py
+++ b/rhubarbferry/coordination/release.py
@@ -4,7 +4,7 @@
 
 from attrs import evolve
 
-from rhubarbferry.coordination.keys import OWNERSHIP
+from rhubarbferry.coordination.keys import OWNERSHIP_KEY
 from rhubarbferry.coordination.records import TableRecord, decode
 from rhubarbferry.coordination.table import TableWriter
 from rhubarbferry.core.guards import NO_GUARDS
@@ -30,10 +30,10 @@
     :raises NoTable: when there is no ownership table.
     :raises ReleaseRace: when the table was changed concurrently.
     """
-    kv = await store.get(OWNERSHIP)
+    kv = await store.get(OWNERSHIP_KEY)
     if kv is None:
         raise NoTable("there is no ownership table; start a scheduler first")
-    table = decode(OWNERSHIP, kv.value, TableRecord).table
+    table = decode(OWNERSHIP_KEY, kv.value, TableRecord).table
     old = table.guards.get(region, NO_GUARDS)
     empty = evolve(old, version=old.version + 1, guards=(), closing=False)
     released = evolve(table, guards={**table.guards, region: empty})
--- a/rhubarbferry/coordination/table.py
+++ b/rhubarbferry/coordination/table.py
@@ -6,7 +6,7 @@
 
 from prometheus_client import Counter
 
-from rhubarbferry.coordination.keys import OWNERSHIP
+from rhubarbferry.coordination.keys import OWNERSHIP_KEY
 from rhubarbferry.coordination.records import TableRecord, decode, encode
 from rhubarbferry.core.ownership import Table
 from rhubarbferry.ports.store import Store, StoreUnclear
@@ -37,9 +37,9 @@
         value = encode(TableRecord(table=table, writer_id=self._writer_id, write_id=write_id))
         try:
             if based_on == 0:
-                revision = await self._store.create(OWNERSHIP, value)
+                revision = await self._store.create(OWNERSHIP_KEY, value)
             else:
-                revision = await self._store.put_if(OWNERSHIP, value, mod_revision=based_on)
+                revision = await self._store.put_if(OWNERSHIP_KEY, value, mod_revision=based_on)
         except StoreUnclear:
             is_stored = await self._is_stored(write_id)
             TABLE_WRITES.labels("read_back").inc()
@@ -50,8 +50,8 @@
     async def _is_stored(self, write_id: str) -> bool:
         # Don't repeat the write: if the first attempt was stored, the repetition would be
         # rejected, and the caller would plan again although its table is in place.
-        kv = await self._store.get(OWNERSHIP)
+        kv = await self._store.get(OWNERSHIP_KEY)
         if kv is None:
             return False
-        record = decode(OWNERSHIP, kv.value, TableRecord)
+        record = decode(OWNERSHIP_KEY, kv.value, TableRecord)
         return (record.writer_id, record.write_id) == (self._writer_id, write_id)
--- a/rhubarbferry/coordination/tenure.py
+++ b/rhubarbferry/coordination/tenure.py
@@ -10,9 +10,9 @@
 from prometheus_client import Counter, Gauge
 
 from rhubarbferry.conf.settings import OwnershipSettings
+from rhubarbferry.coordination.change_notifier import ChangeNotifier
 from rhubarbferry.coordination.membership import Membership
 from rhubarbferry.coordination.mirror import Mirror
-from rhubarbferry.coordination.signal import Signal
 from rhubarbferry.core.ownership import OwnerEntry
 from rhubarbferry.core.partition import PartitionId, PartitionKind
 from rhubarbferry.core.promise import PromiseBook
@@ -76,14 +76,14 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Won:
+class TenureWon:
     """This process has become the owner of a partition."""
 
     tenure: HeldTenure
 
 
 @frozen(kw_only=True, slots=True)
-class Lost:
+class TenureLost:
     """A tenure has ended; its ``holds()`` returned ``False`` before this event was queued."""
 
     partition: PartitionId
@@ -93,7 +93,7 @@
 class Tenures:
     """Derive tenures and events from the ownership table and the lease.
 
-    :ivar events: :class:`Won` and :class:`Lost`, in order.
+    :ivar events: :class:`TenureWon` and :class:`TenureLost`, in order.
     :ivar current: the active tenures by partition.
     :ivar end_notifier: notified whenever a tenure ends.
     """
@@ -106,9 +106,9 @@
         self._membership = membership
         self._mirror = mirror
         self._used_epochs: dict[PartitionId, int] = {}
-        self.events: asyncio.Queue[Won | Lost] = asyncio.Queue(MAX_EVENTS)
+        self.events: asyncio.Queue[TenureWon | TenureLost] = asyncio.Queue(MAX_EVENTS)
         self.current: dict[PartitionId, HeldTenure] = {}
-        self.end_notifier = Signal()
+        self.end_notifier = ChangeNotifier()
 
     def sync(self) -> None:
         """End tenures that are no longer valid and begin those that the table assigns."""
@@ -138,7 +138,7 @@
         TENURES_LOST.labels(partition.kind.value).inc()
         PARTITIONS_OWNED.set(len(self.current))
         logger.info("{} lost at epoch {}", partition, tenure.epoch)
-        self.events.put_nowait(Lost(partition=partition, epoch=tenure.epoch))
+        self.events.put_nowait(TenureLost(partition=partition, epoch=tenure.epoch))
         self.end_notifier.notify()
 
     def end_all(self, partitions: Iterable[PartitionId] | None = None) -> None:
@@ -176,7 +176,7 @@
         TENURES_WON.labels(partition.kind.value).inc()
         PARTITIONS_OWNED.set(len(self.current))
         logger.info("{} won at epoch {}", partition, entry.epoch)
-        self.events.put_nowait(Won(tenure=tenure))
+        self.events.put_nowait(TenureWon(tenure=tenure))
 
     def _extension_until(self) -> float:
         # Counted from the last full read of the table: an owner that has not read it for longer
--- a/rhubarbferry/coordination/watcher.py
+++ b/rhubarbferry/coordination/watcher.py
@@ -8,7 +8,7 @@
 from prometheus_client import Counter
 
 from rhubarbferry.conf.settings import Settings
-from rhubarbferry.coordination.keys import CELL
+from rhubarbferry.coordination.keys import CELL_PREFIX
 from rhubarbferry.coordination.mirror import Mirror
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.store import Store, StoreError
@@ -45,7 +45,7 @@
         asked_at = self._clock.monotonic()
         # Checked before the read, because the watch may start while the read is in progress.
         without_watch = not self._watching
-        listing = await self._store.list(CELL)
+        listing = await self._store.list(CELL_PREFIX)
         self._mirror.replace(listing, asked_at=asked_at, without_watch=without_watch)
 
     async def _watch_forever(self) -> None:
@@ -64,7 +64,7 @@
         self._set_connected(connected=True, reason="")
         self._watching = True
         try:
-            events = self._store.watch(CELL, from_revision=self._mirror.revision + 1)
+            events = self._store.watch(CELL_PREFIX, from_revision=self._mirror.revision + 1)
             async for batch in events:
                 self._mirror.apply(batch)
         finally:
--- a/rhubarbferry/management/cell_access.py
+++ b/rhubarbferry/management/cell_access.py
@@ -12,8 +12,8 @@
 from rhubarbferry.adapters.etcd import EtcdStore
 from rhubarbferry.conf import require_settings
 from rhubarbferry.conf.settings import StoreSettings
-from rhubarbferry.coordination.keys import CELL
-from rhubarbferry.coordination.mirror import State, read_state
+from rhubarbferry.coordination.keys import CELL_PREFIX
+from rhubarbferry.coordination.mirror import CellState, decode_state
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.ownership import Member, Role
 from rhubarbferry.ports.store import Store
@@ -49,13 +49,13 @@
         await store.close()
 
 
-async def read_cell(store: Store) -> State:
+async def read_cell(store: Store) -> CellState:
     """Return members, ownership and configuration as stored."""
-    listing = await store.list(CELL)
-    return read_state(listing.items)
+    listing = await store.list(CELL_PREFIX)
+    return decode_state(listing.items)
 
 
-def find_frontend(state: State) -> Member:
+def find_frontend(state: CellState) -> Member:
     """Return a frontend that is not draining.
 
     :raises NoFrontend: when there is none.
--- a/rhubarbferry/management/commands/release.py
+++ b/rhubarbferry/management/commands/release.py
@@ -10,7 +10,7 @@
 
 from cyclopts import Parameter
 
-from rhubarbferry.coordination.mirror import State
+from rhubarbferry.coordination.mirror import CellState
 from rhubarbferry.coordination.release import NoTable, ReleaseRace, release_guards
 from rhubarbferry.core.guards import NO_GUARDS
 from rhubarbferry.management.cell_access import (
@@ -66,7 +66,7 @@
     return Exit.OK
 
 
-def _describe_conditions(state: State, region: str) -> str:
+def _describe_conditions(state: CellState, region: str) -> str:
     guards = state.table.guards.get(region, NO_GUARDS).guards
     live = {member.id for member in state.members.values() if member.role is Role.FRONTEND}
     ended = sorted(guard.id for guard in guards if guard.id not in live)
--- a/rhubarbferry/management/commands/report.py
+++ b/rhubarbferry/management/commands/report.py
@@ -14,7 +14,7 @@
 from returns.result import Success
 
 from rhubarbferry.conf.cell import parse_cell
-from rhubarbferry.coordination.mirror import State
+from rhubarbferry.coordination.mirror import CellState
 from rhubarbferry.core.cell import Cell
 from rhubarbferry.management.cell_access import (
     DEFAULT_STORE,
@@ -85,7 +85,7 @@
     return assemble_report(cell=_parse_cell(state), scrapes=scrapes, taken_at=SystemClock().wall())
 
 
-def _parse_cell(state: State) -> Cell:
+def _parse_cell(state: CellState) -> Cell:
     if state.config is None:
         return Cell()
     match parse_cell(state.config.text, state.config.revision):
--- a/rhubarbferry/management/commands/status.py
+++ b/rhubarbferry/management/commands/status.py
@@ -8,7 +8,7 @@
 
 from attrs import frozen
 
-from rhubarbferry.coordination.mirror import State
+from rhubarbferry.coordination.mirror import CellState
 from rhubarbferry.management.cell_access import (
     DEFAULT_STORE,
     SettingsFile,
@@ -75,7 +75,7 @@
     return Exit.OK if served else Exit.FAILED
 
 
-async def _request_all_statuses(state: State) -> dict[str, Any]:
+async def _request_all_statuses(state: CellState) -> dict[str, Any]:
     pools = {Role.FRONTEND: Pool(service=GUARD), Role.SCHEDULER: Pool(service=SCHEDULER)}
     members = list(state.members.values())
     replies = await asyncio.gather(
@@ -107,7 +107,7 @@
     )
 
 
-def _partition_rows(state: State, replies: dict[str, Any]) -> list[PartitionRow]:
+def _partition_rows(state: CellState, replies: dict[str, Any]) -> list[PartitionRow]:
     rows = []
     for partition, entry in sorted(state.table.entries.items()):
         reply = replies.get(entry.member_id)
--- a/rhubarbferry/scheduler/daemon.py
+++ b/rhubarbferry/scheduler/daemon.py
@@ -193,13 +193,13 @@
     # ------------------------------------------------------------ run
 
     async def _process_events(self) -> None:
-        from rhubarbferry.coordination.node import Lost, Won
+        from rhubarbferry.coordination.node import TenureLost, TenureWon
 
         while True:
             match await self._node.events.get():
-                case Won(tenure=tenure):
+                case TenureWon(tenure=tenure):
                     await self._lifecycle.won(tenure)
-                case Lost(partition=partition, epoch=epoch):
+                case TenureLost(partition=partition, epoch=epoch):
                     await self._lifecycle.lost(partition, below=epoch + 1)
 
     async def _ping(self, req: PingRequest) -> PingReply:
--- a/tests/coordination/test_budget_shared.py
+++ b/tests/coordination/test_budget_shared.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
 import pytest
-from log_rig import AutoAdvancingClock
+from log_harness import AutoAdvancingClock
 
 from rhubarbferry.coordination.budget import SharedBudget
 from rhubarbferry.ports.store import BudgetKind, StoreRateLimited
--- a/tests/coordination/test_configuration.py
+++ b/tests/coordination/test_configuration.py
@@ -8,7 +8,7 @@
 
 from rhubarbferry.coordination import configuration as conf
 from rhubarbferry.coordination.configuration import ActiveConfig
-from rhubarbferry.coordination.keys import CONFIG, MEMBERS
+from rhubarbferry.coordination.keys import CONFIG_KEY, MEMBERS_PREFIX
 from rhubarbferry.coordination.records import decode, encode
 from rhubarbferry.core.configuration import ConfigRecord, gone_back
 from rhubarbferry.ports.clock import SystemClock
@@ -122,16 +122,16 @@
     revision is restored.
     """
     await apply(store)
-    await store.create(MEMBERS + "a", encode(member("a", 5)))
+    await store.create(MEMBERS_PREFIX + "a", encode(member("a", 5)))
     with pytest.raises(conf.ConfigBehind):
         await apply(store, text=OTHER, based_on=1)
 
 
 async def test_wait_in_force_names_lagging_members(store):
     clock = SystemClock()
-    await store.create(MEMBERS + "a", encode(member("a", 2)))
+    await store.create(MEMBERS_PREFIX + "a", encode(member("a", 2)))
     await conf.wait_in_force(store, revision=2, timeout_s=0.05, clock=clock)
-    await store.create(MEMBERS + "b", encode(member("b", 1)))
+    await store.create(MEMBERS_PREFIX + "b", encode(member("b", 1)))
     with pytest.raises(conf.NotInForce, match="b") as caught:
         await conf.wait_in_force(store, revision=2, timeout_s=0.05, clock=clock)
     assert caught.value.members == ("b",)
@@ -168,8 +168,8 @@
 @pytest.mark.parametrize("older", [None, ConfigRecord(revision=1, text=TEXT)])
 async def test_later_configuration_is_restored(store, older):
     in_force = ConfigRecord(revision=3, text=OTHER, author="ann")
-    based_on = 0 if older is None else await store.create(CONFIG, encode(older))
+    based_on = 0 if older is None else await store.create(CONFIG_KEY, encode(older))
     assert await conf.restore(store, in_force=in_force, based_on=based_on)
-    kv = await store.get(CONFIG)
-    assert decode(CONFIG, kv.value, ConfigRecord) == in_force
+    kv = await store.get(CONFIG_KEY)
+    assert decode(CONFIG_KEY, kv.value, ConfigRecord) == in_force
     assert not await conf.restore(store, in_force=in_force, based_on=based_on)
--- a/tests/coordination/test_log.py
+++ b/tests/coordination/test_log.py
@@ -7,7 +7,15 @@
 
 import pytest
 from gated_store import Delivery, GatedStore
-from log_rig import PARTITION, RETENTION_S, AutoAdvancingClock, entry, make_log, make_store, names
+from log_harness import (
+    PARTITION,
+    RETENTION_S,
+    AutoAdvancingClock,
+    entry,
+    make_log,
+    make_store,
+    names,
+)
 
 from rhubarbferry.coordination.log import MAX_APPEND_BYTES, SealedLog
 from rhubarbferry.coordination.log_codec import decode_segment, encode_segment
--- a/tests/coordination/test_log_machine.py
+++ b/tests/coordination/test_log_machine.py
@@ -12,7 +12,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
-from log_rig import RETENTION_S, AutoAdvancingClock, entry, make_log, make_store, names
+from log_harness import RETENTION_S, AutoAdvancingClock, entry, make_log, make_store, names
 
 from rhubarbferry.coordination.log import SealedLog
 from rhubarbferry.ports.entry_log import LogFenced, LogUnavailable, LogUnclear
--- a/tests/coordination/test_node.py
+++ b/tests/coordination/test_node.py
@@ -6,9 +6,9 @@
 from attrs import evolve
 from cell_harness import TEXT, TIMEOUT_S, FixedHosts, settings, until
 
-from rhubarbferry.coordination import Lost, Won
+from rhubarbferry.coordination import TenureLost, TenureWon
 from rhubarbferry.coordination.configuration import read, wait_in_force
-from rhubarbferry.coordination.keys import CONFIG, OWNERSHIP, member_key
+from rhubarbferry.coordination.keys import CONFIG_KEY, OWNERSHIP_KEY, member_key
 from rhubarbferry.coordination.records import encode
 from rhubarbferry.core.configuration import ConfigRecord
 from rhubarbferry.core.partition import PartitionKind, key_partition
@@ -22,7 +22,7 @@
     node = await cell.join("a")
     await until(lambda: len(node.tenures) == 5)
     assert all(tenure.holds() for tenure in node.tenures.values())
-    assert isinstance(node.events.get_nowait(), Won)
+    assert isinstance(node.events.get_nowait(), TenureWon)
     assert node.cell.current().regions == ("north", "south")
     owner = node.ownership.owner(key_partition(region="north", number=0))
     assert (owner.member_id, owner.epoch) == ("a", 1)
@@ -74,7 +74,7 @@
     cell.clients[0].faults.down = False
     await until(lambda: len(first.tenures) == 2)
     assert not any(tenure.holds() for tenure in keys)
-    assert any(isinstance(event, Lost) for event in _drained(first.events))
+    assert any(isinstance(event, TenureLost) for event in _drained(first.events))
 
 
 def _drained(queue: asyncio.Queue) -> list:
@@ -150,7 +150,7 @@
     await wait_in_force(cell.store, revision=2, timeout_s=TIMEOUT_S, clock=cell.clock)
     stored = await read(cell.store)
     older = encode(ConfigRecord(revision=1, text=TEXT))
-    await cell.store.put_if(CONFIG, older, mod_revision=stored.mod_revision)
+    await cell.store.put_if(CONFIG_KEY, older, mod_revision=stored.mod_revision)
     await until(lambda: node.ownership.state.config.revision == 1)
     assert node.cell.current().revision == 2
     await until(lambda: node.ownership.state.config.revision == 2)
@@ -180,11 +180,11 @@
 
 async def test_unreadable_table_is_not_overwritten(cell):
     """A corrupt table is not overwritten, because epochs must not start again at 1."""
-    await cell.store.create(OWNERSHIP, b"{")
+    await cell.store.create(OWNERSHIP_KEY, b"{")
     node = await cell.join("a")
     await until(lambda: "a" in node.ownership.state.members)
     assert not node.ownership.state.table_readable
-    assert (await cell.store.get(OWNERSHIP)).value == b"{"
+    assert (await cell.store.get(OWNERSHIP_KEY)).value == b"{"
     assert not node.tenures
 
 
--- a/tests/coordination/test_ownership_machine.py
+++ b/tests/coordination/test_ownership_machine.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from rhubarbferry.conf.settings import OwnershipSettings, ProcessSettings, Settings
-from rhubarbferry.coordination import Node, Won
+from rhubarbferry.coordination import Node, TenureWon
 from rhubarbferry.coordination.configuration import apply
 from rhubarbferry.coordination.membership import Membership
 from rhubarbferry.ports.ownership import Role
@@ -75,7 +75,7 @@
     def collect(self) -> None:
         while not self.node.events.empty():
             match self.node.events.get_nowait():
-                case Won(tenure=tenure):
+                case TenureWon(tenure=tenure):
                     self.tenures.append(tenure)
 
     async def kill(self) -> None:
--- a/tests/management/test_release.py
+++ b/tests/management/test_release.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rhubarbferry.coordination.keys import OWNERSHIP
+from rhubarbferry.coordination.keys import OWNERSHIP_KEY
 from rhubarbferry.coordination.records import TableRecord, decode, encode
 from rhubarbferry.core.guards import GuardSet
 from rhubarbferry.core.ownership import Table
@@ -29,14 +29,14 @@
     monkeypatch.setattr(command, "open_store", open_store)
     table = Table(guards={"nan": GuardSet(version=4, guards=GUARDS)})
     await memory_store.create(
-        OWNERSHIP, encode(TableRecord(table=table, writer_id="s", write_id="w"))
+        OWNERSHIP_KEY, encode(TableRecord(table=table, writer_id="s", write_id="w"))
     )
     return memory_store
 
 
 async def guard_set(store: MemoryStore) -> GuardSet:
-    kv = await store.get(OWNERSHIP)
-    return decode(OWNERSHIP, kv.value, TableRecord).table.guards["nan"]
+    kv = await store.get(OWNERSHIP_KEY)
+    return decode(OWNERSHIP_KEY, kv.value, TableRecord).table.guards["nan"]
 
 
 @pytest.mark.parametrize(
--- a/tests/processes/failure_scenarios.py
+++ b/tests/processes/failure_scenarios.py
@@ -8,8 +8,8 @@
 
 from request_load import REQUEST_TIMEOUT_S, Evaluation, Load, evaluate
 
-from rhubarbferry.coordination.keys import CELL
-from rhubarbferry.coordination.mirror import State, read_state
+from rhubarbferry.coordination.keys import CELL_PREFIX
+from rhubarbferry.coordination.mirror import CellState, decode_state
 from rhubarbferry.test.processes import ProcessCell, Shape
 from rhubarbferry.test.relay import Mode, Scope
 
@@ -33,11 +33,11 @@
 Fault = Callable[[ProcessCell], Awaitable[None]]
 
 
-async def state_of(cell: ProcessCell) -> State:
+async def state_of(cell: ProcessCell) -> CellState:
     """Return members, ownership and configuration from the store."""
     store = cell.open_store()
     try:
-        return read_state((await store.list(CELL)).items)
+        return decode_state((await store.list(CELL_PREFIX)).items)
     finally:
         await store.close()
 
--- a/tests/processes/test_jobs_under_faults.py
+++ b/tests/processes/test_jobs_under_faults.py
@@ -42,12 +42,12 @@
 
 async def owner_of(cell: ProcessCell, partition: str) -> str:
     """Return the name of the scheduler that owns a partition."""
-    from rhubarbferry.coordination.keys import CELL
-    from rhubarbferry.coordination.mirror import read_state
+    from rhubarbferry.coordination.keys import CELL_PREFIX
+    from rhubarbferry.coordination.mirror import decode_state
 
     store = cell.open_store()
     try:
-        state = read_state((await store.list(CELL)).items)
+        state = decode_state((await store.list(CELL_PREFIX)).items)
     finally:
         await store.close()
     entry = next(e for p, e in state.table.entries.items() if str(p) == partition)
--- a/tests/processes/test_store_outage.py
+++ b/tests/processes/test_store_outage.py
@@ -10,8 +10,8 @@
 import pytest
 from attrs import frozen
 
-from rhubarbferry.coordination.keys import CELL
-from rhubarbferry.coordination.mirror import read_state
+from rhubarbferry.coordination.keys import CELL_PREFIX
+from rhubarbferry.coordination.mirror import decode_state
 from rhubarbferry.core.ownership import Table
 from rhubarbferry.core.partition import PartitionId
 from rhubarbferry.test.processes import ProcessCell, Shape
@@ -69,7 +69,7 @@
     """Return the ownership table from the store."""
     store = cell.open_store()
     try:
-        return read_state((await store.list(CELL)).items).table
+        return decode_state((await store.list(CELL_PREFIX)).items).table
     finally:
         await store.close()
 
