--- a/rhubarbferry/coordination/log_codec.py
+++ b/rhubarbferry/coordination/log_codec.py
@@ -11,7 +11,7 @@
 
 from rhubarbferry.core.log import Head, Stamp
 from rhubarbferry.ports.entry_log import LogCorrupt
-from rhubarbferry.rpc.codec import check_required
+from rhubarbferry.rpc.codec import check_required_fields
 from rhubarbferry.rpc.gen.ttypes import LogEntry, LogSegment
 
 SEGMENT_MAGIC = b"RFL1"
@@ -81,7 +81,7 @@
     segment = LogSegment()
     try:
         segment.read(TBinaryProtocolAccelerated(TMemoryBuffer(payload)))
-        check_required(segment)
+        check_required_fields(segment)
     except Exception as exc:
         raise _corrupt_record_error(key, f"it is not a segment ({exc!r})") from exc
     return segment
--- a/rhubarbferry/frontend/daemon.py
+++ b/rhubarbferry/frontend/daemon.py
@@ -28,7 +28,7 @@
 from rhubarbferry.frontend.waits import ExpectedWaits
 from rhubarbferry.ports.clock import Clock, SystemClock
 from rhubarbferry.ports.ownership import ConfigurationView, OwnershipView, Role
-from rhubarbferry.reports.events import publish as publish_objectives
+from rhubarbferry.reports.events import register_slo_collector
 from rhubarbferry.rpc import Pool, Server, Timing
 from rhubarbferry.rpc.services import GUARD, SCHEDULER
 
@@ -254,7 +254,7 @@
     await node.start()
     guard.member_id = node.member_id
     state.node = node
-    publish_objectives(cell=node.cell, clock=clock)
+    register_slo_collector(cell=node.cell, clock=clock)
     state.frontend = await assemble(cfg=cfg, clock=clock, node=node, guard=guard)
     try:
         failed = await _serve(cfg, clock, state.frontend, sock, rpc.address, http_address, node)
--- a/rhubarbferry/frontend/forward.py
+++ b/rhubarbferry/frontend/forward.py
@@ -48,7 +48,7 @@
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.ownership import ConfigurationView, OwnershipView
 from rhubarbferry.reports.burn import EventKind
-from rhubarbferry.reports.events import BOOK, Work, objective_of
+from rhubarbferry.reports.events import EVENT_COUNTERS, WorkKind, objective_of
 from rhubarbferry.rpc.gen import ttypes as t
 
 SERVICES_PATH = "/v1/services/"
@@ -150,7 +150,7 @@
             if not self._limiter.admit(size):
                 metrics.REFUSED_BUSY.inc()
                 account, now = req.spec.account, self._clock.monotonic()
-                BOOK.add(account, Work.REQUESTS, EventKind.REFUSED, now=now)
+                EVENT_COUNTERS.add(account, WorkKind.REQUESTS, EventKind.REFUSED, now=now)
                 busy = problems.busy("too many requests are in progress on this host")
                 await _answer_problem(caller, request_id, busy)
                 return
@@ -473,7 +473,7 @@
             objective=objective_of(req.cell, account),
         )
         if kind is not None:
-            BOOK.add(account, Work.REQUESTS, kind, now=now)
+            EVENT_COUNTERS.add(account, WorkKind.REQUESTS, kind, now=now)
 
 
 def _wait_class(spec: RequestSpec, cell: Cell) -> WaitClass:
--- a/rhubarbferry/frontend/objectives.py
+++ b/rhubarbferry/frontend/objectives.py
@@ -5,7 +5,7 @@
 from rhubarbferry.core.cell import Objective
 from rhubarbferry.frontend.problems import Outcome
 from rhubarbferry.reports.burn import EventKind
-from rhubarbferry.reports.events import judge_start
+from rhubarbferry.reports.events import classify_start
 
 MIN_SERVER_ERROR_STATUS = 500
 
@@ -30,13 +30,13 @@
     """
     match outcome:
         case Outcome.DONE if start_wait_s is not None:
-            return judge_start(start_wait_s, objective)
+            return classify_start(start_wait_s, objective)
         case Outcome.UNKNOWN if start_wait_s is not None:
             return EventKind.UNKNOWN
         case Outcome.NOT_RUN if caller_gone:
             # A request that its caller cancelled counts as late if it waited too long. Otherwise an
             # overload in which all callers cancel would look like a healthy cell.
-            late = judge_start(waited_s, objective) is EventKind.LATE
+            late = classify_start(waited_s, objective) is EventKind.LATE
             return EventKind.LATE if late else None
         case Outcome.NOT_RUN if status >= MIN_SERVER_ERROR_STATUS:
             return EventKind.REFUSED
--- a/rhubarbferry/reports/events.py
+++ b/rhubarbferry/reports/events.py
@@ -31,7 +31,7 @@
 LABELS = ["account", "template", "work"]
 
 
-class Work(StrEnum):
+class WorkKind(StrEnum):
     """Kind of work that an objective covers."""
 
     REQUESTS = "requests"
@@ -47,9 +47,9 @@
     """
 
     def __init__(self) -> None:
-        self._rings: dict[tuple[str, Work], EventRing] = {}
+        self._rings: dict[tuple[str, WorkKind], EventRing] = {}
 
-    def add(self, account: str, work: Work, kind: EventKind, *, now: float) -> None:
+    def add(self, account: str, work: WorkKind, kind: EventKind, *, now: float) -> None:
         """Count one event.
 
         :param account: name of an account in the configuration. Names that callers choose freely
@@ -64,11 +64,11 @@
         ring.add(kind, now=now)
         EVENTS.labels(account, work.value, kind.value).inc()
 
-    def series(self) -> list[tuple[str, Work]]:
+    def series(self) -> list[tuple[str, WorkKind]]:
         """Return the account and kind of work of each ring, sorted."""
         return sorted(self._rings)
 
-    def counts(self, account: str, work: Work, window: Window, *, now: float) -> Counts:
+    def counts(self, account: str, work: WorkKind, window: Window, *, now: float) -> Counts:
         """Return the counts of a window that ends at ``now``."""
         return self._rings[account, work].counts(window, now=now)
 
@@ -82,10 +82,10 @@
                 pass
 
 
-BOOK = EventCounters()
+EVENT_COUNTERS = EventCounters()
 
 
-def judge_start(wait_s: float, objective: Objective) -> EventKind:
+def classify_start(wait_s: float, objective: Objective) -> EventKind:
     """Return whether work that waited ``wait_s`` seconds for its start is good or late."""
     return EventKind.GOOD if 1000 * wait_s <= objective.wait_ms else EventKind.LATE
 
@@ -153,8 +153,8 @@
         )
 
 
-def publish(
+def register_slo_collector(
     *, cell: ConfigurationView, clock: Clock, registry: CollectorRegistry = REGISTRY
 ) -> None:
     """Register the collector of this process; call it once for each process."""
-    registry.register(SloCollector(counters=BOOK, cell=cell, clock=clock))
+    registry.register(SloCollector(counters=EVENT_COUNTERS, cell=cell, clock=clock))
--- a/rhubarbferry/reports/scrape.py
+++ b/rhubarbferry/reports/scrape.py
@@ -9,14 +9,14 @@
 
 from rhubarbferry.ports.ownership import Member
 from rhubarbferry.reports.burn import Counts, EventKind, Window
-from rhubarbferry.reports.events import Work
+from rhubarbferry.reports.events import WorkKind
 
 SCRAPE_TIMEOUT_S = 5.0
 MAX_CONCURRENT_SCRAPES = 16
 MAX_BODY_BYTES = 16 * 2**20
 WAIT_HISTOGRAMS = {
-    "rhubarbferry_request_start_seconds": Work.REQUESTS,
-    "rhubarbferry_job_wait_seconds": Work.JOBS,
+    "rhubarbferry_request_start_seconds": WorkKind.REQUESTS,
+    "rhubarbferry_job_wait_seconds": WorkKind.JOBS,
 }
 
 
@@ -25,7 +25,7 @@
     """Account and kind of work that counts belong to."""
 
     account: str
-    work: Work
+    work: WorkKind
 
 
 @frozen(kw_only=True, slots=True)
@@ -96,7 +96,7 @@
             if sample.name == "rhubarbferry_slo_covered_seconds":
                 covered = sample.value
             elif sample.name == "rhubarbferry_slo_events":
-                series = Series(account=labels["account"], work=Work(labels["work"]))
+                series = Series(account=labels["account"], work=WorkKind(labels["work"]))
                 key = series, Window(labels["window"])
                 sample_counts = Counts(**{EventKind(labels["kind"]).value: int(sample.value)})
                 events[key] = events.get(key, Counts()) + sample_counts
--- a/rhubarbferry/reports/slo.py
+++ b/rhubarbferry/reports/slo.py
@@ -16,7 +16,7 @@
     burn_rate,
     sum_counts,
 )
-from rhubarbferry.reports.events import Work
+from rhubarbferry.reports.events import WorkKind
 from rhubarbferry.reports.scrape import Scrape, Series
 
 
@@ -32,7 +32,7 @@
 
     account: str
     template: str
-    work: Work
+    work: WorkKind
     objective: Objective
     counts: Mapping[Window, Counts]
     burn: Mapping[Window, float]
@@ -118,13 +118,13 @@
 
 
 def _template_lines(lines: Sequence[SloLine]) -> list[SloLine]:
-    groups: dict[tuple[str, Work], list[SloLine]] = {}
+    groups: dict[tuple[str, WorkKind], list[SloLine]] = {}
     for line in lines:
         groups.setdefault((line.template, line.work), []).append(line)
     return [_template_line(name, work, group) for (name, work), group in sorted(groups.items())]
 
 
-def _template_line(template: str, work: Work, lines: Sequence[SloLine]) -> SloLine:
+def _template_line(template: str, work: WorkKind, lines: Sequence[SloLine]) -> SloLine:
     """Add up the accounts of a template.
 
     Accounts of one template can have different objectives, so the budgets are added up as well:
--- a/rhubarbferry/rpc/codec.py
+++ b/rhubarbferry/rpc/codec.py
@@ -100,7 +100,7 @@
     return _encode_frame(name, TMessageType.EXCEPTION, seqid, exc)
 
 
-def check_required(struct: Any) -> None:
+def check_required_fields(struct: Any) -> None:
     """Check that a struct has all its required fields.
 
     A peer that runs another version or is faulty may omit one.
@@ -128,7 +128,7 @@
         req = args.req
         if req is None:
             raise MalformedFrame(f"call of {name!r} has no request")
-        check_required(req)
+        check_required_fields(req)
     except MalformedFrame:
         raise
     except Exception as exc:
@@ -150,7 +150,7 @@
             return Reply(seqid=seqid, value=None, error=str(exc))
         result = service.methods[name].result()
         result.read(protocol)
-        check_required(result.success)
+        check_required_fields(result.success)
     except Exception as exc:
         raise MalformedFrame(f"cannot decode a reply of {service.name}: {exc}") from exc
     return Reply(seqid=seqid, value=result.success)
--- a/rhubarbferry/scheduler/daemon.py
+++ b/rhubarbferry/scheduler/daemon.py
@@ -20,7 +20,7 @@
 from rhubarbferry.ports.ownership import Role
 from rhubarbferry.ports.runners import RunnerReports
 from rhubarbferry.ports.store import Store
-from rhubarbferry.reports.events import publish as publish_objectives
+from rhubarbferry.reports.events import register_slo_collector
 from rhubarbferry.rpc import Handler, Pool, Server
 from rhubarbferry.rpc.gen.ttypes import PingReply, PingRequest, StatusReply, StatusRequest
 from rhubarbferry.rpc.services import GUARD, SCHEDULER, WORKER
@@ -151,7 +151,7 @@
         await self._ports.hosts.start()
         await self._node.start()
         self._registry = Registry(ctx=self._context(), reports=self._ports.reports)
-        publish_objectives(
+        register_slo_collector(
             cell=self._node.cell, clock=self._ports.clock, registry=self._ports.registry
         )
         self._ready = True
--- a/rhubarbferry/scheduler/job_home.py
+++ b/rhubarbferry/scheduler/job_home.py
@@ -19,7 +19,7 @@
 from rhubarbferry.ports.entry_log import EntryLog, LogError, LogFenced, LogUnavailable, LogUnclear
 from rhubarbferry.ports.ownership import Tenure
 from rhubarbferry.reports.burn import EventKind
-from rhubarbferry.reports.events import BOOK, Work, judge_start, objective_of
+from rhubarbferry.reports.events import EVENT_COUNTERS, WorkKind, classify_start, objective_of
 from rhubarbferry.rpc import Handler
 from rhubarbferry.rpc.gen import ttypes as t
 from rhubarbferry.scheduler import job_records as records
@@ -484,7 +484,7 @@
                     waited_s = max(0.0, now - job.since)
                     JOB_WAITS.labels(job.spec.account, str(job.spec.priority)).observe(waited_s)
                     objective = objective_of(self.ctx.cell.current(), job.spec.account)
-                    self._count_event(job.spec.account, judge_start(waited_s, objective))
+                    self._count_event(job.spec.account, classify_start(waited_s, objective))
                 if job.cancelled:
                     self._stop(job, item.index)
             case t.ClaimVerdict.HELD | t.ClaimVerdict.UNKNOWN:
@@ -796,7 +796,7 @@
         self._requeue(job)
 
     def _count_event(self, account: str, kind: EventKind) -> None:
-        BOOK.add(account, Work.JOBS, kind, now=self.ctx.clock.monotonic())
+        EVENT_COUNTERS.add(account, WorkKind.JOBS, kind, now=self.ctx.clock.monotonic())
 
     def _wake(self, job: Job | None = None) -> None:
         if job is not None and job.spec.kind is JobKind.GANG:
--- a/tests/reports/test_slo.py
+++ b/tests/reports/test_slo.py
@@ -8,7 +8,7 @@
 from rhubarbferry.management.commands.report import render
 from rhubarbferry.reports import events as events_module
 from rhubarbferry.reports.burn import Counts, EventKind, Window
-from rhubarbferry.reports.events import EventCounters, SloCollector, Work, judge_start
+from rhubarbferry.reports.events import EventCounters, SloCollector, WorkKind, classify_start
 from rhubarbferry.reports.scrape import Scrape, parse_metrics
 from rhubarbferry.reports.slo import SloReport, assemble_report, quantile
 from rhubarbferry.test.fake_clock import FakeClock
@@ -38,7 +38,7 @@
     registry.register(SloCollector(counters=counters, cell=ConfigurationStub(CELL), clock=clock))
     for (account, kind), count in event_counts.items():
         for _ in range(count):
-            counters.add(account, Work.REQUESTS, kind, now=clock.monotonic())
+            counters.add(account, WorkKind.REQUESTS, kind, now=clock.monotonic())
     clock.jump(age_s)
     return parse_metrics(generate_latest(registry).decode(), member=member, role="frontend")
 
@@ -132,7 +132,7 @@
     monkeypatch.setattr(events_module, "MAX_SERIES", 4)
     counters = EventCounters()
     for number in range(20):
-        counters.add(f"account-{number}", Work.JOBS, EventKind.GOOD, now=float(number))
+        counters.add(f"account-{number}", WorkKind.JOBS, EventKind.GOOD, now=float(number))
     assert [account for account, _ in counters.series()] == [f"account-{n}" for n in range(16, 20)]
 
 
@@ -141,4 +141,4 @@
     [(0.0, EventKind.GOOD), (0.25, EventKind.GOOD), (0.251, EventKind.LATE)],
 )
 def test_start_is_classified_by_the_objective(wait_s: float, expected: EventKind) -> None:
-    assert judge_start(wait_s, Objective(wait_ms=250)) is expected
+    assert classify_start(wait_s, Objective(wait_ms=250)) is expected
