--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -76,7 +76,9 @@
                 for n in range(FLEETS)
             )
         )
-        workers: list[Any] = [w for f in self.cell.named("fleet") for w in f.line["workers"]]
+        workers: list[Any] = [
+            w for f in self.cell.processes_with_prefix("fleet") for w in f.startup_info["workers"]
+        ]
         domains = [f"{region}-{n}" for region, count in DOMAINS.items() for n in range(count)]
         for (rack, _), worker in zip(places, workers, strict=True):
             domain = domains[rack % len(domains)]
@@ -106,12 +108,12 @@
         await asyncio.gather(*starts)
 
     def frontends(self) -> list[str]:
-        return [process.name for process in self.cell.named("frontend")]
+        return [process.name for process in self.cell.processes_with_prefix("frontend")]
 
     async def counts(self) -> dict[str, int]:
         total = {"started": 0, "running": 0, "over_capacity": 0}
-        for fleet in self.cell.named("fleet"):
-            url = f"http://{fleet.line['control']}/counts"
+        for fleet in self.cell.processes_with_prefix("fleet"):
+            url = f"http://{fleet.startup_info['control']}/counts"
             async with self.cell.session.get(url) as answer:
                 found = await answer.json()
             total["started"] += found["started"]
@@ -177,7 +179,9 @@
         }
 
     async def measure_phase(self, name: str, seconds: float, work: Any = None) -> None:
-        daemons = self.cell.named("scheduler") + self.cell.named("frontend")
+        daemons = self.cell.processes_with_prefix("scheduler") + self.cell.processes_with_prefix(
+            "frontend"
+        )
         daemons = [d for d in daemons if d.running]
         before = {d.name: usage_of(d) for d in daemons}
         calls = await self.store_calls()
@@ -239,7 +243,7 @@
         return doc
 
     async def kill(self) -> None:
-        victim = self.cell.named("scheduler")[0]
+        victim = self.cell.processes_with_prefix("scheduler")[0]
         before = await self.counts()
         started_at = time.monotonic()
         await victim.kill()
@@ -259,7 +263,7 @@
 
     async def check_runs(self) -> None:
         spans: dict[str, list[tuple[float, float]]] = {}
-        for fleet in self.cell.named("fleet"):
+        for fleet in self.cell.processes_with_prefix("fleet"):
             for task, start, end in (await self.cell.record(fleet.name))["runs"]:
                 spans.setdefault(task.rsplit("/", 1)[0], []).append((start, end or 1e18))
         overlapping = 0
@@ -293,7 +297,7 @@
             bench = Bench(cell=cell)
             await bench.start_fleets()
             await bench.start_daemons()
-            await cell.until_served(bench.frontends()[0], within_s=60)
+            await cell.wait_until_served(bench.frontends()[0], within_s=60)
             await bench.measure_phase("empty", IDLE_S)
             await bench.fill()
             await bench.measure_phase("full", IDLE_S)
@@ -301,7 +305,7 @@
             await bench.kill()
             await bench.check_runs()
             if "--logs" in sys.argv:
-                for process in cell.named("scheduler")[:3]:
+                for process in cell.processes_with_prefix("scheduler")[:3]:
                     print(process.last_lines(30), file=sys.stderr)
     print(json.dumps(bench.result))
 
--- a/bench/job_starts.py
+++ b/bench/job_starts.py
@@ -178,7 +178,7 @@
             try:
                 print(json.dumps(await measure(cell, args)))
             except (TimeoutError, aiohttp.ClientError) as exc:
-                for process in cell.named("scheduler"):
+                for process in cell.processes_with_prefix("scheduler"):
                     print(process.last_lines(5))
                 raise SystemExit(f"measurement failed: {exc!r}") from exc
 
--- a/bench/request_latency.py
+++ b/bench/request_latency.py
@@ -66,7 +66,7 @@
     with tempfile.TemporaryDirectory() as dir:
         shape = Shape(runners=8, workers=1, schedulers=1)
         async with ProcessCell(dir=Path(dir), shape=shape) as cell:
-            await cell.until_served("frontend-attiki-1")
+            await cell.wait_until_served("frontend-attiki-1")
             result = {
                 "alone_ms": await measure_sequential(cell, False),
                 "alone_keyed_ms": await measure_sequential(cell, True),
--- a/bench/slopes_jobs.py
+++ b/bench/slopes_jobs.py
@@ -121,7 +121,7 @@
 
 async def take_reading(bench: Bench) -> Reading:
     """Read the current values of all counters."""
-    workers = bench.cell.named("worker-")
+    workers = bench.cell.processes_with_prefix("worker-")
     return Reading(
         at=time.monotonic(),
         scheduler_ms=cpu_ms(bench.scheduler),
@@ -226,7 +226,7 @@
     shape = Shape(runners=1, racks=racks, workers=WORKERS_PER_RACK, schedulers=1)
     async with ProxiedCell(dir=dir, shape=shape) as cell:
         bench = Bench(cell=cell, proxies=cell.proxies)
-        await cell.until_served(FRONTEND)
+        await cell.wait_until_served(FRONTEND)
         await asyncio.sleep(SETTLE_S)
         result: dict[str, object] = {"at_rest": await measure_idle(bench)}
         if full:
--- a/bench/slopes_members.py
+++ b/bench/slopes_members.py
@@ -44,7 +44,7 @@
 
 def daemons(cell: ProcessCell) -> list[Any]:
     """Return the running members."""
-    found = cell.named("frontend-") + cell.named("scheduler-")
+    found = cell.processes_with_prefix("frontend-") + cell.processes_with_prefix("scheduler-")
     return [process for process in found if process.running]
 
 
@@ -52,7 +52,7 @@
     """Return the load on the store and the daemons of an idle cell."""
     shape = Shape(runners=1, workers=1, schedulers=members // 2, frontends=members // 2)
     async with ProcessCell(dir=dir, shape=shape) as cell:
-        await cell.until_served(FRONTEND)
+        await cell.wait_until_served(FRONTEND)
         await asyncio.sleep(SETTLE_S)
         before, started_at = await store_counts(cell), time.monotonic()
         used = {p.name: cpu_ms(p) for p in daemons(cell)}
@@ -124,7 +124,7 @@
     shape = Shape(runners=1, workers=1, schedulers=4, frontends=4)
     times = HdrHistogram(1, MAX_US, 3)
     async with ProcessCell(dir=dir, shape=shape) as cell:
-        await cell.until_served(FRONTEND)
+        await cell.wait_until_served(FRONTEND)
         await asyncio.sleep(SETTLE_S)
         store, pools = cell.open_store(), (Pool(service=SCHEDULER), Pool(service=GUARD))
         before, started_at = await store_counts(cell), time.monotonic()
@@ -169,7 +169,7 @@
 
 async def owner_of(pool: Pool, cell: ProcessCell, partition: str) -> Any:
     """Return the process that owns a partition."""
-    for process in cell.named("scheduler-"):
+    for process in cell.processes_with_prefix("scheduler-"):
         if not process.running:
             continue
         reply = await pool.call(process.address, "status", t.StatusRequest(), timeout_s=2.0)
@@ -216,7 +216,7 @@
     shape = Shape(runners=4, workers=1, schedulers=3)
     found: list[dict[str, Any]] = []
     async with ProcessCell(dir=dir, shape=shape) as cell:
-        await cell.until_served(FRONTEND)
+        await cell.wait_until_served(FRONTEND)
         await asyncio.sleep(SETTLE_S)
         pool = Pool(service=SCHEDULER)
         for number in range(KILLS):
--- a/bench/slopes_memory.py
+++ b/bench/slopes_memory.py
@@ -51,7 +51,7 @@
     os.environ.update(env)
     try:
         async with ProcessCell(dir=dir, shape=Shape(runners=1, workers=1, schedulers=1)) as cell:
-            await cell.until_served("frontend-attiki-1")
+            await cell.wait_until_served("frontend-attiki-1")
             return {
                 "frontend at rest": round(rss_mib(cell.processes["frontend-attiki-1"]), 1),
                 "scheduler at rest": round(rss_mib(cell.processes["scheduler-attiki-1"]), 1),
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -146,7 +146,7 @@
     """Measure one frontend and one scheduler with eight runners."""
     shape = Shape(runners=8, workers=1, schedulers=1, slots=32, overrides=RUNNER_OVERRIDES)
     async with ProcessCell(dir=dir, shape=shape) as cell:
-        await cell.until_served(FRONTEND)
+        await cell.wait_until_served(FRONTEND)
         result: dict[str, object] = {"at_rest": await idle_usage(cell)}
         result["in_progress"] = await held_memory(cell, IN_PROGRESS_COUNTS)
         result["idempotent"] = await per_request(cell, keyed=False)
--- a/rhubarbferry/test/fake_clock.py
+++ b/rhubarbferry/test/fake_clock.py
@@ -34,15 +34,15 @@
     async def advance(self, seconds: float) -> None:
         """Advance the time, pausing at each sleep deadline so that the woken tasks can run."""
         end_time = self._now + seconds
-        await settle()
+        await run_ready_tasks()
         while self._sleeping and self._sleeping[0][0] <= end_time:
             wake_time, _, future = heapq.heappop(self._sleeping)
             if not future.done():
                 self._now = max(self._now, wake_time)
                 future.set_result(None)
-                await settle()
+                await run_ready_tasks()
         self._now = end_time
-        await settle()
+        await run_ready_tasks()
 
     def wake(self) -> None:
         """Wake all tasks whose sleep has ended, without running them."""
@@ -56,7 +56,7 @@
         self._now += seconds
 
 
-async def settle() -> None:
+async def run_ready_tasks() -> None:
     """Let all ready tasks run."""
     for _ in range(SETTLE_ROUNDS):
         await asyncio.sleep(0)
--- a/rhubarbferry/test/hosts.py
+++ b/rhubarbferry/test/hosts.py
@@ -53,7 +53,7 @@
     @classmethod
     def of(cls, *hosts: Host) -> HostsStandIn:
         """Return a stand-in that lists these hosts."""
-        groups = [group_of(host) for host in hosts]
+        groups = [host_to_target_group(host) for host in hosts]
         return cls(groups=groups, served_groups=groups)
 
     def put(self, groups: list[dict[str, Any]]) -> None:
@@ -108,7 +108,7 @@
         return JSONResponse({"reads": self.reads})
 
 
-def group_of(host: Host) -> dict[str, Any]:
+def host_to_target_group(host: Host) -> dict[str, Any]:
     """Return the target group that represents a host."""
     labels = {
         "id": host.id,
--- a/rhubarbferry/test/machines.py
+++ b/rhubarbferry/test/hypothesis_settings.py
@@ -9,7 +9,7 @@
 FUZZ_FACTOR = 20
 
 
-def machine_settings(*, examples: int, steps: int) -> settings:
+def state_machine_settings(*, examples: int, steps: int) -> settings:
     """Return settings for ``run_state_machine_as_test``.
 
     :param examples: number of runs in CI, from a fixed seed; ``make fuzz`` multiplies it and uses
--- a/rhubarbferry/test/memory_store.py
+++ b/rhubarbferry/test/memory_store.py
@@ -21,14 +21,14 @@
     Compacted,
     Compare,
     Delete,
-    Engine,
     Put,
+    StoreEngine,
     Target,
     TxnResult,
 )
 from rhubarbferry.test.store_faults import (
     CallKind,
-    RateGate,
+    RateLimiter,
     StoreCounters,
     StoreFaults,
     StoreRates,
@@ -49,28 +49,28 @@
     """Implement the store port over an engine in this process.
 
     Two stores over one engine act as two clients of one service, each with its own faults:
-    ``MemoryStore(clock=clock, engine=first.engine, gate=first.gate)``.
+    ``MemoryStore(clock=clock, engine=first.engine, rate_limiter=first.rate_limiter)``.
 
     :param clock: time source of leases, rate limits and delays.
     :param engine: the stored state; a new one by default.
     :param faults: faults to inject; may be changed at any time.
-    :param rates: rate limits; ignored if ``gate`` is given.
-    :param gate: a rate limiter shared with other stores.
+    :param rates: rate limits; ignored if ``rate_limiter`` is given.
+    :param rate_limiter: a rate limiter shared with other stores.
     """
 
     def __init__(
         self,
         *,
         clock: Clock,
-        engine: Engine | None = None,
+        engine: StoreEngine | None = None,
         faults: StoreFaults | None = None,
         rates: StoreRates | None = None,
-        gate: RateGate | None = None,
+        rate_limiter: RateLimiter | None = None,
     ) -> None:
         self.clock = clock
-        self.engine = engine or Engine()
+        self.engine = engine or StoreEngine()
         self.faults = faults or StoreFaults()
-        self.gate = gate or RateGate(rates=rates or StoreRates())
+        self.rate_limiter = rate_limiter or RateLimiter(rates=rates or StoreRates())
         self.counters = StoreCounters()
 
     async def call(self, kind: CallKind, operation: Callable[[], T], *, size: int = 0) -> T:
@@ -210,7 +210,7 @@
     def _admit(self, kind: CallKind) -> None:
         self.counters.calls[kind] += 1
         try:
-            self.gate.admit(kind, self.clock.monotonic())
+            self.rate_limiter.admit(kind, self.clock.monotonic())
         except Exception:
             self.counters.rate_limited += 1
             raise
--- a/rhubarbferry/test/platform_store.py
+++ b/rhubarbferry/test/platform_store.py
@@ -16,7 +16,7 @@
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.store import KeyDeleted, KeyValue, LeaseLost, WatchEvent
 from rhubarbferry.test.memory_store import prefix_end
-from rhubarbferry.test.store_engine import Compacted, Compare, Delete, Engine, Put, Target
+from rhubarbferry.test.store_engine import Compacted, Compare, Delete, Put, StoreEngine, Target
 
 # Interval at which a waiting watch polls for changes.
 POLL_INTERVAL_S = 0.005
@@ -52,8 +52,8 @@
 class PlatformStoreStandIn:
     """Store stand-in with keys, leases and long-poll watches."""
 
-    engine: Engine = field(factory=Engine)
-    trouble: PlatformStoreFaults = field(factory=PlatformStoreFaults)
+    engine: StoreEngine = field(factory=StoreEngine)
+    faults: PlatformStoreFaults = field(factory=PlatformStoreFaults)
     clock: SystemClock = field(factory=SystemClock)
     calls: dict[str, int] = field(factory=dict)
     _writes: int = 0
@@ -90,11 +90,11 @@
 
     async def _admit(self, call: str) -> Response | None:
         self.calls[call] = self.calls.get(call, 0) + 1
-        await asyncio.sleep(self.trouble.answer_s)
+        await asyncio.sleep(self.faults.answer_s)
         self._expire()
-        if self.trouble.over_rate:
+        if self.faults.over_rate:
             return Response(status_code=429)
-        return Response(status_code=503) if self.trouble.down else None
+        return Response(status_code=503) if self.faults.down else None
 
     async def _key(self, request: Request) -> Response:
         rejection = await self._admit("key")
@@ -134,9 +134,9 @@
                 events = self.engine.changes(prefix, prefix_end(prefix), after + 1)
             except Compacted:
                 return Response(status_code=410)
-            if self.trouble.no_history:
+            if self.faults.no_history:
                 return Response(status_code=410)
-            if self.trouble.deaf:
+            if self.faults.deaf:
                 events = []
             if events or self.clock.monotonic() >= end:
                 return JSONResponse(
@@ -150,8 +150,8 @@
         if rejection is not None:
             return rejection
         self._writes += 1
-        if self.trouble.lose_every and self._writes % self.trouble.lose_every == 0:
-            await asyncio.sleep(self.trouble.late_s)
+        if self.faults.lose_every and self._writes % self.faults.lose_every == 0:
+            await asyncio.sleep(self.faults.late_s)
             self._apply(body)
             return _TruncatedResponse()
         return self._apply(body)
@@ -162,7 +162,7 @@
         remove = body.get("remove", [])
         if len(expect) + len(write) + len(remove) > MAX_TXN_ENTRIES:
             return JSONResponse({"error": "too many entries"}, status_code=400)
-        if self.trouble.no_bare_conditions and not write and not remove:
+        if self.faults.no_bare_conditions and not write and not remove:
             return JSONResponse({"error": "nothing to change"}, status_code=400)
         if any(put["key"].startswith(("op/", "servers/")) for put in write):
             return Response(status_code=403)
--- a/rhubarbferry/test/platform_worker.py
+++ b/rhubarbferry/test/platform_worker.py
@@ -28,7 +28,7 @@
 
     :param ends_at: monotonic time at which the run completes.
     :param pace: speed in percent of the full speed, as last set by the scheduler.
-    :param how: reason of the end, empty while the task runs.
+    :param end_reason: reason of the end, empty while the task runs.
     """
 
     task: str
@@ -36,7 +36,7 @@
     ends_at: float
     began_at: float = field(factory=time.monotonic)
     ended_at: float | None = None
-    how: str = ""
+    end_reason: str = ""
     pace: int = 100
 
 
@@ -45,8 +45,8 @@
     """Stand-in for one host.
 
     :param work_s: duration of each run in seconds.
-    :param fails: tasks whose runs end as failed.
-    :param serving: tasks whose reported tail latency grows with the load by other tasks.
+    :param failing_tasks: tasks whose runs end as failed.
+    :param serving_tasks: tasks whose reported tail latency grows with the load by other tasks.
     :ivar history: every run that was started on this host.
     """
 
@@ -56,8 +56,8 @@
     work_s: float = 0.3
     capacity: dict[str, int] = field(factory=lambda: {"cpu": 8000, "memMb": 16000, "gpu": 0})
     sizes: dict[str, int] = field(factory=dict)
-    fails: set[str] = field(factory=set)
-    serving: set[str] = field(factory=set)
+    failing_tasks: set[str] = field(factory=set)
+    serving_tasks: set[str] = field(factory=set)
     silent: bool = False
     history: list[TaskRun] = field(factory=list)
     fence: int = 0
@@ -106,13 +106,13 @@
             if self._clock_ms() > self._lease_until:
                 self._end(run, "lapsed")
             elif now >= run.ends_at:
-                failed = run.task in self.fails
+                failed = run.task in self.failing_tasks
                 self._end(run, "failed" if failed else "done")
 
     def _end(self, run: TaskRun, how: str) -> None:
         del self._running[run.task]
         run.ended_at = time.monotonic()
-        run.how = how
+        run.end_reason = how
         self._ended_attempts[run.task] = max(self._ended_attempts.get(run.task, 0), run.attempt)
         self._ended_count += 1
         self._ended.append([self._ended_count, run.task, run.attempt, how, ""])
@@ -131,7 +131,7 @@
 
     def _tail_latency_ms(self, run: TaskRun) -> int:
         """Return the tail latency of a serving task in ms."""
-        if run.task not in self.serving:
+        if run.task not in self.serving_tasks:
             return 0
         other_speeds = [other.pace for other in self._running.values() if other is not run]
         return UNLOADED_TAIL_LATENCY_MS + sum(other_speeds)
--- a/rhubarbferry/test/processes.py
+++ b/rhubarbferry/test/processes.py
@@ -69,23 +69,23 @@
     """A child process.
 
     :param errors: file that receives its standard error.
-    :param line: the JSON line that it printed once it listened.
+    :param startup_info: the JSON startup_info that it printed once it listened.
     """
 
     name: str
     child: asyncio.subprocess.Process
     errors: Path
-    line: dict[str, str] = Factory(dict)
+    startup_info: dict[str, str] = Factory(dict)
 
     @property
     def address(self) -> str:
         """Return the ``ip:port`` of its main server."""
-        return self.line["address"]
+        return self.startup_info["address"]
 
     @property
     def http(self) -> str:
         """Return the base URL of its HTTP interface."""
-        return f"http://{self.line.get('http_address', self.line['address'])}"
+        return f"http://{self.startup_info.get('http_address', self.startup_info['address'])}"
 
     @property
     def running(self) -> bool:
@@ -194,7 +194,7 @@
         await self.relay.close()
         await self.session.close()
 
-    def named(self, prefix: str) -> list[Process]:
+    def processes_with_prefix(self, prefix: str) -> list[Process]:
         """Return the processes whose names start with ``prefix``, sorted by name."""
         return [self.processes[n] for n in sorted(self.processes) if n.startswith(prefix)]
 
@@ -260,7 +260,7 @@
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
                 line = await child.stdout.readline()
-            process.line = json.loads(line)
+            process.startup_info = json.loads(line)
         except (TimeoutError, ValueError) as exc:
             raise ProcessFailed(f"{name}: {process.last_lines()}") from exc
         return process
@@ -270,21 +270,21 @@
     async def set_faults(self, name: str, **faults: object) -> None:
         """Change the given faults of a stand-in; the other faults stay unchanged."""
         process = self.processes[name]
-        base = process.line.get("control", process.address)
+        base = process.startup_info.get("control", process.address)
         async with self.session.post(f"http://{base}/faults", json=faults) as answer:
             answer.raise_for_status()
 
     async def record(self, name: str) -> dict[str, Any]:
         """Return the record of a runner or worker."""
         process = self.processes[name]
-        base = process.line.get("control", process.address)
+        base = process.startup_info.get("control", process.address)
         async with self.session.get(f"http://{base}/record") as answer:
             found: dict[str, Any] = await answer.json()
             return found
 
     async def records(self, prefix: str) -> list[dict[str, Any]]:
         """Return the records of all running stand-ins whose names start with ``prefix``."""
-        return [await self.record(p.name) for p in self.named(prefix) if p.running]
+        return [await self.record(p.name) for p in self.processes_with_prefix(prefix) if p.running]
 
     async def mark_leaving(self, name: str) -> None:
         """Mark a runner or worker as leaving in the host list."""
@@ -334,7 +334,7 @@
             document: dict[str, Any] = await answer.json(content_type=None)
             return document if answer.ok else {}
 
-    async def until_served(self, frontend: str, within_s: float = START_TIMEOUT_S) -> float:
+    async def wait_until_served(self, frontend: str, within_s: float = START_TIMEOUT_S) -> float:
         """Send requests until one succeeds; return the elapsed seconds."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
--- a/rhubarbferry/test/store_engine.py
+++ b/rhubarbferry/test/store_engine.py
@@ -91,11 +91,11 @@
 class Lease:
     """A lease and its attached keys.
 
-    :param ends: time at which the lease expires.
+    :param expires_at: time at which the lease expires.
     """
 
     ttl_s: float
-    ends: float
+    expires_at: float
     keys: set[str] = field(factory=set)
 
 
@@ -103,7 +103,7 @@
     return start <= key and (not end or key < end)
 
 
-class Engine:
+class StoreEngine:
     """State of the store; time-dependent methods take the current time in seconds.
 
     :param history: number of changes kept for watches and for reads of past revisions.
@@ -118,13 +118,13 @@
 
     def expire(self, now: float) -> None:
         """Remove the expired leases and their keys."""
-        expired = [lease_id for lease_id, lease in self.leases.items() if lease.ends <= now]
+        expired = [lease_id for lease_id, lease in self.leases.items() if lease.expires_at <= now]
         for lease_id in expired:
             self._remove_lease(lease_id)
 
     def next_expiry(self) -> float | None:
         """Return the time at which the next lease expires."""
-        return min((lease.ends for lease in self.leases.values()), default=None)
+        return min((lease.expires_at for lease in self.leases.values()), default=None)
 
     def read(
         self, start: str, end: str, *, limit: int = 0, revisions_back: int = 0
@@ -159,7 +159,7 @@
     def grant(self, ttl_s: float, now: float) -> int:
         """Grant a lease and return its ID."""
         self._next_lease += 1
-        self.leases[self._next_lease] = Lease(ttl_s=ttl_s, ends=now + ttl_s)
+        self.leases[self._next_lease] = Lease(ttl_s=ttl_s, expires_at=now + ttl_s)
         return self._next_lease
 
     def keep_alive(self, lease_id: int, now: float) -> float | None:
@@ -167,7 +167,7 @@
         lease = self.leases.get(lease_id)
         if lease is None:
             return None
-        lease.ends = now + lease.ttl_s
+        lease.expires_at = now + lease.ttl_s
         return lease.ttl_s
 
     def revoke(self, lease_id: int) -> bool:
--- a/rhubarbferry/test/store_faults.py
+++ b/rhubarbferry/test/store_faults.py
@@ -108,7 +108,7 @@
         return sum(count for kind, count in self.calls.items() if not kind.writes)
 
 
-class RateGate:
+class RateLimiter:
     """Rate limiter with a sliding window of one second."""
 
     def __init__(self, *, rates: StoreRates) -> None:
--- a/tests/adapters/test_hosts.py
+++ b/tests/adapters/test_hosts.py
@@ -8,7 +8,7 @@
 from rhubarbferry.adapters.hosts import HostListGarbled, HttpHostList, parse_hosts
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.hosts import Host, HostKind
-from rhubarbferry.test.hosts import HostFaults, HostsStandIn, group_of
+from rhubarbferry.test.hosts import HostFaults, HostsStandIn, host_to_target_group
 from rhubarbferry.test.serving import serving
 
 
@@ -54,7 +54,7 @@
         hosts = HttpHostList(url=f"http://{address}/hosts", poll_s=60, clock=SystemClock())
         await hosts.start()
         fake_list.set_faults(faults)
-        fake_list.put([group_of(NEW)])
+        fake_list.put([host_to_target_group(NEW)])
         await hosts.poll()
         assert hosts.hosts() == (OLD,)
         fake_list.set_faults(HostFaults())
@@ -63,7 +63,7 @@
         await hosts.close()
 
 
-ENTRY = group_of(OLD)
+ENTRY = host_to_target_group(OLD)
 
 
 @pytest.mark.parametrize(
--- a/tests/adapters/test_store_contract.py
+++ b/tests/adapters/test_store_contract.py
@@ -26,7 +26,7 @@
 from rhubarbferry.test.memory_store import MemoryStore
 from rhubarbferry.test.serving import serving
 from rhubarbferry.test.store import StoreGateway
-from rhubarbferry.test.store_engine import Engine
+from rhubarbferry.test.store_engine import StoreEngine
 
 WAIT_TIMEOUT_S = 5.0
 MAX_POLLS = 500
@@ -59,7 +59,7 @@
 @pytest.fixture(params=["memory", "etcd"])
 async def harness(request: pytest.FixtureRequest) -> AsyncIterator[Harness]:
     clock = ShiftedClock()
-    memory = MemoryStore(clock=clock, engine=Engine(history=50))
+    memory = MemoryStore(clock=clock, engine=StoreEngine(history=50))
     if request.param == "memory":
         yield Harness(store=memory, memory=memory, clock=clock)
         return
@@ -271,8 +271,8 @@
     harness: Harness, call: Call, limit: str
 ) -> None:
     """A process exceeds the call rate. Excess calls are refused as such; later calls succeed."""
-    rates = harness.memory.gate.rates
-    harness.memory.gate.rates = type(rates)(**{limit: 5})
+    rates = harness.memory.rate_limiter.rates
+    harness.memory.rate_limiter.rates = type(rates)(**{limit: 5})
     refused = 0
     for _ in range(8):
         try:
--- a/tests/cell/cell_harness.py
+++ b/tests/cell/cell_harness.py
@@ -240,7 +240,7 @@
             for first, second in zip(runs, runs[1:], strict=False):
                 assert first.ended_at is not None, f"{task} ran twice at once"
                 assert first.ended_at <= second.began_at, f"{task} ran twice at once"
-                assert first.how != "done", f"{task} ran again after it was done"
+                assert first.end_reason != "done", f"{task} ran again after it was done"
 
 
 def step(count: int = 1, **fields) -> dict:
--- a/tests/cell/test_cell.py
+++ b/tests/cell/test_cell.py
@@ -119,7 +119,7 @@
     owner = harness.owner()
     other = next(member for member in harness.members.values() if member is not owner)
     await asyncio.sleep(MEMBERSHIP_SYNC_S)
-    harness.store.trouble.answer_s = 0.35
+    harness.store.faults.answer_s = 0.35
     owner.signal(signal.SIGTERM)
     assert await asyncio.wait_for(owner.child.wait(), 8.0) == 0
     (ended,) = owner.events("term.ended")
@@ -186,14 +186,14 @@
     assert status == 200
     await harness.wait_for_state(member, ids(1)[0], "canceled")
     await asyncio.sleep(0.5)
-    assert all(run.how == "stopped" for run in harness.runs())
+    assert all(run.end_reason == "stopped" for run in harness.runs())
 
 
 async def test_task_that_always_fails_ends_its_job_after_the_last_attempt(harness):
     """Guards against a task that is retried forever or abandoned too early."""
     id = ids(1)[0]
     for worker in harness.workers.values():
-        worker.fails.add(f"{id}.0.0.0")
+        worker.failing_tasks.add(f"{id}.0.0.0")
     assert await harness.submit(harness.members["one"], id) == 200
     await harness.wait_for_state(harness.members["one"], id, "failed")
     assert len(harness.runs()) == 3
@@ -205,11 +205,11 @@
     for worker in harness.workers.values():
         worker.work_s = 0.6
     assert await harness.submit(member, ids(1)[0], step(2), step(2, after=[0])) == 200
-    harness.store.trouble.down = True
+    harness.store.faults.down = True
     await asyncio.sleep(1.0)
     assert await harness.submit(member, ids(2)[1]) == 503
     await asyncio.sleep(2.0)
-    harness.store.trouble.down = False
+    harness.store.faults.down = False
     await harness.wait_for_state(member, ids(1)[0], "complete")
     assert await harness.state(member, ids(2)[1]) == "410"
     assert not any(run.task.startswith(ids(2)[1]) for run in harness.runs())
@@ -219,7 +219,7 @@
 async def test_store_outage_does_not_cause_a_handover(harness):
     """Guards against a needless handover while the store is down for all processes."""
     owner = harness.owner()
-    harness.store.trouble.down = True
+    harness.store.faults.down = True
     await asyncio.sleep(2.5)
     ended = owner.events("term.ended")
     assert [line["reason"] for line in ended] == ["the lease was not extended in time"]
@@ -228,7 +228,7 @@
 async def test_lost_store_answer_does_not_duplicate_a_job(harness):
     """Guards against a refusal or a duplicate job after a lost answer of the store."""
     member = harness.members["one"]
-    harness.store.trouble.lose_every = 2
+    harness.store.faults.lose_every = 2
     for id in ids(8):
         for _ in range(4):
             try:
@@ -236,7 +236,7 @@
                     break
             except Exception:
                 await asyncio.sleep(0.2)
-    harness.store.trouble.lose_every = 0
+    harness.store.faults.lose_every = 0
     for id in ids(8):
         await harness.wait_for_state(member, id, "complete")
     assert len(harness.runs()) == 8
@@ -244,7 +244,7 @@
 
 async def test_configuration_reaches_every_process_when_watches_lose_their_history(harness):
     """Guards against a process that misses a new queue when the store has dropped its history."""
-    harness.store.trouble.no_history = True
+    harness.store.faults.no_history = True
     harness.store.put("op/config", configuration(7, prefixes=("/q/", "/new/")))
     await asyncio.sleep(2.5)
     for index, member in enumerate(harness.members.values()):
@@ -283,7 +283,7 @@
     for other in ("w1", "w2"):
         harness.store.remove(f"servers/{other}")
     worker.work_s = 60.0
-    worker.serving = {f"{service}.0.0.0"}
+    worker.serving_tasks = {f"{service}.0.0.0"}
     await asyncio.sleep(1.0)
     row = step(longRunning=True, image="web", goalMs=100)
     assert await harness.submit(member, service, row) == 200
--- a/tests/cell/test_direct_calls.py
+++ b/tests/cell/test_direct_calls.py
@@ -99,7 +99,7 @@
 async def test_write_with_a_lost_answer_is_reported_as_accepted(store, stand_in):
     """Guards against a job that runs although its client received a refusal."""
     owner = OwnerStub(current_fence=await take_ownership(store))
-    stand_in.trouble.lose_every = 2
+    stand_in.faults.lose_every = 2
     job_calls = direct_job_calls(store, owner)
     verdicts = [
         await job_calls.submit(record(f"{index:016x}"), deadline=deadline(4.0))
@@ -109,15 +109,15 @@
 
 
 async def test_unanswered_write_at_the_deadline_is_reported_as_unclear(store, stand_in):
-    stand_in.trouble.lose_every = 1
+    stand_in.faults.lose_every = 1
     job_calls = direct_job_calls(store, OwnerStub())
     verdict = await asyncio.wait_for(job_calls.submit(record(ID), deadline=deadline(0.1)), 3.0)
     assert verdict is Accepted.UNCLEAR
 
 
 async def test_write_rejected_by_the_store_refuses_the_job(store, stand_in):
-    stand_in.trouble.down = True
+    stand_in.faults.down = True
     job_calls = direct_job_calls(store, OwnerStub())
     assert await job_calls.submit(record(ID), deadline=deadline()) is Accepted.NO
-    stand_in.trouble.down = False
+    stand_in.faults.down = False
     assert await job_calls.phase(ID) is None
--- a/tests/cell/test_key_watch.py
+++ b/tests/cell/test_key_watch.py
@@ -83,11 +83,11 @@
     stand_in.put(KEY, 1)
     watcher = key_watcher(store)
     await watcher.next(WAIT_S)
-    stand_in.trouble.deaf = True
+    stand_in.faults.deaf = True
     stand_in.put(KEY, 2)
     assert await watcher.next(WAIT_S) is None
-    stand_in.trouble.deaf = False
-    stand_in.trouble.no_history = not history_kept
+    stand_in.faults.deaf = False
+    stand_in.faults.no_history = not history_kept
     assert (await watcher.next(WAIT_S)).item.value == b"2"
     assert stand_in.calls["range"] == 1
 
@@ -98,7 +98,7 @@
     watcher = key_watcher(store, history_s=0.0)
     await watcher.next(WAIT_S)
     stand_in.put(KEY, 2)
-    stand_in.trouble.no_bare_conditions = True
+    stand_in.faults.no_bare_conditions = True
     version = await watcher.next(WAIT_S)
     assert (version.item.value, version.source) == (b"2", Source.LISTING)
 
@@ -108,7 +108,7 @@
     stand_in.put(KEY, 1)
     watcher = key_watcher(store, history_s=0.0)
     await watcher.next(WAIT_S)
-    stand_in.trouble.no_bare_conditions = True
+    stand_in.faults.no_bare_conditions = True
     assert await watcher.next(WAIT_S) is None
 
 
@@ -122,8 +122,8 @@
         stand_in.put(KEY, 2)
     if call == "comparison":
         watcher.compare_next()
-    stand_in.trouble.down = True
+    stand_in.faults.down = True
     with pytest.raises(StoreError):
         await watcher.next(WAIT_S)
-    stand_in.trouble.down = False
+    stand_in.faults.down = False
     assert (await watcher.next(WAIT_S)).item.value == (b"1" if call == "listing" else b"2")
--- a/tests/cell/test_key_watch_machine.py
+++ b/tests/cell/test_key_watch_machine.py
@@ -26,7 +26,7 @@
 )
 from rhubarbferry.test.fake_clock import FakeClock
 from rhubarbferry.test.memory_store import prefix_end
-from rhubarbferry.test.store_engine import Compacted, Delete, Engine, Put
+from rhubarbferry.test.store_engine import Compacted, Delete, Put, StoreEngine
 
 from .fakes import FakeEventLog
 
@@ -47,7 +47,7 @@
     """
 
     def __init__(self) -> None:
-        self.engine = Engine(history=HISTORY_EVENTS)
+        self.engine = StoreEngine(history=HISTORY_EVENTS)
         self.failures: list[type[StoreError] | None] = []
         self.deaf = False
         self.transfer_s = 0.0
--- a/tests/cell/test_prefix_watch.py
+++ b/tests/cell/test_prefix_watch.py
@@ -36,13 +36,13 @@
     """Guards against a change lost permanently after a watch that did not deliver it."""
     watcher = prefix_watcher(store)
     await watcher.next(WAIT_S)
-    stand_in.trouble.deaf = True
+    stand_in.faults.deaf = True
     stand_in.put("op/config", 1)
     assert (await watcher.next(WAIT_S)).events == ()
-    stand_in.trouble.deaf = False
-    stand_in.trouble.no_history = not history_kept
+    stand_in.faults.deaf = False
+    stand_in.faults.no_history = not history_kept
     after = await watcher.next(WAIT_S)
-    stand_in.trouble.no_history = False
+    stand_in.faults.no_history = False
     keys = [item.key for item in getattr(after, "items", ())]
     keys += [event.kv.key for event in getattr(after, "events", ())]
     assert keys == ["op/config"]
--- a/tests/cell/test_roster.py
+++ b/tests/cell/test_roster.py
@@ -64,10 +64,10 @@
 
 async def test_a_write_whose_answer_was_lost_is_recognized_as_its_own(store, stand_in):
     roster = await make_roster(store)
-    stand_in.trouble.lose_every = 1
+    stand_in.faults.lose_every = 1
     with pytest.raises(StoreUnclear):
         await roster.update({"a": OPEN})
-    stand_in.trouble.lose_every = 0
+    stand_in.faults.lose_every = 0
     assert not await roster.update({"a": OPEN, "b": CLOSED})
     assert roster.entries == {"a": OPEN}
     assert await roster.update({"a": OPEN, "b": CLOSED})
--- a/tests/coordination/cell_harness.py
+++ b/tests/coordination/cell_harness.py
@@ -56,7 +56,9 @@
         self.clients: list[MemoryStore] = []
 
     async def join(self, name: str, *, role: Role = Role.SCHEDULER, **options) -> Node:
-        client = MemoryStore(clock=self.clock, engine=self.store.engine, gate=self.store.gate)
+        client = MemoryStore(
+            clock=self.clock, engine=self.store.engine, rate_limiter=self.store.rate_limiter
+        )
         client.faults.down = options.pop("down", False)
         node = Node(
             cfg=options.pop("cfg", settings()),
--- a/tests/coordination/log_harness.py
+++ b/tests/coordination/log_harness.py
@@ -9,8 +9,8 @@
 from rhubarbferry.coordination.log import SealedLog
 from rhubarbferry.rpc.gen.ttypes import JobCancelled, LogEntry
 from rhubarbferry.test.memory_store import MemoryStore
-from rhubarbferry.test.store_engine import Engine
-from rhubarbferry.test.store_faults import RateGate, StoreRates
+from rhubarbferry.test.store_engine import StoreEngine
+from rhubarbferry.test.store_faults import RateLimiter, StoreRates
 
 PARTITION = "key/north/0"
 RETENTION_S = 60.0
@@ -57,8 +57,8 @@
 
 
 def make_store(
-    engine: Engine | None = None, clock: AutoAdvancingClock | None = None
+    engine: StoreEngine | None = None, clock: AutoAdvancingClock | None = None
 ) -> MemoryStore:
     return MemoryStore(
-        clock=clock or AutoAdvancingClock(), engine=engine, gate=RateGate(rates=NO_LIMIT)
+        clock=clock or AutoAdvancingClock(), engine=engine, rate_limiter=RateLimiter(rates=NO_LIMIT)
     )
--- a/tests/coordination/test_guard_sets.py
+++ b/tests/coordination/test_guard_sets.py
@@ -11,7 +11,7 @@
 from rhubarbferry.core.guards import GuardSet
 from rhubarbferry.core.ownership import Table
 from rhubarbferry.ports.ownership import Guard, Member, Role
-from rhubarbferry.test.fake_clock import FakeClock, settle
+from rhubarbferry.test.fake_clock import FakeClock, run_ready_tasks
 
 
 def frontend(name: str) -> Member:
@@ -48,7 +48,7 @@
         cfg=cfg, clock=clock, mirror=mirror, close_set=FakeGuards(alive, left_s)
     )
     task = asyncio.ensure_future(manager.run())
-    await settle()
+    await run_ready_tasks()
     await clock.advance(seconds)
     task.cancel()
     return manager.apply(table, members.values()).guards["north"]
--- a/tests/coordination/test_log_machine.py
+++ b/tests/coordination/test_log_machine.py
@@ -16,7 +16,7 @@
 
 from rhubarbferry.coordination.log import SealedLog
 from rhubarbferry.ports.entry_log import LogFenced, LogUnavailable, LogUnclear
-from rhubarbferry.test.store_engine import Engine
+from rhubarbferry.test.store_engine import StoreEngine
 
 FUZZ = os.environ.get("HYPOTHESIS_PROFILE") == "fuzz"
 EXAMPLES = 2000 if FUZZ else 150
@@ -50,7 +50,7 @@
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.clock = AutoAdvancingClock()
-        self.engine = Engine()
+        self.engine = StoreEngine()
         self.in_transit: list[Callable[[], Any]] = []
         self.processes: list[Process] = []
         self.all_processes: list[Process] = []
--- a/tests/coordination/test_node.py
+++ b/tests/coordination/test_node.py
@@ -118,7 +118,7 @@
     await until(lambda: len(node.tenures) == 6)
     cell.clients[0].faults.down = True
     (lease,) = cell.store.engine.leases.values()
-    lease.ends += 0 if lapsed else 100
+    lease.expires_at += 0 if lapsed else 100
     held = list(node.tenures.values())
     workers = [tenure for tenure in held if tenure.partition.kind is PartitionKind.WORKER]
     rack = workers[0]
@@ -131,7 +131,7 @@
     if lapsed:
         # The holder considers the lease expired before the store does; a renewal in between
         # succeeds.
-        await until(lambda: cell.clock.monotonic() >= lease.ends)
+        await until(lambda: cell.clock.monotonic() >= lease.expires_at)
     cell.clients[0].faults.down = False
     await until(lambda: len([t for t in node.tenures.values() if t.holds()]) == 6)
     assert {tenure.epoch for tenure in node.tenures.values()} == ({2} if lapsed else {1})
--- a/tests/coordination/test_ownership_machine.py
+++ b/tests/coordination/test_ownership_machine.py
@@ -13,8 +13,8 @@
 from rhubarbferry.coordination.membership import Membership
 from rhubarbferry.ports.ownership import Role
 from rhubarbferry.ports.store import LeaseLost
-from rhubarbferry.test.fake_clock import FakeClock, settle
-from rhubarbferry.test.machines import machine_settings
+from rhubarbferry.test.fake_clock import FakeClock, run_ready_tasks
+from rhubarbferry.test.hypothesis_settings import state_machine_settings
 from rhubarbferry.test.memory_store import MemoryStore
 from rhubarbferry.test.store_faults import CallKind
 
@@ -118,7 +118,7 @@
                 process.clock.jump(STEP_S)
                 if not process.paused:
                     process.clock.wake()
-            await settle()
+            await run_ready_tasks()
             for process in self.processes:
                 process.collect()
             self.check()
@@ -157,7 +157,7 @@
     async def _restart(self, number):
         await self.processes[number].kill()
         self.processes[number] = self.new_process()
-        await settle()
+        await run_ready_tasks()
 
     @invariant()
     def epochs_never_decrease(self):
@@ -204,7 +204,7 @@
 def run(examples: int, steps: int) -> None:
     run_state_machine_as_test(
         OwnershipMachine,
-        settings=machine_settings(examples=examples, steps=steps),
+        settings=state_machine_settings(examples=examples, steps=steps),
     )
 
 
--- a/tests/core/test_promise.py
+++ b/tests/core/test_promise.py
@@ -7,7 +7,7 @@
 
 from rhubarbferry.core.lease import Lease
 from rhubarbferry.core.promise import GuardState, PromiseBook
-from rhubarbferry.test.machines import machine_settings
+from rhubarbferry.test.hypothesis_settings import state_machine_settings
 
 LEASE_S = 3
 PROMISE_S = 3
@@ -302,7 +302,7 @@
 def test_at_most_one_owner_acts():
     run_state_machine_as_test(
         PromiseMachine,
-        settings=machine_settings(examples=80, steps=40),
+        settings=state_machine_settings(examples=80, steps=40),
     )
 
 
--- a/tests/on_platform/test_store.py
+++ b/tests/on_platform/test_store.py
@@ -33,10 +33,10 @@
 @pytest.mark.parametrize("call", CALLS.values(), ids=CALLS.keys())
 @pytest.mark.parametrize("trouble", REFUSALS)
 async def test_a_refused_call_changes_nothing(store, stand_in, call, trouble):
-    setattr(stand_in.trouble, trouble, True)
+    setattr(stand_in.faults, trouble, True)
     with pytest.raises(REFUSALS[trouble]):
         await call(store)
-    setattr(stand_in.trouble, trouble, False)
+    setattr(stand_in.faults, trouble, False)
     assert await store.get("a") is None
 
 
@@ -50,7 +50,7 @@
 
 async def test_a_write_without_a_response_is_unclear(store, stand_in):
     """Guards against a job that is reported as refused to its client but runs."""
-    stand_in.trouble.lose_every = 1
+    stand_in.faults.lose_every = 1
     with pytest.raises(StoreUnclear):
         await store.commit(Txn(put=(Put(key="a", value=b"1"),)))
     item = await store.get("a")
@@ -85,7 +85,7 @@
     await store.commit(Txn(delete=("a",)))
     changes = await store.changes("a", after=start_revision, wait_s=0.1)
     assert [type(event) for event in changes.events] == [KeyPut, KeyDeleted]
-    stand_in.trouble.no_history = True
+    stand_in.faults.no_history = True
     with pytest.raises(WatchBroken):
         await store.changes("a", after=start_revision, wait_s=0.1)
 
--- a/tests/processes/failure_scenarios.py
+++ b/tests/processes/failure_scenarios.py
@@ -53,13 +53,13 @@
     """Return whether each scheduler owns at least one partition."""
     state = await state_of(cell)
     owners = {entry.member_id for entry in state.table.entries.values()}
-    return len(owners) == len(cell.named("scheduler"))
+    return len(owners) == len(cell.processes_with_prefix("scheduler"))
 
 
 async def wait_until_all_serve(cell: ProcessCell) -> None:
     """Wait until a request through each frontend succeeds."""
-    for process in cell.named("frontend"):
-        await cell.until_served(process.name)
+    for process in cell.processes_with_prefix("frontend"):
+        await cell.wait_until_served(process.name)
 
 
 async def set_mode_for(cell: ProcessCell, name: str, mode: Mode, *, seconds: float) -> None:
@@ -87,7 +87,7 @@
     running = asyncio.create_task(load.run())
     await asyncio.sleep(LOAD_BEFORE_FAULT_S)
     await fault(cell)
-    recovery_s = [await cell.until_served(name) for name in FRONTENDS]
+    recovery_s = [await cell.wait_until_served(name) for name in FRONTENDS]
     await asyncio.sleep(LOAD_AFTER_FAULT_S)
     load.stopping = True
     await running
--- a/tests/processes/test_configuration_under_faults.py
+++ b/tests/processes/test_configuration_under_faults.py
@@ -55,8 +55,8 @@
         try:
             while True:
                 for role, pool in pools.items():
-                    for process in self.cell.named(role):
-                        if process.line:
+                    for process in self.cell.processes_with_prefix(role):
+                        if process.startup_info:
                             await self._sample(pool, process)
                 await asyncio.sleep(SAMPLE_INTERVAL_S)
         finally:
@@ -77,7 +77,11 @@
 
     async def wait_until_all_at(self, revision: int) -> None:
         """Wait until every daemon has reported ``revision`` or a later one."""
-        names = {p.name for role in ("scheduler", "frontend") for p in self.cell.named(role)}
+        names = {
+            p.name
+            for role in ("scheduler", "frontend")
+            for p in self.cell.processes_with_prefix(role)
+        }
 
         async def reached() -> bool:
             return all(self.latest_revisions.get(name, 0) >= revision for name in names)
@@ -264,7 +268,7 @@
         async with monitored(cell) as monitor:
             await monitor.wait_until_all_at(changes.highest)
             await cell.set_faults("store", down=True)
-            peers = ", ".join(p.address for p in cell.named("scheduler"))
+            peers = ", ".join(p.address for p in cell.processes_with_prefix("scheduler"))
             started = await cell.start_daemon(
                 "scheduler", "scheduler-late", region="attiki", peers=peers
             )
--- a/tests/processes/test_requests_under_faults.py
+++ b/tests/processes/test_requests_under_faults.py
@@ -123,7 +123,7 @@
 async def kill_two_schedulers(cell: ProcessCell) -> None:
     await kill_owner(cell, RUNNERS_PARTITION)
     await asyncio.sleep(1.0)
-    remaining = [process for process in cell.named("scheduler") if process.running]
+    remaining = [process for process in cell.processes_with_prefix("scheduler") if process.running]
     await remaining[0].kill()
 
 
--- a/tests/processes/test_slo_report.py
+++ b/tests/processes/test_slo_report.py
@@ -58,7 +58,7 @@
 async def test_report_agrees_with_what_callers_saw(tmp_path: Path) -> None:
     shape = Shape(runners=1, workers=1, schedulers=1)
     async with ProcessCell(dir=tmp_path, shape=shape) as cell:
-        await cell.until_served(FRONTEND)
+        await cell.wait_until_served(FRONTEND)
         before = counts(await run_report(cell), "requests")
         answers = await asyncio.gather(
             *(
--- a/tests/processes/test_spill.py
+++ b/tests/processes/test_spill.py
@@ -62,7 +62,7 @@
     """
     async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell:
         for name in (LOCAL_FRONTEND, REMOTE_FRONTEND):
-            await cell.until_served(name)
+            await cell.wait_until_served(name)
         end = asyncio.get_running_loop().time() + LOAD_S
         answers_by_caller = await asyncio.gather(
             *(call_until(cell, caller, end) for caller in range(CALLERS))
--- a/tests/processes/test_store_outage.py
+++ b/tests/processes/test_store_outage.py
@@ -77,7 +77,7 @@
 async def promises_given(cell: ProcessCell) -> float:
     """Return the total number of promises received by all schedulers."""
     given = 0.0
-    for process in cell.named("scheduler-"):
+    for process in cell.processes_with_prefix("scheduler-"):
         async with cell.session.get(f"{process.http}/metrics") as answer:
             for line in (await answer.text()).splitlines():
                 if line.startswith(GIVEN_PROMISES_METRIC):
@@ -200,7 +200,7 @@
     """
     async with ProcessCell(dir=tmp_path, shape=SHAPE) as cell:
         for name in FRONTENDS:
-            await cell.until_served(name)
+            await cell.wait_until_served(name)
         await wait_until_guards_promise(cell)
         loop = asyncio.get_running_loop()
         await case.fault(cell)
--- a/tests/scheduler/test_daemon.py
+++ b/tests/scheduler/test_daemon.py
@@ -51,7 +51,7 @@
         cfg=cfg,
         ports=Ports(
             clock=clock,
-            store=MemoryStore(clock=clock, engine=store.engine, gate=store.gate),
+            store=MemoryStore(clock=clock, engine=store.engine, rate_limiter=store.rate_limiter),
             hosts=PolledHosts(listed=hosts),
             reports=FakeReports(runners={"r1": FakeRunner()}),
             registry=CollectorRegistry(),
