--- a/rhubarbferry/bench/requests.py
+++ b/rhubarbferry/bench/requests.py
@@ -33,7 +33,7 @@
 from rhubarbferry.bench.statistics import LatencyHistogram, share_errors, water_fill
 from rhubarbferry.core.cell import PriorityClass
 from rhubarbferry.core.request_queue import QueueRules, RequestQueue, Terms, Waiting
-from rhubarbferry.core.slots import RunnerWord, SlotEnd, SlotLease, SlotLedger
+from rhubarbferry.core.slots import RunnerReport, SlotEnd, SlotLease, SlotLedger
 
 LOADS = (1.0, 2.0, 10.0)
 SHARE_LOAD = 2.0
@@ -99,8 +99,8 @@
         for number in range(profile.runners):
             id = f"runner-{number:02}"
             self._ledger.put_runner(id=id, address=id, slots=profile.slots, leaving=False)
-            self._ledger.hear(
-                RunnerWord(runner_id=id, asked_at=0.0, running=frozenset(), slots=profile.slots),
+            self._ledger.apply_report(
+                RunnerReport(runner_id=id, asked_at=0.0, running=frozenset(), slots=profile.slots),
                 now=0.0,
             )
         self._capacity = self._ledger.capacity()
--- a/rhubarbferry/bench/shares.py
+++ b/rhubarbferry/bench/shares.py
@@ -87,7 +87,7 @@
     for name, workers in groups.items():
         ledger = WorkerLedger(lease_s=LEASE_S, margin_s=MARGIN_S)
         for worker in workers:
-            ledger.add_worker(worker.id, failure_domain=worker.failure_domain, unheard_until=0.0)
+            ledger.add_worker(worker.id, failure_domain=worker.failure_domain, unadopted_until=0.0)
             ledger.adopt(worker.id, capacity=worker.capacity, reported=(), now=0.0)
         room = Room(partition=name, region=REGION, free=Size(), largest=Size())
         racks.append(Rack(name=name, ledger=ledger, workers=workers, room=room))
@@ -223,7 +223,7 @@
         held = rack.ledger.place(attempt, spread=Spread.PACK, now=now)
         waited_s = now - item.job.since
         if held is None and self.reserves_workers and waited_s >= RESERVE_AFTER_S:
-            kept = rack.ledger.keep(attempt, waited_s=waited_s, now=now)
+            kept = rack.ledger.dedicate_worker(attempt, waited_s=waited_s, now=now)
             self.counts["kept_workers"] += kept
         return held
 
@@ -317,7 +317,7 @@
         for number, rack in enumerate(self._racks):
             for worker in rack.workers:
                 if self._rng.random() < OUTAGE_FRACTION:
-                    rack.ledger.silent(worker.id)
+                    rack.ledger.mark_silent(worker.id)
                     self._disconnected.append((now + OUTAGE_DURATION_S, number, worker.id))
                     self.counts["silent_workers"] += 1
 
@@ -395,7 +395,7 @@
 
 def make_queue() -> JobQueue:
     """Return the job queue of the decision core."""
-    return JobQueue(far_after_s=0.0, patience_s=RESERVE_AFTER_S)
+    return JobQueue(other_region_after_s=0.0, patience_s=RESERVE_AFTER_S)
 
 
 POLICIES: Mapping[str, Any] = {"core": make_queue, "fifo": FifoJobs}
--- a/rhubarbferry/coordination/node.py
+++ b/rhubarbferry/coordination/node.py
@@ -22,8 +22,8 @@
 from rhubarbferry.coordination.table import TableWriter
 from rhubarbferry.coordination.tenure import HeldTenure, TenureLost, Tenures, TenureWon
 from rhubarbferry.coordination.watcher import Watcher
-from rhubarbferry.core.budget import sharers
-from rhubarbferry.core.configuration import ConfigRecord, gone_back
+from rhubarbferry.core.budget import rate_divisor
+from rhubarbferry.core.configuration import ConfigRecord, is_rolled_back
 from rhubarbferry.core.partition import PartitionId
 from rhubarbferry.core.partitions import partitions_of
 from rhubarbferry.ports.clock import Clock
@@ -224,7 +224,7 @@
             version = self._mirror.changes.version
             state = self._mirror.state
             if self._budget is not None:
-                self._budget.set_members(sharers(self._role, state.members.values()))
+                self._budget.set_members(rate_divisor(self._role, state.members.values()))
             if self._membership.is_missing_from(state.members, self._mirror.revision):
                 self._membership.drop_lease()
             self.cell.update(state.config)
@@ -249,11 +249,11 @@
                 logger.debug("the configuration can't be written back: {}", exc)
 
     async def _restore_if_gone_back(self) -> None:
-        if not gone_back(self.cell.record, self._mirror.state.config):
+        if not is_rolled_back(self.cell.record, self._mirror.state.config):
             return
         await self._watcher.refresh()
         state = self._mirror.state
-        if gone_back(self.cell.record, state.config):
+        if is_rolled_back(self.cell.record, state.config):
             await restore(self._store, in_force=self.cell.record, based_on=state.config_revision)
 
     def _partitions(self) -> frozenset[PartitionId]:
--- a/rhubarbferry/coordination/promises.py
+++ b/rhubarbferry/coordination/promises.py
@@ -166,7 +166,7 @@
             # A guard started with a lower limit refuses promises longer than that limit.
             self._limits_ms[guard.id] = reply.limit_ms
         if reply.given:
-            tenure.promises.given(
+            tenure.promises.add_promise(
                 guard=guard.id,
                 version=version,
                 asked_at=asked_at,
--- a/rhubarbferry/coordination/tenure.py
+++ b/rhubarbferry/coordination/tenure.py
@@ -15,7 +15,7 @@
 from rhubarbferry.coordination.mirror import Mirror
 from rhubarbferry.core.ownership import OwnerEntry
 from rhubarbferry.core.partition import PartitionId, PartitionKind
-from rhubarbferry.core.promise import PromiseBook
+from rhubarbferry.core.promise import HeldPromises
 from rhubarbferry.ports.clock import Clock
 
 TENURES_WON = Counter(
@@ -48,7 +48,7 @@
     clock: Clock
     lease_holds: Callable[[], bool]
     extension_until: Callable[[], float]
-    promises: PromiseBook = field(factory=PromiseBook)
+    promises: HeldPromises = field(factory=HeldPromises)
     ended: bool = False
     highest_seen_epoch: int = 0
 
@@ -169,7 +169,7 @@
             clock=self._clock,
             lease_holds=lambda: self._membership.holds(incarnation),
             extension_until=self._extension_until,
-            promises=PromiseBook(margin_s=self._cfg.clock_margin_s),
+            promises=HeldPromises(margin_s=self._cfg.clock_margin_s),
         )
         self.current[partition] = tenure
         self._used_epochs[partition] = entry.epoch
@@ -189,7 +189,7 @@
                 guard_set = self._mirror.guard_set(partition.region)
                 guards = () if guard_set.closing else guard_set.guards
                 names = (guard.id for guard in guards)
-                tenure.promises.use(guards=names, version=guard_set.version)
+                tenure.promises.set_guards(guards=names, version=guard_set.version)
 
     @property
     def _member_id(self) -> str:
--- a/rhubarbferry/core/budget.py
+++ b/rhubarbferry/core/budget.py
@@ -61,7 +61,7 @@
     return TakeResult(bucket=left, wait_s=max(0.0, -left.tokens / rate.per_s))
 
 
-def sharers(role: Role, members: Iterable[Member]) -> float:
+def rate_divisor(role: Role, members: Iterable[Member]) -> float:
     """Return the divisor that gives a process of ``role`` its part of the total rate."""
     total = sum(ROLE_WEIGHTS[member.role] for member in members)
     return max(1.0, total / ROLE_WEIGHTS[role])
--- a/rhubarbferry/core/configuration.py
+++ b/rhubarbferry/core/configuration.py
@@ -38,7 +38,7 @@
     return offered
 
 
-def gone_back(in_force: ConfigRecord, stored: ConfigRecord | None) -> bool:
+def is_rolled_back(in_force: ConfigRecord, stored: ConfigRecord | None) -> bool:
     """Return whether the store holds an older revision than the one in force in this process."""
     return (NO_CONFIG if stored is None else stored).revision < in_force.revision
 
--- a/rhubarbferry/core/ejection.py
+++ b/rhubarbferry/core/ejection.py
@@ -105,7 +105,7 @@
         self._eject(host, self.rules.eject_s, now)
         return True
 
-    def neither(self, id: str, cause: str) -> None:
+    def record_inconclusive(self, id: str, cause: str) -> None:
         """Record that work ended without showing success or failure; a probe may be repeated."""
         host = self._hosts.get(id)
         if host is not None and host.probe_cause == cause:
--- a/rhubarbferry/core/gangs.py
+++ b/rhubarbferry/core/gangs.py
@@ -10,7 +10,7 @@
 MAX_BACKOFF_S = 2.0
 
 
-def how_many(size: Size, *, free: Size, largest: Size) -> int:
+def max_task_count(size: Size, *, free: Size, largest: Size) -> int:
     """Return an upper bound on the number of tasks that fit into a partition.
 
     Free capacity that is spread over several workers can hold fewer tasks.
@@ -29,7 +29,7 @@
     return max(0, min(counts, default=0))
 
 
-def hold(*, age_s: float, reserve_s: float) -> float:
+def reservation_time_s(*, age_s: float, reserve_s: float) -> float:
     """Return how long a gang's reservations are held, in seconds.
 
     A young gang holds them for ``reserve_s``: it either finds capacity for all of its tasks at
@@ -40,7 +40,7 @@
     return reserve_s if age_s < LONG_HOLD_MIN_AGE_S else reserve_s * LONG_HOLD_FACTOR
 
 
-def back_off(*, age_s: float, chance: float) -> float:
+def retry_delay_s(*, age_s: float, chance: float) -> float:
     """Return the delay before the next placement attempt, which decreases with the gang's age.
 
     :param chance: random number in [0, 1); jitter that keeps gangs of two homes from retrying in
--- a/rhubarbferry/core/intents.py
+++ b/rhubarbferry/core/intents.py
@@ -124,7 +124,7 @@
 
 
 @define(kw_only=True, eq=False)
-class IntentBook:
+class IntentTable:
     """The intents of one key partition. Changes are applied after they are recorded."""
 
     rules: IntentRules = Factory(IntentRules)
@@ -225,7 +225,7 @@
             intent.lapsed = True
         return len(expired)
 
-    def frontends_live(self, live: Collection[str]) -> int:
+    def mark_orphaned(self, live: Collection[str]) -> int:
         """Mark running intents whose frontend is not live as orphaned.
 
         The outcome of an orphaned request may never be reported.
--- a/rhubarbferry/core/job_queue.py
+++ b/rhubarbferry/core/job_queue.py
@@ -57,13 +57,13 @@
     the job that was accepted first. A job whose tasks do not fit into a worker partition is
     skipped for that partition, so that smaller tasks can use its free capacity.
 
-    :param far_after_s: how long a job waits in its home's region before it may run in
+    :param other_region_after_s: how long a job waits in its home's region before it may run in
         another region.
     :param patience_s: how long a large task waits before a worker is dedicated to it.
     """
 
-    def __init__(self, *, far_after_s: float, patience_s: float) -> None:
-        self._other_region_after_s = far_after_s
+    def __init__(self, *, other_region_after_s: float, patience_s: float) -> None:
+        self._other_region_after_s = other_region_after_s
         self._patience_s = patience_s
         self._jobs: dict[int, dict[str, SortedDict]] = {}
         self._counted_tasks: dict[str, int] = {}
@@ -179,7 +179,7 @@
         before it for ``patience_s``. A job does so in one partition at a time.
         """
         urgent = job.spec.priority == PriorityClass.URGENT
-        skipped_since = job.passed_since
+        skipped_since = job.skipped_since
         if not urgent and (skipped_since is None or now - skipped_since < self._patience_s):
             return False
         if not job.spec.size.fits(room.largest_worker):
@@ -220,5 +220,5 @@
 def _record_skipped(too_large: Iterable[Job], by: Job, now: float) -> None:
     """Record since when jobs have been skipped in favour of a later one."""
     for job in too_large:
-        if job is not by and job.passed_since is None:
-            job.passed_since = now
+        if job is not by and job.skipped_since is None:
+            job.skipped_since = now
--- a/rhubarbferry/core/jobs.py
+++ b/rhubarbferry/core/jobs.py
@@ -148,7 +148,7 @@
         self.paused_until = 0.0
         self.waiting_since = since
         # Time since which smaller tasks of later jobs have been scheduled before this job's.
-        self.passed_since: float | None = None
+        self.skipped_since: float | None = None
         # The worker partition requested to dedicate a worker to this job, and the time of the next
         # request.
         self.capacity_partition = ""
@@ -257,7 +257,7 @@
         if self.state(index) is not TaskState.CLAIMED:
             return
         self.live[index].worker = worker
-        self.passed_since = None
+        self.skipped_since = None
         self.capacity_partition = ""
         self._record_start(now)
         self._set_state(index, TaskState.RUNNING)
--- a/rhubarbferry/core/limits.py
+++ b/rhubarbferry/core/limits.py
@@ -8,7 +8,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class Part:
+class LimitPart:
     """Position of a partition among those that enforce a limit jointly.
 
     :param index: position of the partition in name order, from 0.
@@ -51,7 +51,7 @@
     _pending: float | None = field(default=None, init=False)
     _pending_since: float | None = field(default=None, init=False)
 
-    def want(self, limit: float | None, *, now: float) -> float | None:
+    def update(self, limit: float | None, *, now: float) -> float | None:
         """Set the configured limit and return the limit in force; ``None`` means no limit."""
         if _is_at_most(limit, self.value):
             self.value = limit
--- a/rhubarbferry/core/overrun.py
+++ b/rhubarbferry/core/overrun.py
@@ -38,7 +38,7 @@
 
 
 @define(kw_only=True, eq=False)
-class OverrunWatch:
+class OverrunTracker:
     """Tracks the tasks of one worker partition that exceed their declared size."""
 
     rules: OverrunRules = Factory(OverrunRules)
--- a/rhubarbferry/core/promise.py
+++ b/rhubarbferry/core/promise.py
@@ -96,7 +96,7 @@
 
 
 @define(kw_only=True, slots=True)
-class PromiseBook:
+class HeldPromises:
     """The promises that an owner holds for one partition under one epoch.
 
     :param guards: ids of the guards in the guard set.
@@ -109,7 +109,7 @@
     margin_s: float = 0.0
     _until: dict[str, float] = field(factory=dict, init=False)
 
-    def use(self, *, guards: Iterable[str], version: int) -> None:
+    def set_guards(self, *, guards: Iterable[str], version: int) -> None:
         """Switch to a newer version of the guard set and discard all promises."""
         if version <= self.version:
             return
@@ -117,7 +117,7 @@
         self.version = version
         self._until.clear()
 
-    def given(self, *, guard: str, version: int, asked_at: float, duration_s: float) -> None:
+    def add_promise(self, *, guard: str, version: int, asked_at: float, duration_s: float) -> None:
         """Record a promise.
 
         :param version: version of the guard set in the request.
--- a/rhubarbferry/core/request_queue.py
+++ b/rhubarbferry/core/request_queue.py
@@ -228,7 +228,7 @@
         self._add(account, waiting)
         return Success(Admitted(displaced=displaced))
 
-    def knows(self, account: str) -> bool:
+    def has_account(self, account: str) -> bool:
         """Return whether an account is configured in this queue."""
         return account in self._accounts
 
--- a/rhubarbferry/core/routing.py
+++ b/rhubarbferry/core/routing.py
@@ -89,7 +89,7 @@
     return best if draw < share else None
 
 
-def choose_refuge(
+def choose_fallback(
     *,
     home: PartitionId,
     waits: Mapping[PartitionId, float],
--- a/rhubarbferry/core/slots.py
+++ b/rhubarbferry/core/slots.py
@@ -66,7 +66,7 @@
 
 
 @frozen(kw_only=True, slots=True)
-class RunnerWord:
+class RunnerReport:
     """Status report of a runner.
 
     :param asked_at: time at which the report was REQUESTED; its content may be older than the
@@ -92,10 +92,10 @@
     :param listed: whether the host list contains the runner.
     :param listed_leaving: whether the host list marks the runner as shutting down.
     :param reported_leaving: whether the runner reported that it is shutting down.
-    :param said_slots: number of slots reported by the runner, ``None`` before its first report.
+    :param reported_slots: number of slots reported by the runner, ``None`` before its first report.
     :param blocked_until: time until which all slots count as taken, unless a report lifts the
         block earlier.
-    :param word_from: the block is lifted only by a report requested at or after this time.
+    :param report_not_before: the block is lifted only by a report requested at or after this time.
     :param mean_service_s: exponentially weighted mean duration of a request.
     """
 
@@ -105,9 +105,9 @@
     listed: bool = True
     listed_leaving: bool = False
     reported_leaving: bool = False
-    said_slots: int | None = None
+    reported_slots: int | None = None
     blocked_until: float | None = None
-    word_from: float = 0.0
+    report_not_before: float = 0.0
     mean_service_s: float = 0.0
     leases: set[int] = Factory(set)
 
@@ -119,9 +119,9 @@
     @property
     def capacity(self) -> int:
         """The number of slots: the lower of the configured and the reported number."""
-        if self.said_slots is None:
+        if self.reported_slots is None:
             return self.slots
-        return min(self.slots, self.said_slots)
+        return min(self.slots, self.reported_slots)
 
     def free(self) -> int:
         """Return the number of slots that can be granted now."""
@@ -165,7 +165,7 @@
         if runner.address != address:
             runner.address = address
             runner.reported_leaving = False
-            runner.said_slots = None
+            runner.reported_slots = None
         runner.slots = slots
         runner.listed = True
         runner.listed_leaving = leaving
@@ -185,14 +185,14 @@
         self._update_totals(runner)
         self._remove_if_idle(runner)
 
-    def block(self, id: str, *, until: float, word_from: float) -> None:
+    def block(self, id: str, *, until: float, report_not_before: float) -> None:
         """Count all slots of a runner as taken until its next report or until ``until``.
 
-        :param word_from: reports requested before this time do not lift the block.
+        :param report_not_before: reports requested before this time do not lift the block.
         """
         runner = self.runners[id]
         runner.blocked_until = until
-        runner.word_from = word_from
+        runner.report_not_before = report_not_before
         self._update_totals(runner)
 
     def choose(
@@ -288,7 +288,7 @@
 
     # ------------------------------------------------------------ runner reports
 
-    def hear(self, report: RunnerWord, *, now: float) -> tuple[SlotLease, ...]:
+    def apply_report(self, report: RunnerReport, *, now: float) -> tuple[SlotLease, ...]:
         """Apply a status report of a runner.
 
         :returns: the leases that the report ended.
@@ -297,8 +297,8 @@
         if runner is None:
             return ()
         runner.reported_leaving = report.leaving
-        runner.said_slots = report.slots
-        if runner.blocked_until is not None and report.asked_at >= runner.word_from:
+        runner.reported_slots = report.slots
+        if runner.blocked_until is not None and report.asked_at >= runner.report_not_before:
             self._lease_unknown_requests(runner, report, now)
             runner.blocked_until = None
         ended = tuple(
@@ -312,7 +312,7 @@
         self._remove_if_idle(runner)
         return ended
 
-    def _lease_unknown_requests(self, runner: Runner, report: RunnerWord, now: float) -> None:
+    def _lease_unknown_requests(self, runner: Runner, report: RunnerReport, now: float) -> None:
         """Add a lease for each running request that has none.
 
         An earlier owner may have received an unknown outcome for it, or its frontend has died.
@@ -334,7 +334,7 @@
                 )
             )
 
-    def _is_ended_by(self, lease: SlotLease, report: RunnerWord, now: float) -> bool:
+    def _is_ended_by(self, lease: SlotLease, report: RunnerReport, now: float) -> bool:
         """Return whether a runner's report ends a lease; the frontend's report takes precedence."""
         if lease.request_id in report.running:
             self._extend(lease, now + self.rules.margin_s)
@@ -379,7 +379,7 @@
 
     # ------------------------------------------------------------ totals
 
-    def to_ask(self) -> tuple[Runner, ...]:
+    def runners_to_query(self) -> tuple[Runner, ...]:
         """Return the runners whose report may free slots."""
         return tuple(
             runner
--- a/rhubarbferry/core/succession.py
+++ b/rhubarbferry/core/succession.py
@@ -34,19 +34,19 @@
     _settled_epochs: dict[str, int] = Factory(dict)
     _majority_at: float | None = None
 
-    def heard(self, worker: str, *, settled_epoch: int) -> None:
+    def record_adoption(self, worker: str, *, settled_epoch: int) -> None:
         """Record the adoption of a worker.
 
         :param settled_epoch: epoch of the last owner that counted this worker, 0 for none.
         """
         self._settled_epochs[worker] = max(settled_epoch, self._settled_epochs.get(worker, 0))
 
-    def look(self, *, unheard: Iterable[str], now: float) -> None:
+    def check_majority(self, *, unadopted: Iterable[str], now: float) -> None:
         """Check whether a majority has been reached, and record the time at which it was.
 
-        :param unheard: workers in the host list that were never adopted.
+        :param unadopted: workers in the host list that were never adopted.
         """
-        if self._majority_at is None and self._has_majority(list(unheard)):
+        if self._majority_at is None and self._has_majority(list(unadopted)):
             self._majority_at = now
 
     def settled_at(self) -> float:
@@ -56,13 +56,13 @@
             stopped_at = min(stopped_at, self._majority_at)
         return stopped_at + self.promise_s + self.lease_s
 
-    def waits(self) -> bool:
+    def lacks_majority(self) -> bool:
         """Return whether no majority has been reached yet."""
         return self._majority_at is None
 
-    def _has_majority(self, unheard: list[str]) -> bool:
-        if not unheard:
+    def _has_majority(self, unadopted: list[str]) -> bool:
+        if not unadopted:
             return True
         last = max(self._settled_epochs.values(), default=0)
         counted = sum(1 for epoch in self._settled_epochs.values() if epoch == last and last > 0)
-        return counted > len(unheard)
+        return counted > len(unadopted)
--- a/rhubarbferry/core/worker_ledger.py
+++ b/rhubarbferry/core/worker_ledger.py
@@ -151,13 +151,13 @@
 
     # ------------------------------------------------------------ workers
 
-    def add_worker(self, worker: str, *, failure_domain: str, unheard_until: float) -> None:
-        """Add a worker, which may run unknown tasks until it is adopted or ``unheard_until``."""
+    def add_worker(self, worker: str, *, failure_domain: str, unadopted_until: float) -> None:
+        """Add a worker, which may run unknown tasks until it is adopted or ``unadopted_until``."""
         self._workers[worker] = _Worker(
             id=worker,
             failure_domain=failure_domain,
             state=WorkerState.NOT_ADOPTED,
-            lease_until=unheard_until,
+            lease_until=unadopted_until,
         )
 
     def workers(self) -> tuple[str, ...]:
@@ -177,7 +177,7 @@
         del self._workers[worker]
         return True
 
-    def over_by(self, worker: str, *, until: float) -> None:
+    def limit_unknown_tasks(self, worker: str, *, until: float) -> None:
         """Record that all tasks of earlier owners on a worker end by ``until``."""
         entry = self._workers[worker]
         if entry.state == WorkerState.NOT_ADOPTED:
@@ -230,14 +230,14 @@
         entry = self._workers[worker]
         entry.lease_until = max(entry.lease_until, now + self._lease_s + self._margin_s)
 
-    def answers(self, worker: str) -> None:
+    def mark_responding(self, worker: str) -> None:
         """Record that an adopted worker responds again."""
         entry = self._workers[worker]
         if entry.state == WorkerState.SILENT:
             entry.state = WorkerState.LIVE
             self._update_open(entry)
 
-    def silent(self, worker: str) -> None:
+    def mark_silent(self, worker: str) -> None:
         """Assign no tasks to a worker until it responds."""
         entry = self._workers[worker]
         if entry.state == WorkerState.LIVE:
@@ -266,12 +266,12 @@
         workers = self._workers.values()
         return [entry.id for entry in workers if entry.state != WorkerState.NOT_ADOPTED]
 
-    def never_heard(self) -> list[str]:
+    def never_adopted(self) -> list[str]:
         """Return the workers that were never adopted, also if their earlier tasks have ended."""
         workers = self._workers.values()
         return [entry.id for entry in workers if entry.state == WorkerState.NOT_ADOPTED]
 
-    def unheard(self, now: float) -> list[str]:
+    def with_unknown_tasks(self, now: float) -> list[str]:
         """Return the workers that may run attempts that are missing in this ledger."""
         return [
             entry.id
@@ -312,7 +312,7 @@
         self._add(held)
         return held
 
-    def keep(self, attempt: Attempt, *, waited_s: float, now: float) -> bool:
+    def dedicate_worker(self, attempt: Attempt, *, waited_s: float, now: float) -> bool:
         """Dedicate a worker to a task that has waited long; return whether one is dedicated.
 
         In a full rack, small tasks take all capacity that becomes free, and a large task would
--- a/rhubarbferry/dispatch/dispatcher.py
+++ b/rhubarbferry/dispatch/dispatcher.py
@@ -454,7 +454,7 @@
                     self._finish(job, JobPhase.FAILED, "a task failed too often")
                     return
             case _:
-                self._ejector.neither(end.host, job.id)
+                self._ejector.record_inconclusive(end.host, job.id)
         if end.how is not EndKind.LAPSED:
             self._mark_dirty(job)
         if task.step.req.gang:
@@ -470,7 +470,7 @@
             host.blocked_until = max(host.blocked_until, now + REFUSAL_BACKOFF_S)
         if task.step.job.phase.final or task.done:
             return
-        self._ejector.neither(refusal.host, task.step.job.id)
+        self._ejector.record_inconclusive(refusal.host, task.step.job.id)
         if task.step.req.gang:
             self.tracker.stop_gang(task.step, refusal.attempt, "a member was not started")
         self._enqueue(task.step, now)
--- a/rhubarbferry/frontend/spill.py
+++ b/rhubarbferry/frontend/spill.py
@@ -9,7 +9,7 @@
 
 from rhubarbferry.conf.settings import RequestSettings
 from rhubarbferry.core.partition import PartitionId
-from rhubarbferry.core.routing import SpillRules, choose_refuge, choose_spill
+from rhubarbferry.core.routing import SpillRules, choose_fallback, choose_spill
 from rhubarbferry.frontend import metrics
 from rhubarbferry.frontend.waits import ExpectedWaits, WaitClass
 from rhubarbferry.ports.ownership import OwnershipView
@@ -52,7 +52,7 @@
         if self.rules.margin_s <= 0:
             return None
         self.waits.add_demand(home.name, cls)
-        chosen = choose_refuge(
+        chosen = choose_fallback(
             home=home,
             waits=self.waits.in_other_regions(home, cls),
             rules=self.rules,
--- a/rhubarbferry/ports/ownership.py
+++ b/rhubarbferry/ports/ownership.py
@@ -10,7 +10,7 @@
 
 from rhubarbferry.core.cell import Cell
 from rhubarbferry.core.partition import PartitionId, PartitionKind
-from rhubarbferry.core.promise import PromiseBook
+from rhubarbferry.core.promise import HeldPromises
 
 
 class Role(StrEnum):
@@ -115,7 +115,7 @@
     """A tenure that promises of the workers of its rack can extend beyond the lease."""
 
     @property
-    def promises(self) -> PromiseBook:
+    def promises(self) -> HeldPromises:
         """The promises of the workers, and the set of workers whose majority is required."""
         ...
 
--- a/rhubarbferry/scheduler/gang_dispatch.py
+++ b/rhubarbferry/scheduler/gang_dispatch.py
@@ -11,7 +11,7 @@
 from loguru import logger
 from prometheus_client import Counter
 
-from rhubarbferry.core.gangs import back_off, hold, how_many
+from rhubarbferry.core.gangs import max_task_count, reservation_time_s, retry_delay_s
 from rhubarbferry.core.job_queue import Picked
 from rhubarbferry.core.jobs import Job
 from rhubarbferry.ports.ownership import Tenure
@@ -133,12 +133,12 @@
         GANG_PLACEMENTS.labels("no_room").inc()
         now = self._ctx.clock.monotonic()
         age_s = now - job.since
-        job.paused_until = now + back_off(age_s=age_s, chance=self._rng.random())
+        job.paused_until = now + retry_delay_s(age_s=age_s, chance=self._rng.random())
 
     async def _place_in_region(self, job: Job, lanes: Sequence[Lane]) -> bool:
         now = self._ctx.clock.monotonic()
         reserve_s = self._ctx.cfg.jobs.reserve_s
-        hold_s = hold(age_s=now - job.since, reserve_s=reserve_s)
+        hold_s = reservation_time_s(age_s=now - job.since, reserve_s=reserve_s)
         placement = _Placement(job=job)
         if not self._home.within_quota(job):
             return False
@@ -166,7 +166,7 @@
         if wait_for_capacity:
             return True
         room = sum(
-            how_many(job.spec.size, free=lane.room.free, largest=lane.room.largest)
+            max_task_count(job.spec.size, free=lane.room.free, largest=lane.room.largest)
             for lane in lanes
             if lane.room is not None
         )
@@ -184,7 +184,7 @@
         job, owner = placement.job, lane.owner()
         if owner is None or lane.room is None:
             return
-        room = how_many(job.spec.size, free=lane.room.free, largest=lane.room.largest)
+        room = max_task_count(job.spec.size, free=lane.room.free, largest=lane.room.largest)
         picked = [
             Picked(
                 job=job,
--- a/rhubarbferry/scheduler/intents.py
+++ b/rhubarbferry/scheduler/intents.py
@@ -14,9 +14,9 @@
     Free,
     Full,
     Intent,
-    IntentBook,
     IntentKey,
     IntentRules,
+    IntentTable,
     Mismatch,
     Outcome,
     Recorded,
@@ -77,7 +77,7 @@
         self, *, tenure: Tenure, ctx: Context, log: EntryLog, rules: IntentRules | None = None
     ) -> None:
         super().__init__(tenure=tenure, ctx=ctx, log=log)
-        self.book = IntentBook(rules=rules or IntentRules())
+        self.book = IntentTable(rules=rules or IntentRules())
         self._committing: dict[IntentKey, asyncio.Event] = {}
         self._pending_cancellations: dict[IntentKey, _Cancellation] = {}
         self._withdrawn: OrderedDict[str, None] = OrderedDict()
@@ -113,7 +113,7 @@
             self.book.lapse(now_ms=self._now_ms())
             self.book.expire(now_ms=self._now_ms())
             members = self.ctx.ownership.members(Role.FRONTEND)
-            self.book.frontends_live({member.id for member in members})
+            self.book.mark_orphaned({member.id for member in members})
             await self._write_cancellations()
             await self.ctx.clock.sleep(MAINTENANCE_INTERVAL_S)
 
--- a/rhubarbferry/scheduler/job_home.py
+++ b/rhubarbferry/scheduler/job_home.py
@@ -69,7 +69,7 @@
         self._ends_task: asyncio.Task[bool] | None = None
         self._lanes: dict[str, Lane] = {}
         self._queue = JobQueue(
-            far_after_s=REMOTE_REGION_DELAY_S, patience_s=ctx.cfg.jobs.patience_s
+            other_region_after_s=REMOTE_REGION_DELAY_S, patience_s=ctx.cfg.jobs.patience_s
         )
         self._share = FairShare(half_life_s=ctx.cfg.jobs.half_life_s)
         self._revision = -1
--- a/rhubarbferry/scheduler/job_lane.py
+++ b/rhubarbferry/scheduler/job_lane.py
@@ -408,4 +408,4 @@
 
 def _overtaken_ms(job: Job, now: float) -> int | None:
     """Return for how many milliseconds smaller tasks have been placed ahead of this job's."""
-    return None if job.passed_since is None else int(1000 * max(0.0, now - job.passed_since))
+    return None if job.skipped_since is None else int(1000 * max(0.0, now - job.skipped_since))
--- a/rhubarbferry/scheduler/runner_list.py
+++ b/rhubarbferry/scheduler/runner_list.py
@@ -39,7 +39,7 @@
             runner = self._ledger.put_runner(
                 id=host.id, address=host.address, slots=slots, leaving=host.leaving
             )
-            if not known or runner.said_slots is None:
+            if not known or runner.reported_slots is None:
                 self._block_until_reported(runner)
         for id in [id for id in self._ledger.runners if id not in listed]:
             self._ledger.drop_runner(id)
@@ -58,7 +58,9 @@
             return
         now = self._ctx.clock.monotonic()
         longest_s = self._ctx.cfg.ownership.longest_request_s
-        self._ledger.block(runner.id, until=now + longest_s, word_from=self.reports_valid_from)
+        self._ledger.block(
+            runner.id, until=now + longest_s, report_not_before=self.reports_valid_from
+        )
 
     def _matches(self, host: Host) -> bool:
         partition = self._partition
--- a/rhubarbferry/scheduler/runner_partition.py
+++ b/rhubarbferry/scheduler/runner_partition.py
@@ -19,7 +19,7 @@
 )
 from rhubarbferry.core.slots import (
     Runner,
-    RunnerWord,
+    RunnerReport,
     SlotEnd,
     SlotLease,
     SlotLedger,
@@ -141,7 +141,7 @@
         self._sync_terms()
         self._sync_runners()
         if self._adoption.all_acknowledged():
-            await self._probes.probe(self.ledger.to_ask())
+            await self._probes.probe(self.ledger.runners_to_query())
 
     async def serve(self) -> None:
         """Grant slots to waiting requests until cancelled."""
@@ -161,8 +161,8 @@
         self.phase = Phase.DRAINING
         self._redirect_all()
         deadline = self._clock.monotonic() + DRAIN_TIMEOUT_S
-        while self.ledger.to_ask() and self._clock.monotonic() < deadline:
-            await self._probes.probe(self.ledger.to_ask())
+        while self.ledger.runners_to_query() and self._clock.monotonic() < deadline:
+            await self._probes.probe(self.ledger.runners_to_query())
             await self._clock.sleep(SETTLE_DELAY_S / 2)
 
     async def close(self) -> None:
@@ -284,7 +284,7 @@
         # Before the first measured service time, the wait is known to be zero while slots are free
         # and unknown otherwise.
         unmeasured = self.queue.times.seen == 0 and free == 0
-        if slots == 0 or unmeasured or not self.queue.knows(account):
+        if slots == 0 or unmeasured or not self.queue.has_account(account):
             return UNKNOWN_WAIT_MS
         return int(1000 * self.queue.expected_wait(account, priority, slots=slots, free=free))
 
@@ -422,7 +422,7 @@
     def _not_owner(self) -> GrantReply:
         return GrantReply(verdict=GrantVerdict.NOT_OWNER, epoch=self.tenure.epoch)
 
-    def _apply_report(self, report: RunnerWord) -> None:
+    def _apply_report(self, report: RunnerReport) -> None:
         self._slot_ends.apply_report(report)
         self._grant_waiting()
 
--- a/rhubarbferry/scheduler/runner_probes.py
+++ b/rhubarbferry/scheduler/runner_probes.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from rhubarbferry.core.slots import Runner, RunnerWord, SlotLedger
+from rhubarbferry.core.slots import Runner, RunnerReport, SlotLedger
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.runners import RunnerReports, RunnerUnreachable
 
@@ -28,7 +28,7 @@
         reports: RunnerReports,
         clock: Clock,
         ledger: SlotLedger,
-        on_report: Callable[[RunnerWord], None],
+        on_report: Callable[[RunnerReport], None],
         probe_s: float,
     ) -> None:
         self._ledger = ledger
@@ -55,13 +55,15 @@
             self._wake.clear()
             round_number += 1
             full_round = round_number % FULL_PROBE_EVERY_N_ROUNDS == 0
-            runners = self._ledger.runners.values() if full_round else self._ledger.to_ask()
+            runners = (
+                self._ledger.runners.values() if full_round else self._ledger.runners_to_query()
+            )
             await self.probe(tuple(runners))
             await self._until_next_round(reports_valid_from())
 
     async def _until_next_round(self, reports_valid_from: float) -> None:
         pause_s = self._probe_s
-        if self._ledger.to_ask():
+        if self._ledger.runners_to_query():
             pause_s = min(pause_s, max(MIN_PAUSE_S, reports_valid_from - self._clock.monotonic()))
         try:
             async with asyncio.timeout(pause_s):
@@ -86,7 +88,7 @@
         finally:
             self._in_progress.discard(runner_id)
         self._on_report(
-            RunnerWord(
+            RunnerReport(
                 runner_id=runner_id,
                 asked_at=asked_at,
                 running=report.running,
--- a/rhubarbferry/scheduler/slot_ends.py
+++ b/rhubarbferry/scheduler/slot_ends.py
@@ -9,7 +9,7 @@
 
 from rhubarbferry.core.ejection import Ejector
 from rhubarbferry.core.request_queue import RequestQueue
-from rhubarbferry.core.slots import RunnerWord, SlotEnd, SlotLease, SlotLedger
+from rhubarbferry.core.slots import RunnerReport, SlotEnd, SlotLease, SlotLedger
 from rhubarbferry.ports.clock import Clock
 from rhubarbferry.ports.ownership import Guard
 from rhubarbferry.rpc.gen.ttypes import GrantEnd, OpenGrant, Release
@@ -112,9 +112,9 @@
             self._queue.resume(grant.account)
             metrics.ADOPTED_GRANTS.inc()
 
-    def apply_report(self, report: RunnerWord) -> None:
+    def apply_report(self, report: RunnerReport) -> None:
         """Free the slots of requests that, by a runner's report, no longer run."""
-        freed = self._ledger.hear(report, now=self._clock.monotonic())
+        freed = self._ledger.apply_report(report, now=self._clock.monotonic())
         metrics.SLOTS_FREED.labels("runner").inc(len(freed))
         self._settle(freed)
 
@@ -131,7 +131,7 @@
             self._ledger.served(release_message.runner_id, service_s)
             self._ejector.succeeded(release_message.runner_id, release_message.request_id, now=now)
         elif end is SlotEnd.NOT_SENT:
-            self._ejector.neither(release_message.runner_id, release_message.request_id)
+            self._ejector.record_inconclusive(release_message.runner_id, release_message.request_id)
         elif self._ejector.failed(
             release_message.runner_id,
             release_message.request_id,
@@ -149,7 +149,7 @@
         """Replace the charges of freed slots by their actual use."""
         now = self._clock.monotonic()
         for lease in leases:
-            self._ejector.neither(lease.runner_id, lease.request_id)
+            self._ejector.record_inconclusive(lease.runner_id, lease.request_id)
             charge = self._charges.pop(lease.grant_id, None)
             if charge is not None:
                 self._queue.finish(
--- a/rhubarbferry/scheduler/worker_link.py
+++ b/rhubarbferry/scheduler/worker_link.py
@@ -231,7 +231,7 @@
             return
         HEARTBEATS.labels("answered").inc()
         if self._counts_for_majority:
-            book.given(
+            book.add_promise(
                 guard=self.worker,
                 version=version,
                 asked_at=asked_at,
--- a/rhubarbferry/scheduler/worker_partition.py
+++ b/rhubarbferry/scheduler/worker_partition.py
@@ -10,7 +10,7 @@
 
 from rhubarbferry.core.cell import Size
 from rhubarbferry.core.ejection import Ejector, Health
-from rhubarbferry.core.overrun import OverrunWatch, Remedy
+from rhubarbferry.core.overrun import OverrunTracker, Remedy
 from rhubarbferry.core.placement import Spread
 from rhubarbferry.core.succession import Succession
 from rhubarbferry.core.worker_ledger import (
@@ -95,7 +95,7 @@
         )
         self._ledger = WorkerLedger(lease_s=jobs.task_lease_s, margin_s=margin_s)
         self._ejector = Ejector()
-        self._overruns = OverrunWatch()
+        self._overruns = OverrunTracker()
         self._request_numbers = RequestNumbers()
         self._links: dict[str, WorkerLink] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -239,7 +239,7 @@
                 self._ledger.release(held.attempt.task_id)
             else:
                 tasks.append(held_task(held))
-        unheard = self._ledger.unheard(self.ctx.clock.monotonic())
+        unheard = self._ledger.with_unknown_tasks(self.ctx.clock.monotonic())
         return t.HeldTasksReply(
             owner=True,
             epoch=self.tenure.epoch,
@@ -334,7 +334,7 @@
             return
         waited_s = (claim.waited_ms or 0) / 1000
         if waited_s >= self.ctx.cfg.jobs.patience_s and claim.kind != t.JobKind.GANG:
-            self._ledger.keep(attempt, waited_s=waited_s, now=now)
+            self._ledger.dedicate_worker(attempt, waited_s=waited_s, now=now)
 
     def _why_no_room(self, attempt: Attempt) -> str:
         size = attempt.size
@@ -390,7 +390,7 @@
                 if not self._ledger.release(task_id):
                     # The worker has since reported the task as held, which takes precedence.
                     kind = verdict.HELD
-                self._ejector.neither(held.worker, held.attempt.job_id)
+                self._ejector.record_inconclusive(held.worker, held.attempt.job_id)
                 self._update_accepting(held.worker)
         return _result(task_id, kind, answer.reason, worker=held.worker, attempt=attempt)
 
@@ -418,12 +418,12 @@
             case Adopted(worker=worker, reply=reply):
                 self._adopted(worker, reply, now)
             case Renewed(worker=worker, reply=reply):
-                self._ledger.answers(worker)
+                self._ledger.mark_responding(worker)
                 self._renewed(worker, reply)
             case Replied(worker=worker):
                 self._ledger.extend(worker, now=now)
             case Unresponsive(worker=worker):
-                self._ledger.silent(worker)
+                self._ledger.mark_silent(worker)
             case Fenced(highest_epoch=highest):
                 self._fenced = True
                 self._rack_tenure.observe_epoch(highest)
@@ -439,7 +439,7 @@
             memory_bytes=reply.capacity.memory_bytes,
             accelerators=reply.capacity.accelerators,
         )
-        self._succession.heard(worker, settled_epoch=reply.settled_epoch or 0)
+        self._succession.record_adoption(worker, settled_epoch=reply.settled_epoch or 0)
         ended = self._ledger.adopt(worker, capacity=capacity, reported=reports, now=now)
         self._update_takeover()
         for held in ended:
@@ -497,7 +497,7 @@
                     WORKER_EJECTIONS.inc()
                     logger.warning("worker {} ejected because its tasks fail", worker)
             case _:
-                self._ejector.neither(worker, job_id)
+                self._ejector.record_inconclusive(worker, job_id)
         self._update_accepting(worker)
 
     def _recorded(self, task_id: str) -> None:
@@ -549,20 +549,20 @@
             if worker not in self._listed:
                 # The platform reports the worker as removed; its tasks end within this time.
                 now, promise_s = self.ctx.clock.monotonic(), self.ctx.cfg.ownership.promise_s
-                self._ledger.over_by(worker, until=now + promise_s + self._lease_s)
+                self._ledger.limit_unknown_tasks(worker, until=now + promise_s + self._lease_s)
 
     def _update_takeover(self) -> None:
         """Settle tasks of unheard workers once the previous owner can no longer act."""
-        if not self._succession.waits() or self._host_list_unread():
+        if not self._succession.lacks_majority() or self._host_list_unread():
             return
-        never_reported = self._ledger.never_heard()
+        never_reported = self._ledger.never_adopted()
         listed = [worker for worker in never_reported if worker in self._listed]
         now = self.ctx.clock.monotonic()
-        self._succession.look(unheard=listed, now=now)
-        if self._succession.waits():
+        self._succession.check_majority(unadopted=listed, now=now)
+        if self._succession.lacks_majority():
             return
         for worker in never_reported:
-            self._ledger.over_by(worker, until=self._succession.settled_at())
+            self._ledger.limit_unknown_tasks(worker, until=self._succession.settled_at())
 
     def _update_majority_set(self) -> None:
         """Set the workers whose majority can extend this tenure beyond its lease.
@@ -576,7 +576,7 @@
         if not self._rack_tenure.lease_holds() or not (over or self._all_adopted()):
             return
         if book.guards != self._listed:
-            book.use(guards=self._listed, version=book.version + 1)
+            book.set_guards(guards=self._listed, version=book.version + 1)
 
     def _all_adopted(self) -> bool:
         return bool(self._listed) and self._listed.issubset(self._ledger.adopted())
@@ -602,7 +602,7 @@
             self._ledger.add_worker(
                 host.id,
                 failure_domain=host.failure_domain,
-                unheard_until=self._succession.settled_at(),
+                unadopted_until=self._succession.settled_at(),
             )
         self._tasks[host.id] = asyncio.create_task(link.run())
 
@@ -617,7 +617,9 @@
         for worker in list(self._links):
             if worker in self._listed or self._ledger.state(worker) == WorkerState.LIVE:
                 continue
-            if worker not in self._ledger.unheard(now) and self._ledger.remove_worker(worker):
+            if worker not in self._ledger.with_unknown_tasks(now) and self._ledger.remove_worker(
+                worker
+            ):
                 self._stop_link(worker)
                 self._ejector.forget(worker)
 
@@ -636,7 +638,7 @@
         return not self._fenced and self.phase is not Phase.STOPPED and self.tenure.holds()
 
     def _unheard_workers(self) -> list[str]:
-        return self._ledger.unheard(self.ctx.clock.monotonic())
+        return self._ledger.with_unknown_tasks(self.ctx.clock.monotonic())
 
     def _host_list_unread(self) -> bool:
         """Return whether the host list may still be unread, so that workers may exist."""
--- a/tests/coordination/test_configuration.py
+++ b/tests/coordination/test_configuration.py
@@ -10,7 +10,7 @@
 from rhubarbferry.coordination.configuration import ActiveConfig
 from rhubarbferry.coordination.keys import CONFIG_KEY, MEMBERS_PREFIX
 from rhubarbferry.coordination.records import decode, encode
-from rhubarbferry.core.configuration import ConfigRecord, gone_back
+from rhubarbferry.core.configuration import ConfigRecord, is_rolled_back
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.ownership import Member, Role
 from rhubarbferry.ports.store import StoreUnavailable
@@ -162,7 +162,7 @@
 def test_store_rollback_is_detected(stored, back):
     in_force = ConfigRecord(revision=3, text=TEXT)
     record = None if stored is None else ConfigRecord(revision=stored, text=TEXT)
-    assert gone_back(in_force, record) is back
+    assert is_rolled_back(in_force, record) is back
 
 
 @pytest.mark.parametrize("older", [None, ConfigRecord(revision=1, text=TEXT)])
--- a/tests/coordination/test_long_outage.py
+++ b/tests/coordination/test_long_outage.py
@@ -5,7 +5,7 @@
 from rhubarbferry.coordination.tenure import HeldTenure
 from rhubarbferry.core.lease import Lease
 from rhubarbferry.core.partition import PartitionId
-from rhubarbferry.core.promise import GuardState, PromiseBook
+from rhubarbferry.core.promise import GuardState, HeldPromises
 from rhubarbferry.test.fake_clock import FakeClock
 
 HOUR_S = 3600.0
@@ -36,8 +36,8 @@
     began = clock.monotonic()
     lease = Lease.granted(id=1, incarnation=1, asked_at=began, ttl_s=3.0, margin_s=MARGIN_S)
     guards = {f"f{number}": GuardState() for number in range(3)}
-    book = PromiseBook(margin_s=MARGIN_S)
-    book.use(guards=guards, version=1)
+    book = HeldPromises(margin_s=MARGIN_S)
+    book.set_guards(guards=guards, version=1)
     tenure = HeldTenure(
         partition=PartitionId.parse(name),
         epoch=4,
@@ -53,7 +53,7 @@
         for id, state in list(guards.items())[:answering]:
             answer = state.promise(epoch=4, owner="s1", now=now, duration_s=PROMISE_S, version=1)
             if answer.accepted:
-                book.given(guard=id, version=1, asked_at=now, duration_s=PROMISE_S)
+                book.add_promise(guard=id, version=1, asked_at=now, duration_s=PROMISE_S)
         clock.jump(RENEWAL_INTERVAL_S)
         if lease.holds(clock.monotonic()):
             continue
--- a/tests/coordination/test_node.py
+++ b/tests/coordination/test_node.py
@@ -123,10 +123,10 @@
     workers = [tenure for tenure in held if tenure.partition.kind is PartitionKind.WORKER]
     rack = workers[0]
     await until(lambda: not any(tenure.holds() for tenure in held))
-    rack.promises.use(guards=["w", "x", "y"], version=1)
+    rack.promises.set_guards(guards=["w", "x", "y"], version=1)
     for worker, answers_enough in (("w", False), ("x", True)):
         now = cell.clock.monotonic()
-        rack.promises.given(guard=worker, version=1, asked_at=now, duration_s=TIMEOUT_S)
+        rack.promises.add_promise(guard=worker, version=1, asked_at=now, duration_s=TIMEOUT_S)
         assert rack.holds() is answers_enough
     if lapsed:
         # The holder considers the lease expired before the store does; a renewal in between
--- a/tests/core/test_ejection.py
+++ b/tests/core/test_ejection.py
@@ -59,7 +59,7 @@
             assert tracker.health("h", now=15.9) is Health.EJECTED
             assert tracker.health("h", now=16.0) is Health.PROBED
         case "inconclusive":
-            tracker.neither("h", "probe")
+            tracker.record_inconclusive("h", "probe")
             assert tracker.health("h", now=8.0) is Health.PROBED
         case "work before ejection":
             tracker.succeeded("h", "old", now=8.0)
--- a/tests/core/test_intents_machine.py
+++ b/tests/core/test_intents_machine.py
@@ -11,9 +11,9 @@
     Finishing,
     Free,
     Intent,
-    IntentBook,
     IntentKey,
     IntentRules,
+    IntentTable,
     Outcome,
 )
 
@@ -43,7 +43,7 @@
         self.now_ms = 0
         self.requests = 0
         self.log: list[Begun | Ended] = []
-        self.book = IntentBook(rules=RULES)
+        self.book = IntentTable(rules=RULES)
         self.committed: dict[str, str] = {}
         self.executions: dict[str, int] = dict.fromkeys(KEYS, 0)
         self.told_not_run: set[str] = set()
@@ -143,7 +143,7 @@
 
     @rule()
     def crash(self) -> None:
-        self.book = IntentBook(rules=RULES)
+        self.book = IntentTable(rules=RULES)
         for entry in self.log:
             self.apply(entry)
 
--- a/tests/core/test_keeping_workers.py
+++ b/tests/core/test_keeping_workers.py
@@ -26,7 +26,7 @@
 def ledger(*workers: str) -> WorkerLedger:
     rack = WorkerLedger(lease_s=6.0, margin_s=0.3)
     for worker in workers:
-        rack.add_worker(worker, failure_domain="d", unheard_until=0.0)
+        rack.add_worker(worker, failure_domain="d", unadopted_until=0.0)
         rack.adopt(worker, capacity=WORKER, reported=[], now=0.0)
     return rack
 
@@ -43,7 +43,7 @@
     large = attempt("large", 8)
     for step in range(8):
         assert rack.place(large, spread=PACK, now=float(step)) is None
-        assert rack.keep(large, waited_s=10.0, now=float(step))
+        assert rack.dedicate_worker(large, waited_s=10.0, now=float(step))
         rack.end(running[step].task_id, End.DONE)
         assert rack.place(attempt("small", 1, 100 + step), spread=PACK, now=float(step)) is None
     assert rack.place(large, spread=PACK, now=8.0).worker == "w1"
@@ -53,8 +53,8 @@
     rack = ledger("w1", "w2")
     for number in range(2):
         assert rack.place(attempt("small", 5, number), spread=PACK, now=0.0)
-    assert rack.keep(attempt("large", 8), waited_s=10.0, now=0.0)
-    assert not rack.keep(attempt("other", 8), waited_s=5.0, now=0.0)
+    assert rack.dedicate_worker(attempt("large", 8), waited_s=10.0, now=0.0)
+    assert not rack.dedicate_worker(attempt("other", 8), waited_s=5.0, now=0.0)
     placed = [rack.place(attempt("s", 1, number), spread=PACK, now=0.0) for number in range(4)]
     assert len({held.worker for held in placed if held is not None}) == 1
     assert placed[3] is None
@@ -63,7 +63,7 @@
 
 
 def test_a_job_requests_capacity_only_after_being_skipped_for_long() -> None:
-    queue = JobQueue(far_after_s=1.0, patience_s=5.0)
+    queue = JobQueue(other_region_after_s=1.0, patience_s=5.0)
     share = FairShare(half_life_s=600.0)
     share.set_total(WORKER)
     for since, (id, account, millicores, tasks) in enumerate(
--- a/tests/core/test_overrun.py
+++ b/tests/core/test_overrun.py
@@ -3,7 +3,7 @@
 import pytest
 
 from rhubarbferry.core.cell import Size
-from rhubarbferry.core.overrun import OverrunRules, OverrunWatch, Remedy
+from rhubarbferry.core.overrun import OverrunRules, OverrunTracker, Remedy
 
 DECLARED = Size(millicores=1000, memory_bytes=1000)
 NONE, THROTTLE, CHECKPOINT, STOP = Remedy
@@ -28,7 +28,7 @@
     It is throttled, then checkpointed, then stopped. Usage reports lag, so each step waits until
     they no longer include usage from before the previous step.
     """
-    watch = OverrunWatch(rules=OverrunRules(step_s=10.0))
+    watch = OverrunTracker(rules=OverrunRules(step_s=10.0))
     actual = tuple(
         watch.judge(
             "t",
--- a/tests/core/test_promise.py
+++ b/tests/core/test_promise.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from rhubarbferry.core.lease import Lease
-from rhubarbferry.core.promise import GuardState, PromiseBook
+from rhubarbferry.core.promise import GuardState, HeldPromises
 from rhubarbferry.test.hypothesis_settings import state_machine_settings
 
 LEASE_S = 3
@@ -68,25 +68,25 @@
     ],
 )
 def test_only_promises_of_the_guard_set_are_counted(given, now, majority):
-    book = PromiseBook(margin_s=0.5)
-    book.use(guards="abc", version=1)
+    book = HeldPromises(margin_s=0.5)
+    book.set_guards(guards="abc", version=1)
     for name in given:
-        book.given(guard=name, version=1, asked_at=0.0, duration_s=3.0)
+        book.add_promise(guard=name, version=1, asked_at=0.0, duration_s=3.0)
     assert book.majority(now) is majority
 
 
 def test_a_new_guard_set_discards_the_promises():
-    book = PromiseBook()
-    book.use(guards="abc", version=1)
+    book = HeldPromises()
+    book.set_guards(guards="abc", version=1)
     for name in "abc":
-        book.given(guard=name, version=1, asked_at=0.0, duration_s=3.0)
-    book.use(guards="bcd", version=2)
-    book.given(guard="d", version=1, asked_at=0.0, duration_s=3.0)
+        book.add_promise(guard=name, version=1, asked_at=0.0, duration_s=3.0)
+    book.set_guards(guards="bcd", version=2)
+    book.add_promise(guard="d", version=1, asked_at=0.0, duration_s=3.0)
     assert book.held(1.0) == 0
 
 
 def test_an_empty_guard_set_has_no_majority():
-    assert not PromiseBook().majority(0.0)
+    assert not HeldPromises().majority(0.0)
 
 
 def test_a_lease_term_starts_before_the_request_is_sent():
@@ -116,7 +116,7 @@
     until: int = 0
     acting: bool = False
     acks: set[str] = field(factory=set)
-    book: PromiseBook = field(factory=PromiseBook)
+    book: HeldPromises = field(factory=HeldPromises)
 
 
 @frozen
@@ -195,11 +195,11 @@
             scheduler.acting = False
         elif scheduler.view is None or scheduler.view.epoch != table.epoch:
             scheduler.view, scheduler.acting = table, False
-            scheduler.acks, scheduler.book = set(), PromiseBook()
-            scheduler.book.use(guards=table.guards, version=table.version)
+            scheduler.acks, scheduler.book = set(), HeldPromises()
+            scheduler.book.set_guards(guards=table.guards, version=table.version)
         elif scheduler.view.version != table.version:
             scheduler.view, scheduler.acks = table, set()
-            scheduler.book.use(guards=table.guards, version=table.version)
+            scheduler.book.set_guards(guards=table.guards, version=table.version)
 
     @rule(who=WHO, names=st.sets(GUARD, min_size=2))
     def adopt(self, who, names):
@@ -263,7 +263,7 @@
         )
         scheduler = self.schedulers[ask.name]
         if answer.accepted and scheduler.view and scheduler.view.epoch == ask.epoch:
-            scheduler.book.given(
+            scheduler.book.add_promise(
                 guard=ask.guard,
                 version=ask.version,
                 asked_at=self.now if self.counted_from_reply else ask.asked_at,
--- a/tests/core/test_request_queue.py
+++ b/tests/core/test_request_queue.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Success
 
 from rhubarbferry.core.cell import PriorityClass
-from rhubarbferry.core.limits import DelayedLimit, Part, TokenBucket
+from rhubarbferry.core.limits import DelayedLimit, LimitPart, TokenBucket
 from rhubarbferry.core.refusals import RefusalReason
 from rhubarbferry.core.request_queue import (
     QueueRules,
@@ -203,7 +203,7 @@
 @pytest.mark.parametrize("limit", [1, 2, 7, 100])
 @pytest.mark.parametrize("count", [1, 3, 8])
 def test_the_parts_of_a_limit_add_up_to_it(limit: int, count: int) -> None:
-    parts = [Part(index=index, count=count) for index in range(count)]
+    parts = [LimitPart(index=index, count=count) for index in range(count)]
     assert sum(part.whole(limit) for part in parts) == limit
     assert sum(part.rate(limit) for part in parts) == pytest.approx(limit)
 
@@ -212,7 +212,7 @@
     """Partitions receive a change at different times and together must not exceed the limit."""
     limit = DelayedLimit(rise_s=10.0)
     seen = [(10, 0), (4, 1), (8, 2), (8, 11), (8, 12), (2, 13), (None, 14), (None, 24)]
-    assert [limit.want(value, now=now) for value, now in seen] == [10, 4, 4, 4, 8, 2, 2, None]
+    assert [limit.update(value, now=now) for value, now in seen] == [10, 4, 4, 4, 8, 2, 2, None]
 
 
 def test_a_token_bucket_enforces_its_rate() -> None:
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rhubarbferry.core.partition import key_partition, runner_partition, worker_partition
-from rhubarbferry.core.routing import SpillRules, choose_refuge, choose_region, choose_spill
+from rhubarbferry.core.routing import SpillRules, choose_fallback, choose_region, choose_spill
 
 A = runner_partition(region="a", service="s")
 B = runner_partition(region="b", service="s")
@@ -88,8 +88,8 @@
     waits, remaining_s, expected
 ) -> None:
     arguments = {"home": A, "waits": waits, "remaining_s": remaining_s}
-    assert choose_refuge(**arguments, rules=RULES) == expected
-    assert choose_refuge(**arguments, rules=NEVER) is None
+    assert choose_fallback(**arguments, rules=RULES) == expected
+    assert choose_fallback(**arguments, rules=NEVER) is None
 
 
 def test_outdated_waits_do_not_make_all_frontends_switch_regions() -> None:
--- a/tests/core/test_slots.py
+++ b/tests/core/test_slots.py
@@ -4,7 +4,7 @@
 
 from rhubarbferry.core.slots import (
     NoFreeSlot,
-    RunnerWord,
+    RunnerReport,
     SlotEnd,
     SlotLease,
     SlotLedger,
@@ -36,8 +36,8 @@
     return SlotLease(**{**values, **changes})
 
 
-def report(asked_at: float, *running: str, finished: tuple[str, ...] = ()) -> RunnerWord:
-    return RunnerWord(
+def report(asked_at: float, *running: str, finished: tuple[str, ...] = ()) -> RunnerReport:
+    return RunnerReport(
         runner_id="r0",
         asked_at=asked_at,
         running=frozenset(running),
@@ -72,7 +72,7 @@
     ],
     ids=["requested too early", "not running", "still running", "finished"],
 )
-def test_a_runner_report_frees_a_slot_with_unknown_end(status: RunnerWord, free: int) -> None:
+def test_a_runner_report_frees_a_slot_with_unknown_end(status: RunnerReport, free: int) -> None:
     """A connection failed during a request, and the frontend does not know the outcome.
 
     If a report requested while bytes were in transit freed the slot, the runner would receive
@@ -81,7 +81,7 @@
     slots = ledger()
     slots.grant(lease())
     slots.release(1, SlotEnd.UNKNOWN, now=2.0)
-    slots.hear(status, now=3.0)
+    slots.apply_report(status, now=3.0)
     assert slots.free() == free
 
 
@@ -95,7 +95,7 @@
     slots = ledger()
     slots.grant(lease())
     slots.frontend_gone("f1", now=0.2)
-    slots.hear(report(asked_at), now=2.0)
+    slots.apply_report(report(asked_at), now=2.0)
     assert slots.free() == free
 
 
@@ -116,7 +116,7 @@
     slots = ledger()
     slots.grant(lease())
     slots.frontend_gone("f1", now=0.5)
-    slots.hear(report(5.8, "q1"), now=5.9)
+    slots.apply_report(report(5.8, "q1"), now=5.9)
     slots.expire(now=6.5)
     assert slots.free() == 0
     slots.expire(now=6.9)
@@ -145,8 +145,8 @@
         case "listed as leaving":
             slots.put_runner(id="r0", address="a0", slots=4, leaving=True)
         case "reports leaving":
-            status = RunnerWord(runner_id="r0", asked_at=0, running=frozenset(), leaving=True)
-            slots.hear(status, now=0.1)
+            status = RunnerReport(runner_id="r0", asked_at=0, running=frozenset(), leaving=True)
+            slots.apply_report(status, now=0.1)
         case "not listed":
             slots.drop_runner("r0")
     assert slots.choose() is None
@@ -154,12 +154,12 @@
 
 def test_a_blocked_runner_has_no_free_slot_until_a_report_or_the_timeout() -> None:
     slots = ledger(slots=2)
-    slots.block("r0", until=10.0, word_from=1.5)
-    slots.hear(report(1.0), now=1.1)
+    slots.block("r0", until=10.0, report_not_before=1.5)
+    slots.apply_report(report(1.0), now=1.1)
     assert slots.free() == 0
-    slots.hear(report(1.6, "stranger"), now=1.7)
+    slots.apply_report(report(1.6, "stranger"), now=1.7)
     assert slots.free() == 1
-    slots.block("r0", until=10.0, word_from=99.0)
+    slots.block("r0", until=10.0, report_not_before=99.0)
     slots.expire(now=10.0)
     assert slots.free() == 1
 
@@ -176,8 +176,8 @@
 
 def test_capacity_is_the_lower_of_configured_and_reported_slots() -> None:
     slots = ledger(slots=4)
-    status = RunnerWord(runner_id="r0", asked_at=0, running=frozenset(), slots=1)
-    slots.hear(status, now=0.1)
+    status = RunnerReport(runner_id="r0", asked_at=0, running=frozenset(), slots=1)
+    slots.apply_report(status, now=0.1)
     slots.grant(lease())
     with pytest.raises(NoFreeSlot):
         slots.grant(lease(2))
--- a/tests/core/test_slots_machine.py
+++ b/tests/core/test_slots_machine.py
@@ -17,7 +17,7 @@
 )
 
 from rhubarbferry.core.slots import (
-    RunnerWord,
+    RunnerReport,
     SlotEnd,
     SlotLease,
     SlotLedger,
@@ -116,7 +116,7 @@
         wait = 0.0 if heard == set(FRONTENDS) else USABLE_S + RULES.settle_s
         for id in RUNNERS:
             until = self.now + RULES.longest_request_s + USABLE_S
-            self.ledger.block(id, until=until, word_from=self.now + wait)
+            self.ledger.block(id, until=until, report_not_before=self.now + wait)
 
     def adopt(self, truth: Truth) -> None:
         old = truth.lease
@@ -174,11 +174,11 @@
         return [truth for truth in self.truths.values() if not truth.told]
 
     @rule(target=words, id=st.sampled_from(RUNNERS), recent=st.booleans())
-    def runner_answers(self, id: str, recent: bool) -> RunnerWord:
+    def runner_answers(self, id: str, recent: bool) -> RunnerReport:
         mine = [truth for truth in self.truths.values() if truth.lease.runner_id == id]
         over = (truth.lease.request_id for truth in mine if truth.state is State.OVER)
         running = (truth.lease.request_id for truth in mine if truth.state is State.RUNNING)
-        return RunnerWord(
+        return RunnerReport(
             runner_id=id,
             asked_at=self.now,
             running=frozenset(running),
@@ -187,8 +187,8 @@
         )
 
     @rule(word=consumes(words))
-    def hear(self, word: RunnerWord) -> None:
-        self.ledger.hear(word, now=self.now)
+    def hear(self, word: RunnerReport) -> None:
+        self.ledger.apply_report(word, now=self.now)
 
     # ------------------------------------------------------------ time
 
--- a/tests/core/test_succession.py
+++ b/tests/core/test_succession.py
@@ -36,8 +36,8 @@
     """
     state = takeover()
     for worker, epoch in heard.items():
-        state.heard(worker, settled_epoch=epoch)
-    state.look(unheard=unheard, now=5.0)
+        state.record_adoption(worker, settled_epoch=epoch)
+    state.check_majority(unadopted=unheard, now=5.0)
     assert state.settled_at() == stopped_at + PROMISE_S + LEASE_S
 
 
@@ -58,8 +58,10 @@
     state = takeover()
     for worker in heard:
         known = worker in old and worker not in restarted
-        state.heard(worker, settled_epoch=4 if known else data.draw(st.sampled_from([0, 3])))
+        state.record_adoption(
+            worker, settled_epoch=4 if known else data.draw(st.sampled_from([0, 3]))
+        )
     late = data.draw(st.sets(st.sampled_from(NAMES))) - heard
-    state.look(unheard=answering | late, now=1.0)
+    state.check_majority(unadopted=answering | late, now=1.0)
     if 2 * len(answering) > len(old) and any(w in old - restarted for w in heard):
-        assert state.waits()
+        assert state.lacks_majority()
--- a/tests/core/test_worker_ledger_machine.py
+++ b/tests/core/test_worker_ledger_machine.py
@@ -67,7 +67,7 @@
         self.wires = {id: Wire(sent=late.get(id, [])) for id in WORKERS}
         for id in WORKERS:
             until = self.clock.now + LEASE_S + MARGIN_S
-            self.ledger.add_worker(id, failure_domain=id, unheard_until=until)
+            self.ledger.add_worker(id, failure_domain=id, unadopted_until=until)
 
     @rule(size=st.sampled_from([(1, 1, 0), (2, 1, 0), (1, 3, 0), (4, 4, 1), (1, 1, 1)]))
     def submit(self, size: tuple[int, int, int]) -> None:
@@ -144,7 +144,7 @@
         if urgent:
             self.ledger.preempt(attempt, now=self.clock.now)
         else:
-            self.ledger.keep(attempt, waited_s=9.0, now=self.clock.now)
+            self.ledger.dedicate_worker(attempt, waited_s=9.0, now=self.clock.now)
 
     # ------------------------------------------------------------ common sequences
 
@@ -203,7 +203,7 @@
             engine.tick()
         for held in self.ledger.lapse(self.clock.now):
             self.ended(held)
-        if not self.ledger.unheard(self.clock.now):
+        if not self.ledger.with_unknown_tasks(self.clock.now):
             for task_id in list(self.outstanding):
                 if self.ledger.held(task_id) is None:
                     self.run_again(task_id)
@@ -214,7 +214,7 @@
         if start:
             self.wires[worker].adopted = False
         if self.ledger.state(worker) is not WorkerState.NOT_ADOPTED:
-            self.ledger.silent(worker)
+            self.ledger.mark_silent(worker)
 
     def heard(self, worker: str, number: int) -> None:
         wire = self.wires[worker]
@@ -240,7 +240,7 @@
                         self.run_again(result.task_id)
                         wire.adopted = False
             case t.RenewReply() if reply.accepted and wire.adopted:
-                self.ledger.answers(worker)
+                self.ledger.mark_responding(worker)
                 for told in map(reported, reply.ended):
                     held = self.ledger.end(told.attempt.task_id, told.end)
                     if held is not None:
--- a/tests/scheduler/jobs_harness.py
+++ b/tests/scheduler/jobs_harness.py
@@ -10,7 +10,7 @@
 from rhubarbferry.conf.settings import JobSettings, OwnershipSettings, Settings
 from rhubarbferry.core.cell import Account, Cell, Size
 from rhubarbferry.core.partition import PartitionId, PartitionKind
-from rhubarbferry.core.promise import PromiseBook
+from rhubarbferry.core.promise import HeldPromises
 from rhubarbferry.ports.clock import SystemClock
 from rhubarbferry.ports.entry_log import LogFenced, LogUnavailable, LogUnclear
 from rhubarbferry.ports.hosts import Host, HostKind
@@ -52,7 +52,7 @@
     epoch: int
     held: bool = True
     lease_valid: bool = True
-    promises: PromiseBook = field(factory=PromiseBook)
+    promises: HeldPromises = field(factory=HeldPromises)
 
     def holds(self) -> bool:
         return self.held and (self.lease_valid or self.promises.majority(SystemClock().monotonic()))
--- a/tests/scheduler/test_worker_partition.py
+++ b/tests/scheduler/test_worker_partition.py
@@ -186,7 +186,7 @@
         first.set_faults({"pause_s": 60.0})
         await cluster.worker("w2")
         successor = await cluster.rack()
-        assert successor.state._ledger.unheard(cluster.clock.monotonic()) == ["w1"]
+        assert successor.state._ledger.with_unknown_tasks(cluster.clock.monotonic()) == ["w1"]
         await cluster.submit("north.0.k", spec(tasks=8, run_ms=20))
         await cluster.job_until("north.0.k", lambda job: job.phase == t.JobPhase.DONE)
         job = (await cluster.job(JOB)).job
