--- a/tests/cell/test_key_watch_machine.py
+++ b/tests/cell/test_key_watch_machine.py
@@ -43,13 +43,13 @@
     """A store with injected failures, whose calls never wait.
 
     :ivar failures: exceptions that the next calls raise, ``None`` for an answer.
-    :ivar deaf: whether watches return no events although there are changes.
+    :ivar watch_silent: whether watches return no events although there are changes.
     """
 
     def __init__(self) -> None:
         self.engine = StoreEngine(history=HISTORY_EVENTS)
         self.failures: list[type[StoreError] | None] = []
-        self.deaf = False
+        self.watch_silent = False
         self.transfer_s = 0.0
         self.calls: list[str] = []
 
@@ -80,14 +80,14 @@
             events = self.engine.changes(prefix, prefix_end(prefix), after + 1)
         except Compacted as exc:
             raise WatchBroken("history is gone") from exc
-        if self.deaf:
+        if self.watch_silent:
             events = ()
         return Changes(
             revision=self.engine.revision, events=tuple(events), transfer_s=self.transfer_s
         )
 
 
-def finish(coro: Coroutine[Any, Any, Version | None]) -> Version | None:
+def run_without_waiting(coro: Coroutine[Any, Any, Version | None]) -> Version | None:
     """Return the result of a coroutine that never waits."""
     try:
         coro.send(None)
@@ -96,17 +96,17 @@
     raise AssertionError("the watcher waited")
 
 
-class KeyFollowerMachine(RuleBasedStateMachine):
-    """Versions never go back, and the newest is shown once calls are answered."""
+class KeyWatcherMachine(RuleBasedStateMachine):
+    """Returned revisions increase, and the newest is returned once calls are answered."""
 
     def __init__(self) -> None:
         super().__init__()
         self.clock = FakeClock()
         self.store = FaultyStore()
-        self.follower = KeyWatcher(
+        self.watcher = KeyWatcher(
             clock=self.clock, store=self.store, log=FakeEventLog(), key=KEY, history_s=HISTORY_S
         )
-        self.shown: list[Version] = []
+        self.returned: list[Version] = []
 
     @rule(value=st.binary(max_size=2))
     def write(self, value: bytes) -> None:
@@ -120,9 +120,9 @@
     def delete(self) -> None:
         self.store.engine.txn([], [Delete(key=KEY)])
 
-    @rule(deaf=st.booleans())
-    def set_deaf(self, deaf: bool) -> None:
-        self.store.deaf = deaf
+    @rule(watch_silent=st.booleans())
+    def set_watch_silent(self, watch_silent: bool) -> None:
+        self.store.watch_silent = watch_silent
 
     @rule(slow=st.booleans())
     def set_slow(self, slow: bool) -> None:
@@ -133,60 +133,60 @@
         self.store.failures = failures
 
     @rule(seconds=st.sampled_from((0.5, 3.0, HISTORY_S)))
-    def let_time_pass(self, seconds: float) -> None:
+    def advance_clock(self, seconds: float) -> None:
         self.clock.jump(seconds)
 
     @rule()
-    def follow(self) -> None:
+    def call_next(self) -> None:
         try:
-            self.note(finish(self.follower.next(0.0)))
+            self.record_version(run_without_waiting(self.watcher.next(0.0)))
         except StoreError:
-            self.follower.compare_next()
+            self.watcher.compare_next()
 
-    def note(self, version: Version | None) -> None:
+    def record_version(self, version: Version | None) -> None:
         if version is None:
             return
-        if self.shown:
-            assert version.item.mod_revision > self.shown[-1].item.mod_revision
-        self.shown.append(version)
+        if self.returned:
+            assert version.item.mod_revision > self.returned[-1].item.mod_revision
+        self.returned.append(version)
 
     @rule()
     def recover(self) -> None:
-        """All calls are answered again, and the first of them shows the newest value."""
+        """End all failures; the next call must return the newest value."""
         self.store.failures = []
-        self.store.deaf = False
-        self.note(finish(self.follower.next(0.0)))
+        self.store.watch_silent = False
+        self.record_version(run_without_waiting(self.watcher.next(0.0)))
         stored = self.store.engine.get(KEY)
         if stored is not None:
-            assert self.shown[-1].item == stored.kv
+            assert self.returned[-1].item == stored.kv
 
     @rule()
-    def follow_a_calm_store(self) -> None:
+    def call_next_without_failures(self) -> None:
         self.clock.jump(HISTORY_S)
         for _ in range(2):
             self.recover()
         self.store.calls.clear()
         self.recover()
-        assert self.store.calls == ["changes"], "a calm store is asked more than it must be"
+        assert self.store.calls == ["changes"], "unnecessary calls to a store without failures"
 
     @rule()
-    def read_in_a_calm(self) -> None:
-        """A change made while nothing fails is shown by the call that follows."""
+    def write_and_read_without_failures(self) -> None:
+        """A change made while nothing fails is returned by the next call."""
         self.recover()
-        calls = len(self.shown)
+        calls = len(self.returned)
         self.store.engine.txn([], [Put(key=KEY, value=b"calm")])
-        self.note(finish(self.follower.next(0.0)))
-        assert [version.item.value for version in self.shown[calls:]] == [b"calm"]
+        self.record_version(run_without_waiting(self.watcher.next(0.0)))
+        assert [version.item.value for version in self.returned[calls:]] == [b"calm"]
 
     @invariant()
-    def lists_only_what_it_must(self) -> None:
-        """Only the first value, or one after a refusal, comes from a listing."""
-        refused = [event for event, _ in self.follower.log.events if event == "key.not_compared"]
-        listed = [version for version in self.shown if version.source is Source.LISTING]
+    def lists_only_when_required(self) -> None:
+        """Only the first value, or one after a refused comparison, comes from a listing."""
+        refused = [event for event, _ in self.watcher.log.events if event == "key.not_compared"]
+        listed = [version for version in self.returned if version.source is Source.LISTING]
         assert len(listed) <= 1 + len(refused)
 
 
-TestKeyFollower = KeyFollowerMachine.TestCase
-TestKeyFollower.settings = settings(
+TestKeyWatcher = KeyWatcherMachine.TestCase
+TestKeyWatcher.settings = settings(
     max_examples=EXAMPLES, stateful_step_count=40, deadline=None, derandomize=not FUZZ
 )
