--- a/rhubarbferry/cell/host_poller.py
+++ b/rhubarbferry/cell/host_poller.py
@@ -75,8 +75,8 @@
         sent_at = ctx.now()
         entry = host.entry
         deadline_s = host.extend_leases(sent_at, ctx.process.cfg.bounds.task_lease_s)
-        # The host reports ends after `acknowledged_to` at once, so waiting has no effect while some of
-        # them are not recorded. The first poll only reads the host's clock.
+        # The host reports ends after `acknowledged_to` at once, so waiting has no effect while some
+        # of them are not recorded. The first poll only reads the host's clock.
         host.poll_wait_s = self.poll_wait_s()
         no_wait = no_wait or deadline_s is None or host.seen_end > host.recorded_end
         req = TaskLeaseRequest(
