--- a/tests/docs/test_settings_page.py
+++ b/tests/docs/test_settings_page.py
@@ -12,7 +12,7 @@
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
-    return str(module.page())
+    return str(module.render_page())
 
 
 def test_settings_page_matches_the_settings_classes() -> None:
