--- a/demo/cell_files.py
+++ b/demo/cell_files.py
@@ -14,17 +14,17 @@
 class DemoProcess:
     """A process of the demo.
 
-    :param line: the JSON line that it printed once it listened.
+    :param startup_info: the JSON line that it printed once it listened.
     """
 
     name: str
     pid: int
-    line: dict[str, str]
+    startup_info: dict[str, str]
 
     @property
     def address(self) -> str:
         """Return the ``ip:port`` of its main server."""
-        return self.line["address"]
+        return self.startup_info["address"]
 
 
 def read_processes(dir: Path, prefix: str) -> list[DemoProcess]:
@@ -35,4 +35,4 @@
 def _read_process(path: Path) -> DemoProcess:
     first = path.read_text().splitlines()[0]
     pid = int(path.with_suffix(".pid").read_text())
-    return DemoProcess(name=path.stem, pid=pid, line=json.loads(first))
+    return DemoProcess(name=path.stem, pid=pid, startup_info=json.loads(first))
--- a/demo/drive.py
+++ b/demo/drive.py
@@ -98,7 +98,7 @@
         headers |= {"Idempotency-Key": request.key, "Idempotent": "false"}
     else:
         headers |= {"Idempotent": "true"}
-    url = f"http://{frontend.line['http_address']}/v1/services/orders{path}"
+    url = f"http://{frontend.startup_info['http_address']}/v1/services/orders{path}"
     try:
         async with session.post(url, data=f"order {request.number}", headers=headers) as answer:
             body = await answer.read()
@@ -342,7 +342,8 @@
 ) -> dict[str, Any]:
     runners = [await read_record(session, host.address) for host in read_processes(dir, "runner")]
     workers = [
-        await read_record(session, host.line["control"]) for host in read_processes(dir, "worker")
+        await read_record(session, host.startup_info["control"])
+        for host in read_processes(dir, "worker")
     ]
     requests = evaluate_requests(results, runners)
     over_slots = sum(record["counts"]["concurrent_max"] > 8 for record in runners)
@@ -395,7 +396,7 @@
         print("sending requests and jobs", flush=True)
         await asyncio.gather(
             send_all(results, session, dir, frontends),
-            run_jobs(results, session, frontends[-1].line["http_address"]),
+            run_jobs(results, session, frontends[-1].startup_info["http_address"]),
         )
         result = await evaluate(results, session, dir)
     print_table(result)
