--- a/tests/scheduler/test_worker_partition.py
+++ b/tests/scheduler/test_worker_partition.py
@@ -57,7 +57,7 @@
         first = await cluster.worker("w1")
         await cluster.rack()
         await cluster.home()
-        await eventually(lambda: first.engine._floor != {})
+        await eventually(lambda: first.engine._oldest_valid_number != {})
         first.engine.faults.lose_replies = lost
         await cluster.submit(JOB, spec(tasks=8, idempotent=False, run_ms=700))
         await cluster.worker("w2")
@@ -102,7 +102,7 @@
     async with Cluster() as cluster:
         worker = await cluster.worker("w1")
         old = await cluster.rack()
-        await eventually(lambda: worker.engine._floor != {})
+        await eventually(lambda: worker.engine._oldest_valid_number != {})
         new = await cluster.rack()
         assert new.state._ledger.workers() == ("w1",)
         await eventually(lambda: old.state._fenced)
@@ -215,9 +215,9 @@
         await eventually(lambda: len(cluster.runs()) == 1)
         await eventually(lambda: rack.tenure.promises.held(cluster.clock.monotonic()) == 3)
         rack.tenure.lease_valid = False
-        first_number = reached.engine._number
+        first_number = reached.engine._last_number
         # After this number of heartbeats both the task lease and the promise have expired.
-        await eventually(lambda: reached.engine._number > first_number + 20)
+        await eventually(lambda: reached.engine._last_number > first_number + 20)
         assert rack.tenure.holds()
         assert cluster.runs()[0].ended_at is None
         for worker in others:
@@ -240,7 +240,7 @@
         await cluster.home()
         await cluster.submit(JOB, spec(run_ms=60_000))
         await eventually(lambda: len(cluster.runs()) == 1)
-        await eventually(lambda: len(cluster.workers["w1"].engine._settled) == 1)
+        await eventually(lambda: len(cluster.workers["w1"].engine._settled_epochs) == 1)
         await eventually(lambda: rack.tenure.promises.held(cluster.clock.monotonic()) == 3)
         await cluster.stop(rack)
         cluster.workers[cluster.runs()[0].worker].set_faults({"pause_s": 60.0})
