--- a/rhubarbferry/cell/candidate.py
+++ b/rhubarbferry/cell/candidate.py
@@ -1,4 +1,4 @@
-"""Register this process as a member of the cell and run for its ownership."""
+"""Register this process as a member of the cell and make it the owner when there is none."""
 
 from __future__ import annotations
 
@@ -37,7 +37,8 @@
 OVERLOAD_COOLDOWN_S = 30.0
 # Poll interval while the lease has expired and its keeper has not yet requested a new one.
 EXPIRED_LEASE_POLL_INTERVAL_S = 0.05
-# After a term that ended with an unexpected exception, other members may run for ownership first.
+# After a term that ended with an unexpected exception, this process waits for this long, so that
+# another member can become the owner.
 FAILED_TERM_BACKOFF_S = 1.0
 
 
@@ -200,7 +201,7 @@
         won = asyncio.ensure_future(self._won.wait())
         try:
             await asyncio.wait({change, won}, return_when=asyncio.FIRST_COMPLETED)
-            # If it stayed set, every later watch would end before a change can arrive.
+            # If the event stayed set, every later watch would end before a change can arrive.
             self._won.clear()
             if not change.done():
                 return
@@ -236,7 +237,7 @@
             self._own_member(), self.process.view.members.values(), seed=self._election_seed
         )
         if self._overloaded():
-            # Run only if no other member does.
+            # Become the owner only if no other member does.
             position += len(self.process.view.members)
         remaining_s = self._vacant_since + position * ELECTION_STAGGER_S - now
         if remaining_s > 0:
@@ -282,8 +283,8 @@
                 raise
             self._term_task.cancel()
         except Exception:
-            # A bug in this program. Another process may succeed, and this one must not keep the
-            # ownership of jobs that it does not schedule.
+            # A bug in this program. It may not affect another process, and this one must not keep
+            # the ownership of jobs that it does not schedule.
             logger.opt(exception=True).error("the term of ownership failed")
             failed = True
         self.term = None
--- a/rhubarbferry/cell/cleaner.py
+++ b/rhubarbferry/cell/cleaner.py
@@ -25,7 +25,7 @@
 
 @define(kw_only=True, eq=False)
 class Cleaner:
-    """Removes the requests of ended jobs soon and their phases after the retention time.
+    """Removes the request of an ended job soon after its end, and its phase after a retention time.
 
     :param without_state: ids of inherited jobs without a stored in-progress state.
     """
--- a/rhubarbferry/cell/decision_log.py
+++ b/rhubarbferry/cell/decision_log.py
@@ -118,25 +118,25 @@
 
     def outcomes(self, dispatcher: Dispatcher) -> None:
         """Log the runs that have ended or were refused since the last call."""
-        notes, dispatcher.run_events = dispatcher.run_events, []
-        for note in notes:
-            match note:
+        events, dispatcher.run_events = dispatcher.run_events, []
+        for event in events:
+            match event:
                 case RunEnded():
-                    RUN_ENDS.labels(note.how.value).inc()
+                    RUN_ENDS.labels(event.how.value).inc()
                     self.log.emit(
                         "task.end",
-                        job=note.task.id.job,
-                        task=task_label(note.task.id),
-                        attempt=note.attempt,
-                        host=note.host,
-                        outcome=note.how.value,
-                        reason=note.detail or None,
+                        job=event.task.id.job,
+                        task=task_label(event.task.id),
+                        attempt=event.attempt,
+                        host=event.host,
+                        outcome=event.how.value,
+                        reason=event.detail or None,
                     )
                 case RunRefused(reason=None):
                     self.log.emit(
                         "task.unreserved",
-                        job=note.task.id.job,
-                        task=task_label(note.task.id),
-                        host=note.host,
-                        reason=note.detail,
+                        job=event.task.id.job,
+                        task=task_label(event.task.id),
+                        host=event.host,
+                        reason=event.detail,
                     )
--- a/rhubarbferry/cell/direct_calls.py
+++ b/rhubarbferry/cell/direct_calls.py
@@ -123,7 +123,7 @@
             raise PhaseUnknown(str(exc)[:200]) from exc
 
     async def cancel(self, id: str, *, deadline: float) -> Cancelled:
-        """Record the cancellation of a job; the owner of the work reads it from the store."""
+        """Record the cancellation of a job; the owner of the cell reads it from the store."""
         while True:
             try:
                 self._check_store_reachable()
--- a/rhubarbferry/cell/job_calls.py
+++ b/rhubarbferry/cell/job_calls.py
@@ -47,7 +47,7 @@
         ...
 
     async def cancel(self, id: str, *, deadline: float) -> Cancelled:
-        """Record the cancellation of a job; the owner of the work reads it from the store.
+        """Record the cancellation of a job; the owner of the cell reads it from the store.
 
         :param deadline: monotonic time by which the client must have its answer.
         """
--- a/rhubarbferry/cell/job_watch.py
+++ b/rhubarbferry/cell/job_watch.py
@@ -1,4 +1,4 @@
-"""Watch the store for accepted jobs, cancellations and a change of ownership, in store order."""
+"""Watch the store for accepted jobs, cancellations and an ownership change, in revision order."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
         states after that.
 
         :raises StoreError: when the store can't be read.
-        :raises OwnershipLost: when another process owns the work.
+        :raises OwnershipLost: when another process is the owner.
         """
         store = self.ctx.process.store
         # An earlier attempt may have received only one of the two listings.
--- a/rhubarbferry/cell/keys.py
+++ b/rhubarbferry/cell/keys.py
@@ -1,6 +1,6 @@
 """Keys and key prefixes of the cell's data in the store.
 
-All keys that the owner of the work watches are under one prefix, so that one watch delivers their
+All keys that the owner of the cell watches are under one prefix, so that one watch delivers their
 changes in the order of their revisions. An owner whose key was removed or replaced therefore
 receives this change before any job accepted afterwards, and never starts a job of its successor.
 """
--- a/rhubarbferry/cell/loop_lag.py
+++ b/rhubarbferry/cell/loop_lag.py
@@ -27,7 +27,8 @@
 # A lag of at least this is logged, at most once per interval.
 STALL_THRESHOLD_S = 0.25
 STALL_LOG_INTERVAL_S = 1.0
-# Upper bound of the recorded lag: a process that was suspended shows a long lag without being slow.
+# Upper bound of the recorded lag: a process that was suspended measures a long lag although it is
+# not overloaded.
 MAX_LAG_S = 0.5
 # Approximate number of event loop iterations that a call waits for: connection, request,
 # headers and the body of the answer.
--- a/rhubarbferry/cell/peers.py
+++ b/rhubarbferry/cell/peers.py
@@ -97,7 +97,7 @@
         )
 
     async def pending(self, member: Member, queue: str) -> int | None:
-        """Return the number of waiting jobs in a queue, ``None`` if the owner can't be reached."""
+        """Return how many jobs of a queue have not started, or ``None`` if unknown."""
         try:
             reply = await self._call(
                 member, "pending", PendingRequest(queue=queue), timeout_s=PENDING_TIMEOUT_S
--- a/rhubarbferry/cell/recorder.py
+++ b/rhubarbferry/cell/recorder.py
@@ -1,4 +1,4 @@
-"""Write the states of jobs to the store, before hosts may discard the ends of tasks."""
+"""Write the states of jobs to the store; hosts keep the ends of tasks until then."""
 
 from __future__ import annotations
 
--- a/rhubarbferry/cell/term_context.py
+++ b/rhubarbferry/cell/term_context.py
@@ -22,12 +22,12 @@
 
 
 class OwnershipLost(Exception):
-    """This process no longer owns the work, or can't be certain that it does."""
+    """This process is no longer the owner of the cell, or can't be certain that it is."""
 
 
 @define(kw_only=True, eq=False)
 class Tenure:
-    """This process's ownership of the work, valid while the lease it was won under is held.
+    """This process's ownership of the cell, valid while its lease is held.
 
     :param keeper: holds and extends the lease.
     :param lease_id: lease that the owner's key is attached to.
@@ -69,7 +69,7 @@
 
 @frozen(kw_only=True)
 class ProcessContext:
-    """Settings and collaborators of a process, whether or not it owns the work.
+    """Settings and collaborators of a process, whether or not it is the owner.
 
     :param own: this process as a member of the cell.
     :param policy: ``None`` when no policy service is configured.
--- a/rhubarbferry/dispatch/dispatcher.py
+++ b/rhubarbferry/dispatch/dispatcher.py
@@ -263,7 +263,7 @@
         self._release_overdue_reservations(now)
         self.waiting.reorder(now)
         if self.holds.expire(now):
-            # The room of the expired hold is free for any step.
+            # Room that was held until now is free for any step.
             self.reconsider_all()
         self.tracker.update_open_hosts(now)
         for step in [step for step, at in self._approval_retry_at.items() if now >= at]:
@@ -366,8 +366,8 @@
         placed = place(step, allowed, now, self.holds.held_room(excluding=step))
         if len(placed) == len(step.waiting_tasks()):
             return placed
-        # A step with precedence over the holders of held room may use that room, but only if there
-        # is no other.
+        # There is too little room that is not held. Also use the room held for steps that this step
+        # precedes in the queue.
         position = self.waiting.position(step)
         return place(
             step, allowed, now, self.holds.room_held_before(position, self.waiting.positions)
--- a/rhubarbferry/dispatch/hosts.py
+++ b/rhubarbferry/dispatch/hosts.py
@@ -171,8 +171,9 @@
         """
         self.last_report_at = now
         if self.clock is None:
-            # Its runs may be orders of an earlier owner, whose lease requests are unknown here. If
-            # these leases were considered expired too early, the tasks would run twice.
+            # An earlier owner may have started its runs and extended their leases to times that are
+            # unknown here. Assume the longest possible lease: if a lease were considered expired
+            # too early, its task would run twice.
             self.leases_until_s = max(self.leases_until_s, report.clock_s + lease_s)
         self.clock = HostClock(clock_s=report.clock_s, sent_at=sent_at, received_at=now)
 
--- a/rhubarbferry/dispatch/job.py
+++ b/rhubarbferry/dispatch/job.py
@@ -91,7 +91,7 @@
         if self.stopping:
             return 0.0
         if self.task.step.req.lasting:
-            # A lasting task reports 100 percent once it is up, and runs until its job is cancelled.
+            # A lasting task reports 100 percent once it is ready. It runs until it is cancelled.
             return math.inf
         spent_s = now - self.ordered_at
         if self.percent >= MIN_EXTRAPOLATION_PERCENT:
@@ -166,7 +166,7 @@
         return max(task.next_attempt() for task in self.tasks)
 
     def gang_checkpoint(self) -> str | None:
-        """Return the common checkpoint of a gang's members, or ``None`` if it is no gang."""
+        """Return the common checkpoint of a gang's members, or ``None`` if the step is no gang."""
         if not self.req.gang:
             return None
         return max((task.checkpoint for task in self.tasks), default="")
--- a/rhubarbferry/dispatch/messages.py
+++ b/rhubarbferry/dispatch/messages.py
@@ -64,7 +64,7 @@
     :param sizes: resources that one task needs.
     :param estimate_s: rough duration of one task.
     :param after: indexes of the preceding steps, which must be done first.
-    :param gang: the tasks can only run all at the same time.
+    :param gang: all tasks must run at the same time.
     :param one_rack: the tasks run slower when spread over several racks.
     :param checkpointable: the tasks can resume from a checkpoint.
     :param required_label: label that a host must have; empty for none.
@@ -199,9 +199,9 @@
 class HostEntry:
     """An entry of the host list.
 
-    :param id: id of the host, which a crashed host may register again.
-    :param incarnation: Unix time of its start in milliseconds, which tells apart two registrations
-        under one id.
+    :param id: id of the host; a crashed host may register again under the same id.
+    :param incarnation: Unix time of its start in milliseconds, which distinguishes registrations
+        under the same id.
     :param service: pool that it belongs to.
     :param address: ``ip:port`` of its task interface.
     :param failure_domain: its failure domain.
--- a/rhubarbferry/dispatch/objective.py
+++ b/rhubarbferry/dispatch/objective.py
@@ -30,7 +30,7 @@
 
 @frozen(kw_only=True, slots=True)
 class UrgencyPeriod:
-    """Urgency of a step and the time until which it applies (``inf`` for good)."""
+    """Urgency of a step and the time until which it applies (``inf`` if it does not change)."""
 
     urgency: Urgency
     until: float
--- a/rhubarbferry/dispatch/reservations.py
+++ b/rhubarbferry/dispatch/reservations.py
@@ -1,4 +1,4 @@
-"""Room reserved for tasks until their starts have tickets."""
+"""Room reserved for tasks until the tickets that their start orders need are available."""
 
 from __future__ import annotations
 
--- a/rhubarbferry/dispatch/tracker.py
+++ b/rhubarbferry/dispatch/tracker.py
@@ -55,7 +55,7 @@
 class RunRefused:
     """A start that was refused: the task did not run under this attempt and never will.
 
-    :param reason: the host's reason; ``None`` if this process gave up the reservation itself.
+    :param reason: the host's reason; ``None`` if this process released the reservation.
     """
 
     task: Task
--- a/tests/cell/test_busy_owner.py
+++ b/tests/cell/test_busy_owner.py
@@ -16,11 +16,12 @@
 
 from .fakes import FakeEventLog
 
-TASKS_RUN_S = 0.01
+# Long enough for the event loop to start the calls.
+START_CALLS_S = 0.01
 ENTRY = HostEntry(id="a", incarnation=1, service="pool", address="a:1", capacity=Sizes())
 
 
-class Workers:
+class UnresponsiveHosts:
     """Fake of the hosts that never answers a start order."""
 
     async def start(self, host, order, *, fence):
@@ -32,7 +33,7 @@
         process=SimpleNamespace(
             lag_s=lambda: lag_s,
             own=SimpleNamespace(name="own", region="region"),
-            workers=Workers(),
+            workers=UnresponsiveHosts(),
         ),
         dispatcher=SimpleNamespace(
             tracker=SimpleNamespace(hosts={"a": SimpleNamespace(entry=None)})
@@ -84,7 +85,7 @@
     before = executor.start_capacity()
     for index in range(3):
         executor.execute(start(index))
-    await asyncio.sleep(TASKS_RUN_S)
+    await asyncio.sleep(START_CALLS_S)
     assert executor.start_capacity() == before - 3
     for task in tasks:
         task.cancel()
--- a/tests/cell/test_candidate.py
+++ b/tests/cell/test_candidate.py
@@ -18,7 +18,7 @@
 TIMEOUT_S = 2.0
 
 
-class Follower:
+class FakeWatcher:
     """Fake watch that delivers one change after a delay."""
 
     listed = True
@@ -33,13 +33,13 @@
         view=CellView(),
         log=FakeEventLog(),
         own=member("own"),
-        watch_prefix=lambda prefix: Follower(),
+        watch_prefix=lambda prefix: FakeWatcher(),
     )
     return Candidate(process=process)
 
 
 async def test_a_process_that_has_become_owner_still_sees_changes():
-    """Guard against a watch that ignores changes after a win, so that no process schedules."""
+    """Guard against a new owner that sees no further changes, so that no process schedules."""
     candidate = make_candidate()
     candidate.process.view.set_owner(Ownership(owner=member("own"), fence=9, lease_id=1))
     candidate._won.set()
--- a/tests/cell/test_cell.py
+++ b/tests/cell/test_cell.py
@@ -102,7 +102,7 @@
 
 
 async def test_planned_stop_hands_over_without_delay(harness):
-    """Guards against a planned stop after which no task starts until the lease has ended."""
+    """Guards against a planned stop after which no task starts until the lease has expired."""
     owner = harness.owner()
     other = next(member for member in harness.members.values() if member is not owner)
     owner.signal(signal.SIGTERM)
--- a/tests/cell/test_direct_calls.py
+++ b/tests/cell/test_direct_calls.py
@@ -1,4 +1,4 @@
-"""DirectJobCalls of jobs in the store, and the notices to the owner."""
+"""Job calls served directly from the store, and the notices to the owner."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @define
 class OwnerStub:
-    """Stub of the link to the owner that records notices."""
+    """Stub of the owner client that records notices."""
 
     current_fence: int = 0
     notices: list[AcceptedJob] = Factory(list)
--- a/tests/cell/test_term.py
+++ b/tests/cell/test_term.py
@@ -48,7 +48,7 @@
     view = CellView(members={name: member(name) for name in ("own", "b", "c")})
     lease = SimpleNamespace(id=1)
     keeper = SimpleNamespace(valid_lease=lambda: lease, store_reachable=lambda: store_reachable)
-    follower = SimpleNamespace(restart=lambda: None, next=SlowStore().list)
+    watcher = SimpleNamespace(restart=lambda: None, next=SlowStore().list)
     process = SimpleNamespace(
         cfg=CellSettings(member="own", region="r", failure_domain="d"),
         clock=SystemClock(),
@@ -58,7 +58,7 @@
         view=view,
         keeper=keeper,
         peers=peers,
-        watch_prefix=lambda prefix: follower,
+        watch_prefix=lambda prefix: watcher,
     )
     return Term(process=process, tenure=Tenure(keeper=keeper, lease_id=1, fence=FENCE))
 
--- a/tests/cell/test_wide_steps.py
+++ b/tests/cell/test_wide_steps.py
@@ -24,7 +24,7 @@
 DECISION_INTERVAL_S = 0.02
 APPROVED_OF_100 = 25
 COST = ApprovalCost(decision_s=0.48, per_host_s=0.0069, valid_s=1.5)
-ADVISED = evolve(QUEUE, name="advised", advice=COST)
+QUEUE_WITH_APPROVALS = evolve(QUEUE, name="advised", advice=COST)
 # 1.5 times the duration of an approval request for 30 hosts, which is the delay that users expect.
 STARTS_WITHIN_S = 1.5 * COST.duration_s(30)
 
@@ -48,18 +48,18 @@
 
 def answer(world: World, order: ApprovalRequest) -> None:
     approvals = tuple(Approval(host=id, ticket="t") for id in order.hosts if approves(id))
-    advice = ApprovalResponse(
+    response = ApprovalResponse(
         step=order.step,
         asked=order.hosts,
         approvals=approvals,
         answered_at=world.now,
         valid_s=COST.valid_s,
     )
-    world.dispatcher.handle_approvals(advice, now=world.now)
+    world.dispatcher.handle_approvals(response, now=world.now)
 
 
 def wait_for_starts(world: World, *, processes: int, until: float) -> list[StartOrder]:
-    """Simulate the processes that query the policy service until a task starts."""
+    """Simulate processes that send requests to the policy service until a task starts."""
     members = [member(f"m{index}") for index in range(processes)]
     queue = PolicyRequestQueue(own="m0", region="region")
     in_progress: list[tuple[float, str, ApprovalRequest]] = []
@@ -90,6 +90,6 @@
     """
     world = half_used_cell()
     req = step(width, millicores=26 * CORES, gang=True)
-    world.add(job("wide", req, queue=ADVISED))
+    world.add(job("wide", req, queue=QUEUE_WITH_APPROVALS))
     started = wait_for_starts(world, processes=97, until=world.now + STARTS_WITHIN_S)
     assert len(started) == width
--- a/tests/dispatch/host_model.py
+++ b/tests/dispatch/host_model.py
@@ -1,4 +1,8 @@
-"""Model of a host that follows the documented rules, and an oracle that checks every run."""
+"""Model of a host that follows the platform's rules, and an oracle that checks every run.
+
+A host refuses orders with an older fence, with an attempt that it has already ended or stopped, and
+after their deadline. It ends all its runs when its lease expires on its own clock.
+"""
 
 from __future__ import annotations
 
--- a/tests/dispatch/test_dispatcher_machine.py
+++ b/tests/dispatch/test_dispatcher_machine.py
@@ -1,9 +1,9 @@
 """State machine test of the dispatcher with late, lost and repeated orders.
 
-An oracle checks the invariants. Hosts follow the documented rules and have clocks of their own that
-run up to 2 % slow. Orders are lost, carried out without an answer, or carried out seconds late;
-hosts are partitioned, crash and restart; the owner is replaced by one that has only the stored
-state. At the end all faults are removed, and each job must end.
+An oracle checks the invariants. Hosts follow the rules in ``host_model`` and have clocks of their
+own that run up to 2 % slow. Orders are lost, carried out without an answer, or carried out seconds
+late; hosts are partitioned, crash and restart; the owner is replaced by one that has only the
+stored state. At the end all faults are removed, and each job must end.
 """
 
 from __future__ import annotations
--- a/tests/dispatch/test_takeover.py
+++ b/tests/dispatch/test_takeover.py
@@ -31,7 +31,7 @@
 
 
 def test_an_adopted_task_is_not_started_again():
-    """Guards against a new owner that takes leases for expired before it has extended them."""
+    """Guards against a new owner that treats leases as expired before it extends them."""
     world = World("a", "b", roster=("a", "b"))
     task = TaskId(job="j", occurrence=0, step=0, index=0)
     world.add(inherited("j", step()))
