--- a/rhubarbferry/cell/roster.py
+++ b/rhubarbferry/cell/roster.py
@@ -32,8 +32,8 @@
         if item is None:
             return
         self.revision = item.mod_revision
-        rows = [cattrs.structure(row, RosterEntry) for row in json.loads(item.value)]
-        self.entries = {row.id: row for row in rows}
+        entries = [cattrs.structure(entry, RosterEntry) for entry in json.loads(item.value)]
+        self.entries = {entry.id: entry for entry in entries}
 
     def holds(self, id: str) -> bool:
         """Return whether a host is on the roster."""
--- a/rhubarbferry/dispatch/job.py
+++ b/rhubarbferry/dispatch/job.py
@@ -174,8 +174,8 @@
     def incomplete_attempts(self) -> set[int]:
         """Return the attempts of a gang in which only some members have a run."""
         attempts = {task.run.attempt for task in self.tasks if task.run is not None}
-        whole = len(attempts) == 1 and not self.waiting_tasks()
-        return attempts if self.req.gang and not whole else set()
+        complete = len(attempts) == 1 and not self.waiting_tasks()
+        return attempts if self.req.gang and not complete else set()
 
     def waiting_tasks(self) -> list[Task]:
         """Return the tasks that are not done and have no run."""
@@ -270,13 +270,13 @@
 
     def take_ready_steps(self, now: float) -> list[Step]:
         """Mark the steps whose preceding steps are all done as ready, and return the new ones."""
-        opened = []
+        ready = []
         for occurrence in self.occurrences.values():
             for step in occurrence.steps:
                 if step.ready_at is None and all(occurrence.steps[i].done for i in step.req.after):
                     step.ready_at = now
-                    opened.append(step)
-        return opened
+                    ready.append(step)
+        return ready
 
     @property
     def all_done(self) -> bool:
--- a/rhubarbferry/dispatch/objective.py
+++ b/rhubarbferry/dispatch/objective.py
@@ -38,13 +38,13 @@
 
 def critical_paths(steps: Sequence[StepRequest]) -> tuple[float, ...]:
     """Return for each step the longest chain of estimates from its start to the end of the job."""
-    found = [step.estimate_s for step in steps]
+    paths = [step.estimate_s for step in steps]
     # Steps depend on earlier ones only, so in reverse order each step is processed after all steps
     # that depend on it.
     for index in range(len(steps) - 1, -1, -1):
-        for before in steps[index].after:
-            found[before] = max(found[before], steps[before].estimate_s + found[index])
-    return tuple(found)
+        for preceding in steps[index].after:
+            paths[preceding] = max(paths[preceding], steps[preceding].estimate_s + paths[index])
+    return tuple(paths)
 
 
 def classify_urgency(
--- a/rhubarbferry/dispatch/roster.py
+++ b/rhubarbferry/dispatch/roster.py
@@ -42,10 +42,13 @@
     for id, entry in roster.items():
         if id in listed or id in hosts or id in unconfirmed:
             found[id] = _next_entry(entry, hosts.get(id), now)
-    for id, row in listed.items():
+    for id, host_entry in listed.items():
         if id not in found:
             found[id] = RosterEntry(
-                id=id, address=row.address, incarnation=row.incarnation, service=row.service
+                id=id,
+                address=host_entry.address,
+                incarnation=host_entry.incarnation,
+                service=host_entry.service,
             )
     return found
 
--- a/rhubarbferry/dispatch/tracker.py
+++ b/rhubarbferry/dispatch/tracker.py
@@ -356,18 +356,18 @@
             # An adopted host without runs is idle, even if its leases have not expired. It is
             # removed at once; otherwise the next takeover would wait for a host that has left.
             idle = host.adopted and not host.unknown_runs
-            gone = not host.listed and not host.runs and (idle or host.clock is None)
-            if gone and host.id not in keep:
+            has_left = not host.listed and not host.runs and (idle or host.clock is None)
+            if has_left and host.id not in keep:
                 del self.hosts[host.id]
         return events
 
     def mark_reopened_hosts(self, now: float) -> None:
         """Mark hosts that accept tasks again as changed, so that waiting steps are tried there."""
         for host in self.hosts.values():
-            opened = host.accepts_tasks(now)
-            if opened and not host.is_open:
+            is_open = host.accepts_tasks(now)
+            if is_open and not host.is_open:
                 self.changed.add(host.id)
-            host.is_open = opened
+            host.is_open = is_open
 
     def update_open_hosts(self, now: float) -> None:
         """Update which of the changed hosts accept tasks."""
--- a/tests/cell/test_members.py
+++ b/tests/cell/test_members.py
@@ -33,10 +33,10 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_members_near_the_store_come_first_and_each_has_its_own_rank(cell, seed):
     members = [member(name, store_s=store_s) for name, store_s in cell]
-    places = {each.name: election_rank(each, members, seed=seed) for each in members}
-    assert sorted(places.values()) == list(range(len(members)))
+    ranks = {each.name: election_rank(each, members, seed=seed) for each in members}
+    assert sorted(ranks.values()) == list(range(len(members)))
     near = [name for name, store_s in cell if store_s < FAR]
-    assert sorted(places[name] for name in near) == list(range(len(near)))
+    assert sorted(ranks[name] for name in near) == list(range(len(near)))
 
 
 def test_the_order_among_equal_members_differs_between_elections():
@@ -99,11 +99,11 @@
 def test_successors_near_the_store_come_first_and_of_these_the_last_registered():
     """Guard against a successor that is the next one to be restarted."""
     view = CellView()
-    rows = [("a", NEAR, 1), ("b", NEAR, 9), ("c", FAR, 12), ("own", NEAR, 20)]
+    registrations = [("a", NEAR, 1), ("b", NEAR, 9), ("c", FAR, 12), ("own", NEAR, 20)]
     view.replace(
         (
             key_of(keys.MEMBERS + name, name, revision=revision, store_s=store_s)
-            for name, store_s, revision in rows
+            for name, store_s, revision in registrations
         ),
         revision=30,
     )
--- a/tests/cell/test_roster.py
+++ b/tests/cell/test_roster.py
@@ -75,6 +75,6 @@
 
 def test_entries_without_outstanding_jobs_are_read_as_open():
     roster = Roster(store=None, tenure=None)
-    row = b'[{"id":"a","address":"a:1","incarnation":1,"service":"pool"}]'
-    roster.load(SimpleNamespace(mod_revision=3, value=row))
+    stored = b'[{"id":"a","address":"a:1","incarnation":1,"service":"pool"}]'
+    roster.load(SimpleNamespace(mod_revision=3, value=stored))
     assert roster.entries == {"a": OPEN}
--- a/tests/cell/test_takeover_with_backlog.py
+++ b/tests/cell/test_takeover_with_backlog.py
@@ -16,7 +16,7 @@
 BACKLOG = 200
 
 
-class TurnCounter:
+class IterationSampler:
     """Samples a value at each iteration of the event loop."""
 
     def __init__(self, sample) -> None:
@@ -36,11 +36,11 @@
     """Guard against an owner that is replaced because it does not respond while it loads."""
     for index in range(BACKLOG):
         await accept(store, f"{index:016x}")
-    new_inbox = await job_watcher(store)
-    counter = TurnCounter(lambda: len(new_inbox.ctx.dispatcher.jobs))
-    counting = asyncio.create_task(counter.run())
-    await new_inbox.load()
+    watcher = await job_watcher(store)
+    sampler = IterationSampler(lambda: len(watcher.ctx.dispatcher.jobs))
+    sampling = asyncio.create_task(sampler.run())
+    await watcher.load()
     await asyncio.sleep(0)
-    counting.cancel()
-    assert len(new_inbox.ctx.dispatcher.jobs) == BACKLOG
-    assert counter.largest_step() <= JOBS_PER_TURN
+    sampling.cancel()
+    assert len(watcher.ctx.dispatcher.jobs) == BACKLOG
+    assert sampler.largest_step() <= JOBS_PER_TURN
