--- a/rhubarbferry/dispatch/job.py
+++ b/rhubarbferry/dispatch/job.py
@@ -91,7 +91,7 @@
         if self.stopping:
             return 0.0
         if self.task.step.req.lasting:
-            # A lasting task reports 100 percent once it is up, and runs until its job is cancelled.
+            # A lasting task reports 100 percent once it is ready. It runs until it is cancelled.
             return math.inf
         spent_s = now - self.ordered_at
         if self.percent >= MIN_EXTRAPOLATION_PERCENT:
@@ -166,7 +166,7 @@
         return max(task.next_attempt() for task in self.tasks)
 
     def gang_checkpoint(self) -> str | None:
-        """Return the common checkpoint of a gang's members, or ``None`` if it is no gang."""
+        """Return the common checkpoint of a gang's members, or ``None`` if the step is no gang."""
         if not self.req.gang:
             return None
         return max((task.checkpoint for task in self.tasks), default="")
@@ -174,8 +174,8 @@
     def incomplete_attempts(self) -> set[int]:
         """Return the attempts of a gang in which only some members have a run."""
         attempts = {task.run.attempt for task in self.tasks if task.run is not None}
-        whole = len(attempts) == 1 and not self.waiting_tasks()
-        return attempts if self.req.gang and not whole else set()
+        complete = len(attempts) == 1 and not self.waiting_tasks()
+        return attempts if self.req.gang and not complete else set()
 
     def waiting_tasks(self) -> list[Task]:
         """Return the tasks that are not done and have no run."""
@@ -270,13 +270,13 @@
 
     def take_ready_steps(self, now: float) -> list[Step]:
         """Mark the steps whose preceding steps are all done as ready, and return the new ones."""
-        opened = []
+        ready = []
         for occurrence in self.occurrences.values():
             for step in occurrence.steps:
                 if step.ready_at is None and all(occurrence.steps[i].done for i in step.req.after):
                     step.ready_at = now
-                    opened.append(step)
-        return opened
+                    ready.append(step)
+        return ready
 
     @property
     def all_done(self) -> bool:
