--- a/rhubarbferry/core/intents.py
+++ b/rhubarbferry/core/intents.py
@@ -76,7 +76,7 @@
     lapsed: bool = False
 
 
-# ---------------------------------------------------------------- verdicts
+# -------------------------------------------- states of a key, as seen by a new request
 
 
 @frozen(kw_only=True, slots=True)
@@ -177,7 +177,7 @@
             return Finishing.RECORD
         return Finishing.CONTRADICTED
 
-    # ------------------------------------------------------------ applying records
+    # ------------------------------------------------------------ applying log records
 
     def begun(self, intent: Intent) -> None:
         """Apply a recorded intent."""
--- a/rhubarbferry/core/jobs.py
+++ b/rhubarbferry/core/jobs.py
@@ -317,7 +317,8 @@
         if self._states[index] == TaskState.UNSURE:
             return
         if self.cancelled:
-            # The dispatch was being recorded when the job was cancelled.
+            # ``cancel`` counted the task as not run, but its dispatch was being recorded at that
+            # time, so it may have been started.
             self.counts.not_run -= 1
             self.counts.waiting += 1
         self._set_state(index, TaskState.UNSURE)
--- a/rhubarbferry/core/request_queue.py
+++ b/rhubarbferry/core/request_queue.py
@@ -285,7 +285,7 @@
         return charged
 
     def resume(self, account: str) -> None:
-        """Count a running request that was started by an earlier owner."""
+        """Count a running request, started by an earlier owner, towards its account."""
         state = self._accounts.get(account)
         if state is not None:
             self._charge(state, seconds=0.0, running=1)
--- a/rhubarbferry/core/worker_ledger.py
+++ b/rhubarbferry/core/worker_ledger.py
@@ -1,7 +1,7 @@
 """Ledger of the tasks and reservations on the workers of a partition.
 
 Capacity counts as taken from the moment a worker is chosen for a task until the task is known to
-have ended, because the worker reported it or because its lease must have lapsed.
+have ended, because the worker reported it or because its lease must have expired.
 """
 
 from __future__ import annotations
@@ -245,7 +245,7 @@
             self._update_open(entry)
 
     def lapse(self, now: float) -> list[Held]:
-        """End the attempts on workers whose lease must have lapsed by ``now``.
+        """End the attempts on workers whose lease must have expired by ``now``.
 
         :returns: the attempts that ended.
         """
--- a/rhubarbferry/scheduler/claim_batcher.py
+++ b/rhubarbferry/scheduler/claim_batcher.py
@@ -33,7 +33,7 @@
         self._highest: dict[str, tuple[int, int]] = {}
 
     def accept(self, home: str, home_epoch: int, number: int | None) -> bool:
-        """Record the number of a received request; return whether it is not out of order."""
+        """Record the number of a received request; return whether it arrived in order."""
         key = (home_epoch, number or 0)
         if key < self._highest.get(home, (0, 0)):
             return False
--- a/rhubarbferry/scheduler/daemon.py
+++ b/rhubarbferry/scheduler/daemon.py
@@ -109,7 +109,7 @@
             failed = [task for task in vital_tasks if task.done()]
             if failed:
                 # If one of these tasks ends, the process would keep its lease without serving.
-                logger.error("stopping, a vital task has ended: {!r}", failed[0].exception())
+                logger.error("stopping, a required task has ended: {!r}", failed[0].exception())
                 return EXIT_FAILURE
             await self._drain()
             return 0
--- a/rhubarbferry/scheduler/gang_dispatch.py
+++ b/rhubarbferry/scheduler/gang_dispatch.py
@@ -55,7 +55,7 @@
         ...
 
     def requeue(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
-        """Return tasks that were not started to the queue."""
+        """Requeue tasks that were not started."""
         ...
 
     def stop_running(self, job: Job) -> None:
@@ -112,9 +112,9 @@
 
     async def run_round(self) -> None:
         """Stop the tasks of partially started gangs, then place the waiting gangs."""
-        # The order matters: a partially started gang must be removed from the list of broken
-        # gangs once none of its tasks runs, before it is placed again. Otherwise its new tasks
-        # would be stopped and, as the gang counts as formed, replaced one by one without end.
+        # The order matters: once none of its tasks runs, a gang must be removed from
+        # ``_partially_started`` before it is placed again. Otherwise its new tasks would be
+        # stopped and, as the gang counts as formed, replaced one by one without end.
         self._stop_partially_started()
         for job in self._home.placeable_gangs():
             if job.id not in self._partially_started:
--- a/rhubarbferry/scheduler/intents.py
+++ b/rhubarbferry/scheduler/intents.py
@@ -77,7 +77,7 @@
         self, *, tenure: Tenure, ctx: Context, log: EntryLog, rules: IntentRules | None = None
     ) -> None:
         super().__init__(tenure=tenure, ctx=ctx, log=log)
-        self.book = IntentTable(rules=rules or IntentRules())
+        self.table = IntentTable(rules=rules or IntentRules())
         self._committing: dict[IntentKey, asyncio.Event] = {}
         self._pending_cancellations: dict[IntentKey, _Cancellation] = {}
         self._withdrawn: OrderedDict[str, None] = OrderedDict()
@@ -94,7 +94,7 @@
 
     def snapshot(self) -> Iterable[LogEntry]:
         """Return log entries that rebuild the current state."""
-        for intent in self.book:
+        for intent in self.table:
             yield LogEntry(intent_begun=_begun_record(intent))
             if intent.outcome is not None and not intent.lapsed:
                 yield LogEntry(intent_finished=_finished_record(intent))
@@ -110,10 +110,10 @@
     async def serve(self) -> None:
         """Expire old intents, track live frontends and write pending cancellations."""
         while True:
-            self.book.lapse(now_ms=self._now_ms())
-            self.book.expire(now_ms=self._now_ms())
+            self.table.lapse(now_ms=self._now_ms())
+            self.table.expire(now_ms=self._now_ms())
             members = self.ctx.ownership.members(Role.FRONTEND)
-            self.book.mark_orphaned({member.id for member in members})
+            self.table.mark_orphaned({member.id for member in members})
             await self._write_cancellations()
             await self.ctx.clock.sleep(MAINTENANCE_INTERVAL_S)
 
@@ -145,7 +145,7 @@
             return self._refusal("the key is being freed", BUSY_RETRY_DELAY_MS)
         if not self.tenure.holds():
             return self._refusal("the owner's lease has run out", STORE_RETRY_DELAY_MS)
-        match self.book.verdict(at, req.fingerprint, now_ms=self._now_ms()):
+        match self.table.verdict(at, req.fingerprint, now_ms=self._now_ms()):
             case Running():
                 return self._reply(IntentVerdict.RUNNING)
             case Recorded(intent=intent):
@@ -234,7 +234,7 @@
 
     async def _finish_locked(self, at: IntentKey, req: FinishRequest) -> FinishReply:
         outcome = OUTCOMES[req.outcome]
-        match self.book.judge_finish(at, req.request_id, outcome):
+        match self.table.judge_finish(at, req.request_id, outcome):
             case Finishing.NO_INTENT:
                 if outcome is None:
                     self._withdraw(req.request_id)
@@ -301,7 +301,7 @@
         except LogError:
             return
         for item in pending:
-            self.book.cancelled(item.at, item.request_id)
+            self.table.cancelled(item.at, item.request_id)
             del self._pending_cancellations[item.at]
 
     # ------------------------------------------------------------ internals
@@ -313,7 +313,7 @@
         return int(self.ctx.clock.wall() * 1000)
 
     def _apply_begun(self, begun: IntentBegun) -> None:
-        self.book.begun(
+        self.table.begun(
             Intent(
                 at=IntentKey(account=begun.account, key=begun.key),
                 request_id=begun.request_id,
@@ -327,10 +327,10 @@
         at = IntentKey(account=finished.account, key=finished.key)
         outcome = OUTCOMES[finished.outcome]
         if outcome is None:
-            self.book.cancelled(at, finished.request_id)
+            self.table.cancelled(at, finished.request_id)
             return
         answer = finished.answer
-        self.book.finished(
+        self.table.finished(
             at,
             finished.request_id,
             outcome,
--- a/rhubarbferry/scheduler/job_home.py
+++ b/rhubarbferry/scheduler/job_home.py
@@ -355,7 +355,7 @@
         for event in events:
             self._apply(event)
 
-    # ------------------------------------------------------------ used by lanes and gangs
+    # ------------------------------------------------------------ used by Lane and GangDispatcher
 
     def lanes(self) -> list[Lane]:
         """Return the lanes synchronized with an owner, those of the home's region first."""
@@ -446,7 +446,7 @@
         return True
 
     def requeue(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
-        """Return tasks to the queue whose claims can no longer start them."""
+        """Requeue tasks whose claims can no longer start them."""
         for item in picked:
             self._share.unclaim(item.job.spec.account, item.job.spec.size)
             if dispatched:
--- a/rhubarbferry/scheduler/job_lane.py
+++ b/rhubarbferry/scheduler/job_lane.py
@@ -60,7 +60,7 @@
         ...
 
     def requeue(self, picked: Sequence[Picked], *, dispatched: bool) -> None:
-        """Return tasks whose claims were never sent to the queue."""
+        """Requeue tasks whose claims were never sent."""
         ...
 
     def reconciled(self, lane: Lane, reply: t.HeldTasksReply) -> None:
@@ -68,7 +68,7 @@
         ...
 
     def apply_digest(self, lane: Lane, digest: t.PartitionDigest, requested_at: float) -> None:
-        """Apply the digest of a partition."""
+        """Apply the free capacity and account usage that a partition reported."""
         ...
 
     def partition_removed(self, lane: Lane) -> None:
--- a/rhubarbferry/scheduler/slot_ends.py
+++ b/rhubarbferry/scheduler/slot_ends.py
@@ -1,4 +1,4 @@
-"""The end of grants in a runner partition: free slots, settle charges, rate runners."""
+"""The end of grants in a runner partition: free slots, settle charges, update runner health."""
 
 from __future__ import annotations
 
@@ -93,9 +93,9 @@
             if grant.grant_id in self._ledger.leases:
                 continue
             usable_s = 0.0 if grant.sent else self._grant_usable_s
-            # The list includes requests whose end the guard does not know and which it has already
-            # released to an earlier owner as such. They are not released again, so the runner's
-            # report must end them.
+            # The list includes requests that the guard has already released to an earlier owner
+            # with an unknown end. They are not released again, so a report of the runner must
+            # end them.
             lease = SlotLease(
                 grant_id=grant.grant_id,
                 request_id=grant.request_id,
--- a/rhubarbferry/scheduler/worker_link.py
+++ b/rhubarbferry/scheduler/worker_link.py
@@ -197,16 +197,18 @@
         ADOPTIONS.labels("adopted").inc()
         self._last_reply = reply.number or 0
         self.adopted = True
-        # A restarted worker has lost the epochs it has seen. If an adoption after the end of the
-        # lease counted towards this owner's majority, a successor could count the same worker.
+        # After its lease has ended, the owner may act only while a majority of workers replies to
+        # it. A restarted worker has lost the epochs it has seen, so it could accept this adoption
+        # although a successor has adopted it before. Counted here, it could give both owners a
+        # majority.
         self._counts_for_majority = self._tenure.lease_holds()
         self._on_event(Adopted(worker=self.worker, reply=reply))
 
     async def _renew(self) -> None:
         acks = list(self._acks)[:MAX_ITEMS_PER_CALL]
         orders = dict(list(self._actions.items())[:MAX_ITEMS_PER_CALL])
-        book, asked_at = self._tenure.promises, self._ctx.clock.monotonic()
-        version = book.version
+        held_promises, asked_at = self._tenure.promises, self._ctx.clock.monotonic()
+        version = held_promises.version
         req = t.RenewRequest(
             partition=str(self._tenure.partition),
             epoch=self._tenure.epoch,
@@ -215,7 +217,7 @@
             acknowledged=acks,
             orders=[t.TaskOrder(task_id=k, action=v) for k, v in orders.items()],
             answered=self._last_reply,
-            settled=self._counts_for_majority and self.worker in book.guards,
+            settled=self._counts_for_majority and self.worker in held_promises.guards,
         )
         try:
             reply = await self._call("renew", req)
@@ -231,7 +233,7 @@
             return
         HEARTBEATS.labels("answered").inc()
         if self._counts_for_majority:
-            book.add_promise(
+            held_promises.add_promise(
                 guard=self.worker,
                 version=version,
                 asked_at=asked_at,
--- a/rhubarbferry/scheduler/worker_partition.py
+++ b/rhubarbferry/scheduler/worker_partition.py
@@ -74,7 +74,7 @@
 
     Recovery adopts every worker. An adoption raises the worker's epoch, so that it refuses
     requests of earlier owners, and returns the tasks that the worker runs. Until a worker has
-    replied it may run unknown tasks, and ``held_tasks`` lists it as unheard. An owner that has
+    replied it may run unknown tasks, and ``held_tasks`` lists it in ``unheard``. An owner that has
     lost its connection to the store continues while a majority of its workers replies, so its
     tasks may outlast its lease in the store: :class:`Succession` computes when they have ended.
     Claims are served meanwhile on the adopted workers.
@@ -128,12 +128,14 @@
             async with asyncio.timeout(
                 min(MAX_ADOPTION_WAIT_S, self.ctx.cfg.jobs.task_lease_s / 2)
             ):
-                while self._unheard_workers():
+                while self._workers_with_unknown_tasks():
                     self._worker_reported.clear()
                     await self._worker_reported.wait()
         except TimeoutError:
             logger.warning(
-                "{}: no reply from workers: {}", self.tenure.partition, self._unheard_workers()
+                "{}: no reply from workers: {}",
+                self.tenure.partition,
+                self._workers_with_unknown_tasks(),
             )
         self.phase = Phase.SERVING
 
@@ -552,7 +554,7 @@
                 self._ledger.limit_unknown_tasks(worker, until=now + promise_s + self._lease_s)
 
     def _update_takeover(self) -> None:
-        """Settle tasks of unheard workers once the previous owner can no longer act."""
+        """Settle tasks of never adopted workers once the previous owner can no longer act."""
         if not self._succession.lacks_majority() or self._host_list_unread():
             return
         never_reported = self._ledger.never_adopted()
@@ -571,12 +573,12 @@
         workers would always have a majority of itself. It also changes only after the takeover is
         complete, because until then the previous owner may still have a majority.
         """
-        book = self._rack_tenure.promises
-        over = self.ctx.clock.monotonic() >= self._succession.settled_at()
-        if not self._rack_tenure.lease_holds() or not (over or self._all_adopted()):
+        held_promises = self._rack_tenure.promises
+        is_settled = self.ctx.clock.monotonic() >= self._succession.settled_at()
+        if not self._rack_tenure.lease_holds() or not (is_settled or self._all_adopted()):
             return
-        if book.guards != self._listed:
-            book.set_guards(guards=self._listed, version=book.version + 1)
+        if held_promises.guards != self._listed:
+            held_promises.set_guards(guards=self._listed, version=held_promises.version + 1)
 
     def _all_adopted(self) -> bool:
         return bool(self._listed) and self._listed.issubset(self._ledger.adopted())
@@ -637,7 +639,7 @@
     def _may_act(self) -> bool:
         return not self._fenced and self.phase is not Phase.STOPPED and self.tenure.holds()
 
-    def _unheard_workers(self) -> list[str]:
+    def _workers_with_unknown_tasks(self) -> list[str]:
         return self._ledger.with_unknown_tasks(self.ctx.clock.monotonic())
 
     def _host_list_unread(self) -> bool:
--- a/tests/scheduler/test_cancellation_wave.py
+++ b/tests/scheduler/test_cancellation_wave.py
@@ -10,7 +10,7 @@
 from tests.scheduler.jobs_harness import HOME, Cluster, FakeTenure, spec
 
 JOBS = 10_000
-MOST_WRITES = 40
+MAX_WRITES = 40
 
 
 async def test_many_cancellations_take_few_writes() -> None:
@@ -40,5 +40,5 @@
         ]
         for reply in await asyncio.gather(*map(home.cancel_job, cancels)):
             assert reply.job.phase == t.JobPhase.NOT_RUN
-        assert sum(store.counters.calls.values()) - before <= MOST_WRITES
+        assert sum(store.counters.calls.values()) - before <= MAX_WRITES
         await log.close()
--- a/tests/scheduler/test_daemon.py
+++ b/tests/scheduler/test_daemon.py
@@ -27,7 +27,7 @@
 [account lanna]
 share = 1
 """
-BOUND_S = 10.0
+TIMEOUT_S = 10.0
 KEY = key_partition(region="nan", number=0)
 
 
@@ -67,7 +67,7 @@
         yield task
     finally:
         daemon.stop()
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await asyncio.gather(task, return_exceptions=True)
 
 
@@ -96,14 +96,14 @@
     first, second = (make_daemon(store, [runner_host("r1")]) for _ in range(2))
     everything = {"key/nan/0", "key/nan/1", "runner/nan/records"}
     pool = Pool(service=SCHEDULER)
-    async with running(first) as task, asyncio.timeout(2 * BOUND_S):
-        await eventually(lambda: owned(first) == everything, timeout_s=BOUND_S)
+    async with running(first) as task, asyncio.timeout(2 * TIMEOUT_S):
+        await eventually(lambda: owned(first) == everything, timeout_s=TIMEOUT_S)
         reply = await pool.call(first.address, "begin_request", intent("q1", 1), timeout_s=2)
         assert reply.verdict == t.IntentVerdict.COMMITTED
         async with running(second):
-            await eventually(lambda: second.address, timeout_s=BOUND_S)
+            await eventually(lambda: second.address, timeout_s=TIMEOUT_S)
             first.stop()
-            await eventually(lambda: owned(second) == everything, timeout_s=BOUND_S)
+            await eventually(lambda: owned(second) == everything, timeout_s=TIMEOUT_S)
             assert await task == 0
             reply = await pool.call(second.address, "begin_request", intent("q2", 1), timeout_s=2)
             assert reply.verdict in (t.IntentVerdict.RUNNING, t.IntentVerdict.UNKNOWN)
