--- a/rhubarbferry/coordination/guard_sets.py
+++ b/rhubarbferry/coordination/guard_sets.py
@@ -17,6 +17,7 @@
 from rhubarbferry.ports.ownership import Guard, Member
 
 RETRY_INTERVAL_S = 1.0
+# How long to wait for a majority's confirmations before the set is marked as closing.
 CLOSE_DELAY_S = 30.0
 
 
@@ -58,10 +59,10 @@
 class GuardSetManager:
     """Determine which guard sets can be replaced safely, and update the ownership table.
 
-    An owner that acts on promises of the old set and a successor acknowledged by the new set may
-    have no guard in common. The new set therefore becomes valid only after a majority of the old
+    An owner that acts on promises of the old set and a successor adopted by the new set may have
+    no guard in common. The new set therefore becomes valid only after a majority of the old
     set has stopped making promises and its promises have expired. If that majority does not
-    respond, the set is first marked as closing, and it is replaced after the longest extension: by
+    respond, the set is first marked as closing, and replaced after ``longest_extension_s``: by
     then, an owner that has read the closing mark no longer relies on promises, and an owner that
     has not read the table since has stopped.
 
--- a/rhubarbferry/coordination/log_codec.py
+++ b/rhubarbferry/coordination/log_codec.py
@@ -103,7 +103,7 @@
 
 
 def decode_head(key: str, value: bytes) -> Head:
-    """Decode a head.
+    """Decode the head of a log, which points to its current snapshot.
 
     :raises LogCorrupt: when the value is damaged; names ``key``.
     """
--- a/rhubarbferry/coordination/log_compaction.py
+++ b/rhubarbferry/coordination/log_compaction.py
@@ -96,7 +96,11 @@
             raise LogUnavailable(f"{key} exists already; try again")
 
     async def _delete_covered(self, upto: int, snapshot: str, sealed_at: float) -> None:
-        """Delete what the head no longer refers to; the next compaction deletes any remainder."""
+        """Delete the snapshots and segments that the new snapshot replaces.
+
+        Segments are kept until the retention period after the seal has passed. A later compaction
+        deletes what remains.
+        """
         now = self._clock.monotonic()
         try:
             await self._store.delete_range(*self._keys.snapshots_below(snapshot))
--- a/rhubarbferry/coordination/log_head.py
+++ b/rhubarbferry/coordination/log_head.py
@@ -59,7 +59,7 @@
         """
         async with self._lock:
             self._load(await self._read())
-            await self._swap()
+            await self._compare_and_swap()
 
     async def verify(self) -> None:
         """Check that no later owner has claimed the head.
@@ -69,16 +69,16 @@
         :raises LogFenced: when a later owner has claimed the head.
         """
         async with self._lock:
-            await self._swap()
+            await self._compare_and_swap()
 
     async def move(self, *, upto: int, snapshot: str, chunks: int) -> None:
         """Point the head at a snapshot whose chunks are all stored."""
         async with self._lock:
-            await self._swap(
+            await self._compare_and_swap(
                 lambda head: attrs.evolve(head, upto=upto, snapshot=snapshot, chunks=chunks)
             )
 
-    async def _swap(self, change: Callable[[Head], Head] = _unchanged) -> None:
+    async def _compare_and_swap(self, change: Callable[[Head], Head] = _unchanged) -> None:
         outcome_unknown = False
         for _ in range(MAX_ATTEMPTS):
             started_at = self._clock.monotonic()
--- a/rhubarbferry/coordination/node.py
+++ b/rhubarbferry/coordination/node.py
@@ -244,11 +244,11 @@
         while True:
             await self._clock.sleep(PEER_POLL_INTERVAL_S)
             try:
-                await self._restore_if_gone_back()
+                await self._restore_if_rolled_back()
             except StoreError as exc:
                 logger.debug("the configuration can't be written back: {}", exc)
 
-    async def _restore_if_gone_back(self) -> None:
+    async def _restore_if_rolled_back(self) -> None:
         if not is_rolled_back(self.cell.record, self._mirror.state.config):
             return
         await self._watcher.refresh()
--- a/rhubarbferry/coordination/planner.py
+++ b/rhubarbferry/coordination/planner.py
@@ -124,10 +124,10 @@
 
     def _target_table(self) -> Table:
         state = self._mirror.state
-        members = [self._as_planned(member) for member in state.members.values()]
+        members = [self._mark_if_leaving(member) for member in state.members.values()]
         return plan(state.table, members, self._partitions(), self._tenures.min_epochs())
 
-    def _as_planned(self, member: Member) -> Member:
+    def _mark_if_leaving(self, member: Member) -> Member:
         if self._leaving and member.id == self._membership.member.id:
             return evolve(member, draining=True)
         return member
--- a/rhubarbferry/coordination/promises.py
+++ b/rhubarbferry/coordination/promises.py
@@ -114,8 +114,8 @@
     async def _release_ended(self) -> None:
         """Release the promises of tenures that have ended.
 
-        A planned handover version a tenure seconds before its promises expire. Until then no guard
-        acknowledges the successor, and callers could wait up to the duration of a promise for a
+        A planned handover ends a tenure seconds before its promises expire. Until then no guard
+        adopts the successor, and callers could wait up to the duration of a promise for a
         slot. If a release is lost, the promise simply expires.
         """
         ended = [tenure for tenure in self._promised_tenures if tenure.ended]
--- a/rhubarbferry/frontend/attempts.py
+++ b/rhubarbferry/frontend/attempts.py
@@ -93,17 +93,17 @@
 
     def add_request(self, account: str) -> None:
         """Count a new request, which adds to the budget."""
-        self._of(account).begun(now=self._clock.monotonic())
+        self._budget_of(account).begun(now=self._clock.monotonic())
 
     def take_retry(self, account: str) -> bool:
         """Consume one retry; return whether the budget allowed it."""
-        if self._of(account).take(now=self._clock.monotonic()):
+        if self._budget_of(account).take(now=self._clock.monotonic()):
             metrics.RETRIES.labels(account).inc()
             return True
         metrics.RETRIES_REFUSED.labels(account).inc()
         return False
 
-    def _of(self, account: str) -> RetryBudget:
+    def _budget_of(self, account: str) -> RetryBudget:
         budget = self._budgets.get(account)
         if budget is None:
             budget = self._budgets[account] = RetryBudget(ratio=self._ratio)
--- a/rhubarbferry/frontend/guard.py
+++ b/rhubarbferry/frontend/guard.py
@@ -1,9 +1,9 @@
 """Fence the owners of runner partitions: track the highest epoch and the open grants of each.
 
-A new owner of a partition requests every frontend of the region to *adopt* it. From then on this
-process rejects grants of earlier epochs; its reply lists the grants that are still open. An owner
-whose lease has expired requests short *promises* from the frontends. A guard that has given a
-promise adopts no other owner until the promise expires.
+A new owner of a partition asks every frontend of the region to *adopt* it. From then on this
+process rejects grants of earlier epochs; its reply lists the grants that are still open. Owners
+also request short *promises* from the frontends, under which they may act after their lease has
+expired. A guard that has given a promise adopts no other owner until the promise expires.
 """
 
 from __future__ import annotations
@@ -117,7 +117,8 @@
     def _fence(self, partition: str) -> _Fence:
         fence = self._fences.get(partition)
         if fence is None:
-            # A guard set closed for a region is closed for its later partitions too.
+            # A closed guard set gives no promises for partitions that are first seen after the
+            # close request, either.
             closed = self._closed_below.get(_region(partition), 0)
             fence = _Fence(state=GuardState(closed_below=closed))
             self._fences[partition] = fence
--- a/rhubarbferry/frontend/runners.py
+++ b/rhubarbferry/frontend/runners.py
@@ -409,7 +409,7 @@
         runner.watched[request_id] = _WatchedRequest(
             until=until, on_end=on_end, on_timeout=on_timeout
         )
-        self._keep_probing(runner)
+        self._ensure_probing(runner)
 
     def _runner(self, address: str, connections: int = 0) -> _Runner:
         runner = self._runners.get(address)
@@ -421,13 +421,13 @@
     def _track(self, address: str, exchange: Exchange, connections: int = 0) -> _Runner:
         runner = self._runner(address, connections)
         runner.exchanges[id(exchange)] = exchange
-        self._keep_probing(runner)
+        self._ensure_probing(runner)
         return runner
 
     def _untrack(self, runner: _Runner, exchange: Exchange) -> None:
         runner.exchanges.pop(id(exchange), None)
 
-    def _keep_probing(self, runner: _Runner) -> None:
+    def _ensure_probing(self, runner: _Runner) -> None:
         if runner.probe is None:
             runner.probe = asyncio.create_task(self._probe_loop(runner))
 
--- a/rhubarbferry/frontend/waits.py
+++ b/rhubarbferry/frontend/waits.py
@@ -1,6 +1,6 @@
 """The expected waits at the runner partitions of all regions.
 
-Each grant reply from the own region's owner carries its expected wait. The other regions are
+A grant reply from the owner in this region carries its expected wait. The other regions are
 polled only while requests wait here, with one small call per partition and interval, because
 traffic between regions has a cost.
 """
--- a/rhubarbferry/platform/workers.py
+++ b/rhubarbferry/platform/workers.py
@@ -215,7 +215,7 @@
 
 def _tail_latency_ms(row: list[Any]) -> float:
     # For a long-running task, which serves requests, the field is the tail latency of the last half
-    # second in milliseconds. For any other task it is the CPU usage, which the dispatcher ignores.
+    # second in milliseconds. For any other task it is the CPU usage, which pacing ignores.
     return float(row[4]) if len(row) > 4 else 0.0
 
 
--- a/tests/coordination/test_guard_sets.py
+++ b/tests/coordination/test_guard_sets.py
@@ -72,7 +72,7 @@
     """One or two of the guards a, b and c die, and the frontend d is new.
 
     The set is replaced once a majority of it has closed the old version and its promises have
-    expired, or after the longest extension.
+    expired, or after ``longest_extension_s``.
     """
     found = await proposed_set(**case)
     assert (found.version, found.closing) == (version, closing)
--- a/tests/coordination/test_log.py
+++ b/tests/coordination/test_log.py
@@ -229,7 +229,7 @@
     assert await replayed(store, 3) == ["kept"]
 
 
-async def test_a_successor_that_compacts_during_our_open_fences_us() -> None:
+async def test_an_owner_whose_log_is_compacted_while_it_opens_is_fenced() -> None:
     """Two processes open the log; the later one compacts it between two reads of the earlier one.
 
     The earlier one must not find an empty log and continue with it.
@@ -251,7 +251,7 @@
     assert await replayed(memory, 4) == ["a"]
 
 
-async def test_a_fenced_owner_cannot_bring_its_snapshot_into_force() -> None:
+async def test_a_fenced_owner_cannot_activate_its_snapshot() -> None:
     """An owner whose state holds an entry that was never committed pauses during a compaction.
 
     The successor opens the log without the entry, which must not appear later.
--- a/tests/coordination/test_node_guards.py
+++ b/tests/coordination/test_node_guards.py
@@ -37,7 +37,7 @@
 async def test_guard_set_without_its_majority_is_closed_first(cell, monkeypatch):
     """Two of three frontends die at the same time, so no majority can confirm.
 
-    The set is marked as closing and replaced after the longest extension.
+    The set is marked as closing and replaced after ``longest_extension_s``.
     """
     monkeypatch.setattr("rhubarbferry.coordination.guard_sets.CLOSE_DELAY_S", 0.2)
     monkeypatch.setattr("rhubarbferry.coordination.guard_sets.RETRY_INTERVAL_S", 0.1)
@@ -57,7 +57,7 @@
 async def test_operator_can_release_dead_guards(cell):
     """Two of three frontends are permanently lost, and the operator releases the guard set.
 
-    The remaining frontend forms the guard set immediately, not after the longest extension.
+    The remaining frontend forms the guard set immediately, not after ``longest_extension_s``.
     """
     guards = FakeGuardPool()
     node = await cell.join("a", guards=guards)
@@ -84,7 +84,7 @@
 
 
 async def test_a_handover_releases_promises(cell):
-    """A scheduler is replaced as planned while its guards have promised not to follow another.
+    """A scheduler hands over as planned while the promises of its guards are still valid.
 
     If the guards waited for their promises to expire, the successor could not grant slots for up
     to 3 s.
--- a/tests/coordination/test_ownership_machine.py
+++ b/tests/coordination/test_ownership_machine.py
@@ -220,7 +220,7 @@
     self.lease = lease.renewed(asked_at=self._clock.monotonic(), ttl_s=CFG.ownership.lease_s)
 
 
-async def _renew_or_revive(self, lease):
+async def _renew_or_rejoin(self, lease):
     try:
         await _RENEW(self, lease)
     except LeaseLost:
@@ -249,7 +249,7 @@
     ("scenario", "name", "mutant"),
     [
         (cut_while_a_reply_is_slow, "_renew", _renew_from_reply),
-        (stopped_past_the_lease_with_a_silent_watch, "_renew", _renew_or_revive),
+        (stopped_past_the_lease_with_a_silent_watch, "_renew", _renew_or_rejoin),
     ],
 )
 def test_lease_mechanism_is_needed(monkeypatch, scenario, name, mutant, mechanism_disabled):
--- a/tests/frontend/test_guard.py
+++ b/tests/frontend/test_guard.py
@@ -143,7 +143,8 @@
     """The frontends of a region change while an owner still uses the old guard set.
 
     A majority of the old set and a majority of the new set need not share a guard. The old set
-    therefore gives no promises once the change has begun, including for later partitions.
+    therefore gives no promises once the change has begun, not even for partitions that are first
+    seen after that.
     """
     clock = ManualClock()
     guard = make_guard(clock)
--- a/tests/frontend/test_owners.py
+++ b/tests/frontend/test_owners.py
@@ -148,7 +148,7 @@
 
 
 async def test_a_reply_is_returned_while_the_store_is_lost() -> None:
-    """Only this host has lost the store; the owner of the keys can still record."""
+    """The store is unreachable only from this host; the owner of the keys can still record."""
     clock = ManualClock()
     owners = Owners(
         clock=clock,
