--- a/rhubarbferry/coordination/tenure.py
+++ b/rhubarbferry/coordination/tenure.py
@@ -137,7 +137,7 @@
         self._used_epochs[partition] = max(tenure.epoch, tenure.highest_seen_epoch)
         TENURES_LOST.labels(partition.kind.value).inc()
         PARTITIONS_OWNED.set(len(self.current))
-        logger.info("{} lost at epoch {}", partition, tenure.epoch)
+        logger.info("tenure of {} with epoch {} has ended", partition, tenure.epoch)
         self.events.put_nowait(TenureLost(partition=partition, epoch=tenure.epoch))
         self.end_notifier.notify()
 
@@ -175,7 +175,7 @@
         self._used_epochs[partition] = entry.epoch
         TENURES_WON.labels(partition.kind.value).inc()
         PARTITIONS_OWNED.set(len(self.current))
-        logger.info("{} won at epoch {}", partition, entry.epoch)
+        logger.info("tenure of {} with epoch {} has begun", partition, entry.epoch)
         self.events.put_nowait(TenureWon(tenure=tenure))
 
     def _extension_until(self) -> float:
