--- a/rhubarbferry/platform/policy.py
+++ b/rhubarbferry/platform/policy.py
@@ -33,7 +33,7 @@
         except (NotSent, NoAnswer) as exc:
             raise WorkerSilent(str(exc)) from exc
         if response.status == 429:
-            raise PolicyBusy("the policy service has too many requests queued")
+            raise PolicyBusy("the policy service has too many questions waiting")
         if response.status != 200 or not isinstance(response.body, dict):
             raise WorkerSilent(f"status {response.status}: {response.body}")
         return Approvals(
--- a/rhubarbferry/platform/workers.py
+++ b/rhubarbferry/platform/workers.py
@@ -186,7 +186,7 @@
     match response.status:
         case 200:
             if "clockMs" not in body:
-                return Unanswered(detail="status 200 without clockMs")
+                return Unanswered(detail="a success that can't be read")
             return Started(clock_s=float(body["clockMs"]) / 1000)
         case 409:
             reason = REFUSAL_REASONS.get(str(body.get("reason")))
--- a/rhubarbferry/scheduler/dispatch.py
+++ b/rhubarbferry/scheduler/dispatch.py
@@ -46,7 +46,7 @@
 class Dispatcher:
     """Handlers of the RPC methods that name a partition.
 
-    :param epoch_seen: tells the epoch of a partition that is owned elsewhere, 0 if unknown.
+    :param latest_epoch: returns the latest epoch of a partition owned elsewhere, 0 if unknown.
     """
 
     def __init__(self, *, owned: OwnedPartitions, latest_epoch: LatestEpoch) -> None:
--- a/rhubarbferry/scheduler/worker_link.py
+++ b/rhubarbferry/scheduler/worker_link.py
@@ -85,7 +85,7 @@
 
     :param worker: id of the worker.
     :param address: ``ip:port``.
-    :param tell: callback that receives each event, immediately and in order, on the event loop.
+    :param on_event: callback that receives each event, immediately and in order, on the event loop.
     """
 
     def __init__(
