--- a/bench/probe.py
+++ b/bench/probe.py
@@ -122,11 +122,11 @@
         host, _, port = self.target.rpartition(":")
         back_reader, back_writer = await asyncio.open_connection(host, int(port))
         await asyncio.gather(
-            self._pass(reader, back_writer, outward=True),
-            self._pass(back_reader, writer, outward=False),
+            self._forward(reader, back_writer, outward=True),
+            self._forward(back_reader, writer, outward=False),
         )
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, outward: bool
     ) -> None:
         try:
--- a/bench/slopes_memory.py
+++ b/bench/slopes_memory.py
@@ -34,7 +34,7 @@
     return round(int(done.stdout) / 1024, 1)
 
 
-def _steps(env: dict[str, str]) -> dict[str, float]:
+def _import_steps(env: dict[str, str]) -> dict[str, float]:
     found = {}
     for at in range(1, len(IMPORTS) + 1):
         found["+" + (IMPORTS[at - 1] or "interpreter")] = _rss_mib(",".join(IMPORTS[:at]), env)
@@ -43,7 +43,7 @@
     return found
 
 
-async def _running(dir: Path, env: dict[str, str]) -> dict[str, float]:
+async def _idle_daemons(dir: Path, env: dict[str, str]) -> dict[str, float]:
     """Return the memory of serving, idle daemons."""
     dir.mkdir()  # noqa: ASYNC240
     kept = dict(os.environ)
@@ -66,9 +66,15 @@
     plain = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1", "PYTHONPYCACHEPREFIX": str(dir / "no")}
     cached = {**os.environ, "PYTHONPYCACHEPREFIX": str(dir / "cache")}
     cached.pop("PYTHONDONTWRITEBYTECODE", None)
-    _steps(cached)
-    await _running(dir / "first", cached)
+    _import_steps(cached)
+    await _idle_daemons(dir / "first", cached)
     return {
-        "compiled_each_start_mib": {**_steps(plain), **await _running(dir / "plain", plain)},
-        "cached_bytecode_mib": {**_steps(cached), **await _running(dir / "cached", cached)},
+        "compiled_each_start_mib": {
+            **_import_steps(plain),
+            **await _idle_daemons(dir / "plain", plain),
+        },
+        "cached_bytecode_mib": {
+            **_import_steps(cached),
+            **await _idle_daemons(dir / "cached", cached),
+        },
     }
--- a/rhubarbferry/bench/days.py
+++ b/rhubarbferry/bench/days.py
@@ -73,7 +73,14 @@
 
 @define(kw_only=True, eq=False)
 class _Host:
-    """A simulated host."""
+    """A simulated host.
+
+    :ivar running: time at which each running attempt will end.
+    :ivar end_kinds: how each attempt will end.
+    :ivar ended: attempts that have ended since the host was started; each report contains all of
+        them.
+    :ivar count: number of ended attempts since the host was started.
+    """
 
     entry: HostEntry
     speed: float
@@ -350,14 +357,16 @@
             self._request_advice(assignment.order, assignment.member.name)
         for job in list(self._dispatcher.dirty.values()):
             if job.phase.final:
-                self._schedule(self.now + PERSIST_DELAY_S, partial(self._recorded, job))
+                self._schedule(self.now + PERSIST_DELAY_S, partial(self._handle_recorded_end, job))
         self._dispatcher.dirty.clear()
         self._dispatcher.run_events.clear()
 
     def _execute(self, order: Order) -> None:
         match order:
             case StartOrder() if self._is_lost(order):
-                self._schedule(self.now + order.timeout_s, lambda: self._start_unanswered(order))
+                self._schedule(
+                    self.now + order.timeout_s, lambda: self._handle_unanswered_start(order)
+                )
             case StartOrder():
                 self._schedule(self.now + ONE_WAY_DELAY_S, lambda: self._start(order))
             case StopOrder():
@@ -375,10 +384,10 @@
         rng = self._rng(f"lost {order.task} {order.attempt} {order.retries}")
         return rng.random() < share
 
-    def _start_unanswered(self, order: StartOrder) -> None:
-        """Handle a lost start as the owner does.
+    def _handle_unanswered_start(self, order: StartOrder) -> None:
+        """Handle a start order without an answer as the owner of the dispatcher does.
 
-        If the start is not retried, stop the task and poll the host.
+        If the order is not retried, stop the task and poll the host.
         """
         dispatcher = self._dispatcher
         dispatcher.start_answered(order.host, order.task, order.attempt, Unanswered(), now=self.now)
@@ -429,7 +438,7 @@
         count = max(count, math.ceil(MIN_APPROVED_CAPACITY_FACTOR * req.count / max(1, slots)))
         return frozenset(hosts[:count])
 
-    def _recorded(self, job: Job) -> None:
+    def _handle_recorded_end(self, job: Job) -> None:
         if job.id not in self.done_at and job.phase is JobPhase.COMPLETE:
             self.done_at[job.id] = self.now
         self._dispatcher.mark_recorded(job)
--- a/rhubarbferry/bench/profiles.py
+++ b/rhubarbferry/bench/profiles.py
@@ -15,7 +15,7 @@
 class Profile:
     """The size and load of one cell.
 
-    :param runners: backend runners of one partition, that is of one service in one region.
+    :param runners: runners of one runner partition, that is of one service in one region.
     :param slots: slots of each runner.
     :param worker: capacity of each worker, without accelerators.
     :param rack_size: workers in each rack.
--- a/rhubarbferry/bench/shares.py
+++ b/rhubarbferry/bench/shares.py
@@ -203,7 +203,7 @@
             )
             held = [self._claim(rack, item, now) for item in picked]
             elapsed_s = time.perf_counter() - started_at
-            self._settle(number, picked, held, now)
+            self._apply_placements(number, picked, held, now)
             if picked:
                 self.wall_picks.add(elapsed_s)
                 self.wall_s += elapsed_s
@@ -227,7 +227,7 @@
             self.counts["kept_workers"] += kept
         return held
 
-    def _settle(
+    def _apply_placements(
         self, number: int, picked: Sequence[Picked], held: Sequence[Held | None], now: float
     ) -> None:
         rack = self._racks[number]
@@ -240,12 +240,12 @@
                 job.never_started(item.index)
                 self.queue.put(job)
                 continue
-            self._started(number, item, placed, now)
+            self._record_start(number, item, placed, now)
         if picked:
             used = rack.ledger.usage()
             self._share.put_digest(rack.name, UsageDigest(taken_at=now, used=used))
 
-    def _started(self, number: int, item: Picked, held: Held, now: float) -> None:
+    def _record_start(self, number: int, item: Picked, held: Held, now: float) -> None:
         job, task_id = item.job, held.attempt.task_id
         self._racks[number].ledger.started(task_id)
         if job.first_start is None and now > WARM_UP_S:
@@ -271,9 +271,9 @@
         rack.ledger.end(task_id, end)
         rack.ledger.forget(task_id)
         rack.needs_report = True
-        self._ended(held, end, now)
+        self._record_end(held, end, now)
 
-    def _ended(self, held: Held, end: End, now: float) -> None:
+    def _record_end(self, held: Held, end: End, now: float) -> None:
         job, submitted = self._jobs[held.attempt.job_id]
         index = int(held.attempt.task_id.split("/")[1])
         before = job.waiting()
@@ -298,11 +298,11 @@
             for held in lapsed:
                 self.counts["lapsed"] += 1
                 rack.ledger.forget(held.attempt.task_id)
-                self._ended(held, End.LEASE_LAPSED, now)
+                self._record_end(held, End.LEASE_LAPSED, now)
                 rack.needs_report = True
-            self._extend(number, rack, now)
+            self._extend_leases(number, rack, now)
 
-    def _extend(self, number: int, rack: Rack, now: float) -> None:
+    def _extend_leases(self, number: int, rack: Rack, now: float) -> None:
         unreachable = {worker for _, at, worker in self._disconnected if at == number}
         for worker in rack.workers:
             if worker.id not in unreachable:
--- a/rhubarbferry/reports/burn.py
+++ b/rhubarbferry/reports/burn.py
@@ -16,8 +16,8 @@
 
 from rhubarbferry.core.cell import Objective
 
-SLOT_DURATION_S = 60.0
-SLOT_COUNT = 361
+BUCKET_DURATION_S = 60.0
+BUCKET_COUNT = 361
 FAST_BURN_RATE = 14.4
 SLOW_BURN_RATE = 6.0
 
@@ -148,46 +148,50 @@
 
 
 class EventRing:
-    """Ring buffer of event counts of the last six hours, in slots of one minute.
+    """Ring buffer of event counts of the last six hours, in buckets of one minute.
 
-    Its counts take 5,776 bytes, however many events are counted. A window consists of whole slots:
-    the current, incomplete one and as many earlier ones as the window has minutes.
+    Its counts take 5,776 bytes, however many events are counted. A window consists of whole
+    buckets: the current, incomplete one and as many earlier ones as the window has minutes.
     """
 
     def __init__(self) -> None:
-        self._counts = array("I", bytes(4 * SLOT_COUNT * len(EVENT_KINDS)))
-        self._newest_slot = -1
+        self._counts = array("I", bytes(4 * BUCKET_COUNT * len(EVENT_KINDS)))
+        self._newest_bucket = -1
         self.last_event_at = 0.0
 
     def add(self, kind: EventKind, *, now: float, count: int = 1) -> None:
         """Count events that occur at ``now``."""
         self._advance(now)
         self.last_event_at = now
-        array_index = self._newest_slot % SLOT_COUNT * len(EVENT_KINDS) + EVENT_KINDS.index(kind)
+        array_index = self._newest_bucket % BUCKET_COUNT * len(EVENT_KINDS) + EVENT_KINDS.index(
+            kind
+        )
         self._counts[array_index] = min(2**32 - 1, self._counts[array_index] + count)
 
     def counts(self, window: Window, *, now: float) -> Counts:
         """Return the counts of a window that ends at ``now``."""
         self._advance(now)
-        slot_count = min(SLOT_COUNT, int(window.seconds // SLOT_DURATION_S) + 1)
+        bucket_count = min(BUCKET_COUNT, int(window.seconds // BUCKET_DURATION_S) + 1)
         totals = [0] * len(EVENT_KINDS)
-        for offset in range(slot_count):
-            array_index = (self._newest_slot - offset) % SLOT_COUNT * len(EVENT_KINDS)
+        for offset in range(bucket_count):
+            array_index = (self._newest_bucket - offset) % BUCKET_COUNT * len(EVENT_KINDS)
             for index in range(len(EVENT_KINDS)):
                 totals[index] += self._counts[array_index + index]
         return counts_from_values(totals)
 
     def _advance(self, now: float) -> None:
-        """Clear the slots whose time has begun since the last access."""
-        slot = int(now // SLOT_DURATION_S)
-        if self._newest_slot < 0:
-            self._newest_slot = slot
-        for new_slot in range(max(self._newest_slot + 1, slot - SLOT_COUNT + 1), slot + 1):
-            array_index = new_slot % SLOT_COUNT * len(EVENT_KINDS)
+        """Clear the buckets whose time has begun since the last access."""
+        bucket = int(now // BUCKET_DURATION_S)
+        if self._newest_bucket < 0:
+            self._newest_bucket = bucket
+        for new_bucket in range(
+            max(self._newest_bucket + 1, bucket - BUCKET_COUNT + 1), bucket + 1
+        ):
+            array_index = new_bucket % BUCKET_COUNT * len(EVENT_KINDS)
             self._counts[array_index : array_index + len(EVENT_KINDS)] = array(
                 "I", bytes(4 * len(EVENT_KINDS))
             )
-        self._newest_slot = max(self._newest_slot, slot)
+        self._newest_bucket = max(self._newest_bucket, bucket)
 
 
 def counts_from_values(values: Sequence[int]) -> Counts:
--- a/rhubarbferry/reports/html.py
+++ b/rhubarbferry/reports/html.py
@@ -45,7 +45,8 @@
 MAX_NAME_LENGTH = 24
 MIN_BURN_SCALE = 2.0
 MAX_BURN_SCALE = 100.0
-# From the newest window on; each shows only the events older than the window before it.
+# The columns of the plot by age, newest first. Each counts the events of its window that are not
+# in the next shorter one.
 AGE_WINDOWS = (Window.M5, Window.M30, Window.H1, Window.H6)
 AGE_LABELS = ("0–5 min ago", "5–30 min ago", "30–60 min ago", "1–6 h ago")
 STYLE = """
--- a/rhubarbferry/reports/losses.py
+++ b/rhubarbferry/reports/losses.py
@@ -19,7 +19,7 @@
 from rhubarbferry.dispatch.objective import LATE_FACTOR
 
 REPORT_WINDOW_S = 2.0
-# Tasks with any other outcome have to be started again.
+# A run with any other outcome does not complete its task, which has to be started again.
 SUCCESSFUL_OUTCOMES = (EndKind.DONE.value,)
 
 
--- a/rhubarbferry/reports/slo.py
+++ b/rhubarbferry/reports/slo.py
@@ -57,7 +57,7 @@
 
 @frozen(kw_only=True, slots=True)
 class SloReport:
-    """Burn of all objectives of the cell.
+    """Burn rates of all objectives of the cell.
 
     :param taken_at: Unix time in seconds.
     :param revision: revision of the configuration whose objectives apply.
--- a/rhubarbferry/test/platform_store.py
+++ b/rhubarbferry/test/platform_store.py
@@ -34,7 +34,8 @@
     :param late_s: delay in seconds before a write without a reply is applied.
     :param answer_s: delay of each answer in seconds.
     :param no_history: answer watches with 410, as if their history were compacted.
-    :param deaf: answer watches without events but with the current revision.
+    :param deaf: omit all events from the answers to watches, which still state the current
+        revision.
     :param no_bare_conditions: reject transactions without writes or removals with 400.
     """
 
--- a/rhubarbferry/test/platform_worker.py
+++ b/rhubarbferry/test/platform_worker.py
@@ -17,8 +17,8 @@
 POLL_INTERVAL_S = 0.01
 # Maximum duration of the lease that a host grants.
 MAX_LEASE_MS = 6000
-# Tail latency of a serving task without other tasks on its host; each other task adds its speed in
-# percent to it, as milliseconds.
+# Tail latency of a serving task that is alone on its host. Each other task adds one millisecond for
+# each percent of its speed.
 UNLOADED_TAIL_LATENCY_MS = 50
 
 
--- a/rhubarbferry/test/processes.py
+++ b/rhubarbferry/test/processes.py
@@ -69,7 +69,7 @@
     """A child process.
 
     :param errors: file that receives its standard error.
-    :param startup_info: the JSON startup_info that it printed once it listened.
+    :param startup_info: the JSON line that it printed once it listened.
     """
 
     name: str
--- a/tests/bench/test_bench.py
+++ b/tests/bench/test_bench.py
@@ -60,7 +60,7 @@
     assert found == {"used_over_due": {"a": 0.9, "b": 1.0}, "largest_error": 0.1}
 
 
-def test_times_keep_percentiles() -> None:
+def test_latency_histogram_returns_percentiles() -> None:
     times = LatencyHistogram()
     for ms in range(1, 101):
         times.add(ms / 1000)
--- a/tests/bench/test_days.py
+++ b/tests/bench/test_days.py
@@ -1,4 +1,4 @@
-"""Simulated days: a mechanism must raise the earned worth under the load that it addresses."""
+"""Simulated days: a dispatcher mechanism must raise the worth under the fault it handles."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     return simulation.statistics()["worth_share"]
 
 
-def test_start_retries_earn_more_worth_when_hosts_lose_orders(monkeypatch):
-    """Guards against wide gangs that start too late when hosts lose one start request in five."""
+def test_start_retries_raise_worth_when_start_requests_are_lost(monkeypatch):
+    """One start request in five is lost. Without retries, wide gangs would start too late."""
     with_retries = measure_worth()
     monkeypatch.setattr(tracker, "next_retry", lambda run, host, now: None)
     assert with_retries > measure_worth() + 0.05
--- a/tests/processes/failure_scenarios.py
+++ b/tests/processes/failure_scenarios.py
@@ -80,6 +80,8 @@
 ) -> Evaluation:
     """Send keyed and repeatable requests to both frontends while a fault is injected.
 
+    Keyed requests have an idempotency key and run at most once; repeatable ones may run again.
+
     :param timeout_s: deadline of each request.
     """
     await wait_until_all_serve(cell)
--- a/tests/processes/test_store_outage.py
+++ b/tests/processes/test_store_outage.py
@@ -86,7 +86,7 @@
 
 
 async def wait_until_guards_promise(cell: ProcessCell) -> None:
-    """Wait until all frontends have given a round of promises under a settled guard set."""
+    """Wait until all frontends are guards, then for two new promises per guard on average."""
     async with asyncio.timeout(SETTLE_TIMEOUT_S):
         while True:
             guards = (await table_of(cell)).guards.get("attiki")
@@ -160,8 +160,10 @@
     """A way in which the store becomes unavailable.
 
     :param max_rejection_s: maximum delay of a rejection before the outage is detected.
-    :param may_be_unclear: whether a record may be in transit when the outage begins.
-    :param repeatable: whether the owner of the runners is certain to survive.
+    :param may_be_unclear: whether the outcome of a request may be unknown because a write to the
+        store was in progress when the outage began.
+    :param repeatable: whether repeatable requests must succeed, which requires that the owner of
+        the runner partition survives.
     """
 
     name: str
--- a/tools/mixed_builds.py
+++ b/tools/mixed_builds.py
@@ -1,8 +1,8 @@
-"""Check that processes of two builds share a cell: jobs, hand-overs, stored data, configuration.
+"""Check that processes of two builds share a cell: jobs, handovers, stored data, configuration.
 
 Run, in the environment of the tests: python tools/mixed_builds.py OLD_TREE NEW_TREE
 
-Each scenario is played in both directions, with the owner of one build and its successors of the
+Each scenario runs in both directions: the owner is of one build and its successors are of the
 other. Prints a line for each scenario, and exits with 1 when one of them fails.
 """
 
@@ -59,7 +59,7 @@
         await harness.ready(await harness.start(name))
 
 
-async def until_in_force(harness: CellHarness, version: int) -> None:
+async def wait_until_in_force(harness: CellHarness, version: int) -> None:
     async with asyncio.timeout(DONE_S):
         for member in harness.members.values():
             while True:
@@ -76,7 +76,7 @@
 
 
 async def change_owner(dir: Path, first: Build, second: Build, number: signal.Signals) -> None:
-    """Submit jobs to both builds, end the owner of the first, and let the second finish them.
+    """Submit jobs to both builds, end the owner (first build), and let the second finish them.
 
     Then the first build alone reads the states that the second wrote, and runs one more job.
     """
@@ -95,7 +95,7 @@
             steps = (step(2), step(2, after=[0])) if index % 2 else (step(3, gang=True),)
             assert await harness.submit(members[index % 3], id, *steps) == 200
         harness.store.put("op/config", configuration(2, attempts=2))
-        await until_in_force(harness, 2)
+        await wait_until_in_force(harness, 2)
         await asyncio.sleep(TASK_S / 2)
         assert harness.owner_key_name() == "first"
         members[0].signal(number)
@@ -130,7 +130,7 @@
 # ---------------------------------------------------------------- schedulers and frontends
 
 
-async def job_done(cell: ProcessCell, frontend: str, id: str) -> None:
+async def wait_until_job_done(cell: ProcessCell, frontend: str, id: str) -> None:
     async with asyncio.timeout(DONE_S):
         while True:
             doc = await cell.job(frontend, id)
@@ -139,7 +139,7 @@
             await asyncio.sleep(0.1)
 
 
-async def submitted(cell: ProcessCell, frontend: str) -> str:
+async def submit_job(cell: ProcessCell, frontend: str) -> str:
     job = {
         "account": "kryogonia",
         "kind": "batch",
@@ -179,7 +179,7 @@
             await cell.start_daemon("frontend", f"frontend-{suffix}", region="attiki")
             await cell.wait_until_served(f"frontend-{suffix}")
         for round, (victim, build) in enumerate((("one", first), ("two", second))):
-            jobs = [await submitted(cell, frontend) for frontend in frontends]
+            jobs = [await submit_job(cell, frontend) for frontend in frontends]
             for index, frontend in enumerate(frontends):
                 await keyed_request(cell, frontend, 10 * round + index)
             await cell.processes[f"scheduler-{victim}"].kill()
@@ -187,7 +187,7 @@
                 await keyed_request(cell, frontend, 10 * round + 2 + index)
             for id in jobs:
                 for frontend in frontends:
-                    await job_done(cell, frontend, id)
+                    await wait_until_job_done(cell, frontend, id)
             use(build)
             await cell.start_daemon("scheduler", f"scheduler-{victim}", region="attiki")
         await assert_ran_once(cell)
@@ -217,7 +217,7 @@
 
 def main() -> int:
     old, new = (("old", Path(sys.argv[1]).resolve()), ("new", Path(sys.argv[2]).resolve()))
-    # A module that is run is looked for in the current folder first.
+    # Python searches the current directory first for a module that is run with ``-m``.
     os.chdir(tempfile.gettempdir())
     check_import(old)
     check_import(new)
