--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -223,7 +223,7 @@
         jobs = list(await asyncio.gather(*pending))
         waits = []
         for job_id in jobs:
-            doc = await self.job_done(job_id)
+            doc = await self.wait_until_job_ended(job_id)
             waits.append(doc.get("waited_ms", -1))
         waits.sort()
         self.result["churn_wait_ms"] = {
@@ -232,7 +232,7 @@
             "jobs": len(jobs),
         }
 
-    async def job_done(self, job_id: str) -> dict[str, Any]:
+    async def wait_until_job_ended(self, job_id: str) -> dict[str, Any]:
         until = time.monotonic() + TIMEOUT_S
         doc: dict[str, Any] = {}
         while time.monotonic() < until:
@@ -251,7 +251,7 @@
         for n in range(16):
             submitted_at = time.monotonic()
             job_id = await self.submit(n, tasks=1, run_ms=0, priority="urgent", kind="batch")
-            await self.job_done(job_id)
+            await self.wait_until_job_ended(job_id)
             waits.append(time.monotonic() - submitted_at)
         after = await self.counts()
         self.result["kill"] = {
--- a/bench/slopes_jobs.py
+++ b/bench/slopes_jobs.py
@@ -88,13 +88,13 @@
             raise RuntimeError(f"{status}: {document}")
         return str(document["id"])
 
-    async def wait_until(self, ids: list[str], state: str) -> None:
+    async def wait_until(self, ids: list[str], phase: str) -> None:
         """Wait until all jobs have reached a phase."""
         async with asyncio.timeout(PHASE_TIMEOUT_S):
             for id in ids:
                 while True:
                     document = await self.cell.job(FRONTEND, id)
-                    if document.get("phase") == state:
+                    if document.get("phase") == phase:
                         break
                     await asyncio.sleep(POLL_INTERVAL_S)
 
--- a/rhubarbferry/test/platform_store.py
+++ b/rhubarbferry/test/platform_store.py
@@ -63,13 +63,13 @@
         """Return the HTTP application."""
         return Starlette(
             routes=[
-                Route("/api/kv-key", self._key),
+                Route("/api/kv-key", self._get),
                 Route("/api/kv-range", self._range),
                 Route("/api/kv-watch", self._watch),
                 Route("/api/kv-txn", self._txn, methods=["POST"]),
-                Route("/api/kv-lease", self._grant, methods=["POST"]),
-                Route("/api/kv-keep/{lease:int}", self._keep, methods=["POST"]),
-                Route("/api/kv-lease-end/{lease:int}", self._end, methods=["DELETE"]),
+                Route("/api/kv-lease", self._grant_lease, methods=["POST"]),
+                Route("/api/kv-keep/{lease:int}", self._renew_lease, methods=["POST"]),
+                Route("/api/kv-lease-end/{lease:int}", self._revoke_lease, methods=["DELETE"]),
             ]
         )
 
@@ -97,7 +97,7 @@
             return Response(status_code=429)
         return Response(status_code=503) if self.faults.down else None
 
-    async def _key(self, request: Request) -> Response:
+    async def _get(self, request: Request) -> Response:
         rejection = await self._admit("key")
         if rejection is not None:
             return rejection
@@ -188,7 +188,7 @@
         ]
         return JSONResponse({"items": items}, status_code=412)
 
-    async def _grant(self, request: Request) -> Response:
+    async def _grant_lease(self, request: Request) -> Response:
         body = await request.json()
         rejection = await self._admit("grant")
         if rejection is not None:
@@ -196,7 +196,7 @@
         lease = self.engine.grant(body["ttlMs"] / 1000, self.clock.monotonic())
         return JSONResponse({"lease": lease, "ttlMs": body["ttlMs"]})
 
-    async def _keep(self, request: Request) -> Response:
+    async def _renew_lease(self, request: Request) -> Response:
         rejection = await self._admit("keep")
         if rejection is not None:
             return rejection
@@ -206,7 +206,7 @@
             return Response(status_code=404)
         return JSONResponse({"ttlMs": int(ttl_s * 1000)})
 
-    async def _end(self, request: Request) -> Response:
+    async def _revoke_lease(self, request: Request) -> Response:
         rejection = await self._admit("end")
         if rejection is not None:
             return rejection
--- a/rhubarbferry/test/platform_worker.py
+++ b/rhubarbferry/test/platform_worker.py
@@ -183,6 +183,7 @@
         return JSONResponse({"clockMs": self._clock_ms()})
 
     async def _hold(self, request: Request) -> Response:
+        """Extend the lease; answer once a run has ended or the wait of the request is over."""
         body, rejection = await self._admit(request)
         if rejection is not None:
             return rejection
